--- a/bench/bench_capacity_core.c
+++ b/bench/bench_capacity_core.c
@@ -212,7 +212,7 @@
 	memcpy(event.arrival.fingerprint, &id, sizeof(id));
 	event.arrival.prompt_tokens = 100;
 	event.arrival.max_tokens = 238;
-	event.arrival.allowance_ms = 25000;
+	event.arrival.timeout_ms = 25000;
 	event.arrival.wall_ms = bench->now / 1000;
 	core_post(bench->core, &event);
 }
@@ -239,7 +239,7 @@
 	event.type = CORE_EV_ENDED;
 	event.ended.req = req;
 	event.ended.attempt = attempt;
-	event.ended.end = CORE_END_WHOLE;
+	event.ended.end = CORE_END_COMPLETE;
 	event.ended.status = 200;
 	event.ended.tokens = 238;
 	event.ended.answer = strdup("booked");
@@ -257,7 +257,7 @@
 		.incarnation = 1,
 		.seed = 1,
 		.progress_timeout_us = 30 * MAG_US_PER_S,
-		.first_timeout_us = 30 * MAG_US_PER_S,
+		.first_token_timeout_us = 30 * MAG_US_PER_S,
 		.kv_timeout_us = MAG_US_PER_S,
 		.ledger = { .instance = "i",
 			    .incarnation = 1,
--- a/bench/sim_caller.c
+++ b/bench/sim_caller.c
@@ -125,7 +125,7 @@
 	if (!sim->settings.no_affinity)
 		arrival->prefix = call->prefix;
 	arrival->max_tokens = call->tokens;
-	arrival->allowance_ms = call->allowance_ms;
+	arrival->timeout_ms = call->allowance_ms;
 	if (sim_counts(sim, call)) {
 		sim->result->calls++;
 		sim->result->offered += call->tokens;
--- a/bench/sim_router.c
+++ b/bench/sim_router.c
@@ -25,10 +25,10 @@
 			.incarnation = (uint64_t)i + 1,
 			.seed = sim->settings.seed * 100 + (uint64_t)i,
 			.policy = sim->settings.policy,
-			.no_budgets = sim->settings.no_budgets,
+			.no_retry_budgets = sim->settings.no_budgets,
 			.no_resume = sim->settings.no_resume,
 			.progress_timeout_us = SIM_PROGRESS_TIMEOUT_US,
-			.first_timeout_us = SIM_FIRST_TIMEOUT_US,
+			.first_token_timeout_us = SIM_FIRST_TIMEOUT_US,
 			.kv_timeout_us = MAG_US_PER_S,
 			.ledger = { .shards = 1,
 				    .segment_bytes = 65536,
@@ -115,7 +115,7 @@
 
 	for (i = 0; i < sim->settings.routers; i++) {
 		if (i != news->router)
-			core_learn_quarantine(sim->cores[i], news->print,
+			core_merge_quarantine(sim->cores[i], news->print,
 					      news->lost, news->until_us);
 	}
 }
--- a/bench/sim_stage.c
+++ b/bench/sim_stage.c
@@ -51,9 +51,11 @@
 	}
 	first = &sim->stages[s->stage[0]];
 	if (first->dead) {
-		sim_end(sim, at, CORE_END_UNSENT, 0, sim->now + SIM_RESET_US);
+		sim_end(sim, at, CORE_END_NOT_CONNECTED, 0,
+			sim->now + SIM_RESET_US);
 	} else if (!sim_reaches(sim, router % SIM_CENTRES, first->centre)) {
-		sim_end(sim, at, CORE_END_UNSENT, 0, sim->now + SIM_CONNECT_US);
+		sim_end(sim, at, CORE_END_NOT_CONNECTED, 0,
+			sim->now + SIM_CONNECT_US);
 	} else if (first->running > first->concurrency) {
 		sim_end(sim, at, CORE_END_REFUSED, 0,
 			sim->now + SIM_HOP_FAR_US);
@@ -100,8 +102,8 @@
 	if (stage->hung)
 		return;
 	if (stage->dead) {
-		sim_end(sim, at, s->at ? CORE_END_STAGE : CORE_END_CUT, s->at,
-			sim->now + SIM_RESET_US);
+		sim_end(sim, at, s->at ? CORE_END_STAGE : CORE_END_DISCONNECTED,
+			s->at, sim->now + SIM_RESET_US);
 		return;
 	}
 	done = sim_serve(sim, s);
@@ -134,7 +136,7 @@
 	event.ended.attempt = s->attempt;
 	event.ended.end = s->end;
 	event.ended.stage = s->end_stage;
-	event.ended.status = s->end == CORE_END_WHOLE ? 200 : 503;
+	event.ended.status = s->end == CORE_END_COMPLETE ? 200 : 503;
 	event.ended.tokens = s->next;
 	sim_stream_drop(sim, at);
 	sim_post(sim, router, &event);
@@ -314,7 +316,7 @@
 	if (!sim_reaches(sim, s->router % SIM_CENTRES, centre))
 		return;
 	if (s->next >= call->tokens) {
-		sim_end(sim, at, CORE_END_WHOLE, -1, when);
+		sim_end(sim, at, CORE_END_COMPLETE, -1, when);
 		return;
 	}
 	if (sim->now >= s->progress_us) {
@@ -352,7 +354,8 @@
 		for (k = 0; s->used && k < s->count; k++) {
 			if (s->stage[k] != stage)
 				continue;
-			sim_end(sim, i, k ? CORE_END_STAGE : CORE_END_CUT, k,
+			sim_end(sim, i,
+				k ? CORE_END_STAGE : CORE_END_DISCONNECTED, k,
 				sim->now + SIM_RESET_US);
 			break;
 		}
--- a/regress/check_matrix.c
+++ b/regress/check_matrix.c
@@ -228,7 +228,7 @@
 		.data_centre = "d",
 		.seed = 1,
 		.progress_timeout_us = 400 * MX_MS,
-		.first_timeout_us = 400 * MX_MS,
+		.first_token_timeout_us = 400 * MX_MS,
 		.kv_timeout_us = 500 * MX_MS,
 		.ledger = { .shards = 1,
 			    .segment_bytes = 16384,
@@ -271,7 +271,7 @@
 	a->fingerprint[0] = (uint8_t)(key + 1);
 	a->prompt_tokens = 10;
 	a->max_tokens = MX_TOKENS;
-	a->allowance_ms = MX_DEADLINE;
+	a->timeout_ms = MX_DEADLINE;
 	a->wall_ms = MX_WALL_MS + now / MX_MS;
 	if (!cores[router])
 		ask->closed_us = now; /* connection refused */
@@ -382,14 +382,14 @@
 	att->phase = ATT_NONE;
 	if (!att->open || !mx_alive(ask))
 		return;
-	asks[att->ask].crossed = end == CORE_END_WRONG;
+	asks[att->ask].crossed = end == CORE_END_WRONG_IDS;
 	event.ended.req = ask->req;
 	event.ended.attempt = att->d.attempt;
 	event.ended.end = end;
 	event.ended.stage = stage;
-	event.ended.status = end == CORE_END_WHOLE ? 201 : 0;
+	event.ended.status = end == CORE_END_COMPLETE ? 201 : 0;
 	event.ended.tokens = att->tokens;
-	if (end == CORE_END_WHOLE && kind != KIND_MODEL &&
+	if (end == CORE_END_COMPLETE && kind != KIND_MODEL &&
 	    asprintf(&event.ended.answer, "booked for %d",
 		     effect_ask[ask->key] + 1) > 0)
 		event.ended.answer_len = strlen(event.ended.answer);
@@ -491,7 +491,9 @@
 			mx_strike(STEP_FIRST, att);
 		dead = mx_dead_stage(att);
 		if (dead >= 0)
-			mx_end(att, dead ? CORE_END_STAGE : CORE_END_CUT, dead);
+			mx_end(att,
+			       dead ? CORE_END_STAGE : CORE_END_DISCONNECTED,
+			       dead);
 		return;
 	}
 	if (att->tokens < MX_TOKENS) {
@@ -507,9 +509,9 @@
 		mx_strike(STEP_LAST, att);
 	if (eps[mx_target(att)].wrong) {
 		eps[mx_target(att)].wrong = false;
-		mx_end(att, CORE_END_WRONG, 0);
+		mx_end(att, CORE_END_WRONG_IDS, 0);
 	} else {
-		mx_end(att, CORE_END_WHOLE, 0);
+		mx_end(att, CORE_END_COMPLETE, 0);
 	}
 }
 
@@ -528,7 +530,7 @@
 		att->at_us = now + MX_MS;
 		if (dead == 0 || link_cut) {
 			link_cut = false;
-			mx_end(att, CORE_END_UNSENT, 0);
+			mx_end(att, CORE_END_NOT_CONNECTED, 0);
 			return;
 		}
 		att->phase = ATT_SENT;
@@ -537,14 +539,15 @@
 		return;
 	}
 	if (dead >= 0) {
-		mx_end(att, dead ? CORE_END_STAGE : CORE_END_CUT, dead);
+		mx_end(att, dead ? CORE_END_STAGE : CORE_END_DISCONNECTED,
+		       dead);
 		return;
 	}
 	if (link_cut && first) {
 		struct mx_att rest = *att;
 
 		link_cut = false;
-		mx_end(att, CORE_END_CUT, 0);
+		mx_end(att, CORE_END_DISCONNECTED, 0);
 		if (kind != KIND_MODEL) { /* the endpoint works on */
 			*att = rest;
 			att->open = false;
@@ -763,7 +766,7 @@
 		while (cores[i] &&
 		       core_next_quarantine(cores[i], print, &lost, &until)) {
 			if (cores[1 - i])
-				core_learn_quarantine(cores[1 - i], print, lost,
+				core_merge_quarantine(cores[1 - i], print, lost,
 						      until);
 		}
 	}
--- a/src/core.c
+++ b/src/core.c
@@ -64,7 +64,7 @@
 		return NULL;
 	core->settings = *settings;
 	core->pick = pick_new(settings->policy, settings->seed);
-	core->adm = adm_new(settings->seed, !settings->no_budgets);
+	core->adm = adm_new(settings->seed, !settings->no_retry_budgets);
 	core->quar = quar_new(CORE_QUAR_ENTRIES, CORE_QUAR_HOLD_US);
 	core->ldg = ldg_new(&settings->ledger);
 	core->shr = shr_new();
@@ -191,7 +191,7 @@
 }
 
 /* Takes over what another instance lost to a fingerprint. */
-void core_learn_quarantine(struct core *core,
+void core_merge_quarantine(struct core *core,
 			   const uint8_t print[MAG_DIGEST_BYTES],
 			   uint32_t endpoints_lost, int64_t until_us)
 {
@@ -238,7 +238,7 @@
 }
 
 /* Notes that a request has a deadline, so that the tick will come in time. */
-void core_due(struct core *core, int64_t deadline_us)
+void core_schedule_tick(struct core *core, int64_t deadline_us)
 {
 	if (deadline_us < core->due_us)
 		core->due_us = deadline_us;
@@ -248,7 +248,8 @@
  * Appends an empty action.  Memory for it can't be missing without cutting a
  * caller off, so the process ends there and the balancer sends elsewhere.
  */
-struct core_action *core_act(struct core *core, enum core_action_type type)
+struct core_action *core_add_action(struct core *core,
+				    enum core_action_type type)
 {
 	struct core_action_node *node = calloc(1, sizeof(*node));
 
@@ -311,7 +312,7 @@
 	struct core_req *req = core_find(core, event->caller_gone);
 
 	if (req)
-		req_handle(core, req, REQ_EV_GONE, NULL);
+		req_handle(core, req, REQ_EV_CALLER_GONE, NULL);
 }
 
 /*
@@ -403,7 +404,7 @@
 		free(result.answer);
 	}
 	while (ldg_next_call(core->ldg, &call))
-		core_act(core, CORE_ACT_KV)->kv = call;
+		core_add_action(core, CORE_ACT_KV)->kv = call;
 }
 
 /* Tells admission how fast the work of each service gets done. */
@@ -421,12 +422,12 @@
 /* Says once that nothing is left in progress after a stop was asked for. */
 static void stop_system(struct core *core)
 {
-	if (!core->stopping || core->stopped_said)
+	if (!core->stopping || core->stopped_reported)
 		return;
 	if (!cds_list_empty(&core->all) || !ldg_idle(core->ldg))
 		return;
-	core_act(core, CORE_ACT_STOPPED);
-	core->stopped_said = true;
+	core_add_action(core, CORE_ACT_STOPPED);
+	core->stopped_reported = true;
 }
 
 /*
--- a/src/core.h
+++ b/src/core.h
@@ -30,10 +30,10 @@
 	uint64_t incarnation; /* drawn at random at start */
 	uint64_t seed;
 	enum pick_policy policy;
-	bool no_budgets; /* second sends have no bound */
-	bool no_resume;	 /* a stream begins again at its first token */
-	int64_t progress_timeout_us; /* longest wait for the next token */
-	int64_t first_timeout_us;    /* longest wait for the first */
+	bool no_retry_budgets; /* second sends have no bound */
+	bool no_resume;	       /* a stream begins again at its first token */
+	int64_t progress_timeout_us;	/* longest wait for the next token */
+	int64_t first_token_timeout_us; /* longest wait for the first */
 	int64_t kv_timeout_us;
 	struct ldg_settings ledger;
 };
@@ -50,20 +50,20 @@
 	uint32_t prompt_tokens;
 	uint32_t max_tokens;
 	uint64_t prefix;
-	uint32_t allowance_ms; /* the caller's, 0 if it stated none */
+	uint32_t timeout_ms; /* the caller's, 0 if it stated none */
 	int64_t wall_ms;
 };
 
 /* How an attempt ended, as the shell that carried it saw it. */
 enum core_end {
-	CORE_END_WHOLE,	    /* the whole answer is here */
-	CORE_END_UNSENT,    /* the connection was never made */
-	CORE_END_REFUSED,   /* a status that the service declares as proof */
-	CORE_END_STAGE,	    /* the stream says which stage failed */
-	CORE_END_CUT,	    /* the connection broke after the send */
-	CORE_END_WRONG,	    /* ids of another request or attempt */
-	CORE_END_CANCELLED, /* as the core asked */
-	CORE_END_STATUS,    /* the endpoint answered an error status */
+	CORE_END_COMPLETE,	/* the whole answer is here */
+	CORE_END_NOT_CONNECTED, /* the connection was never made */
+	CORE_END_REFUSED,      /* a status that the service declares as proof */
+	CORE_END_STAGE,	       /* the stream says which stage failed */
+	CORE_END_DISCONNECTED, /* the connection broke after the send */
+	CORE_END_WRONG_IDS,    /* ids of another request or attempt */
+	CORE_END_CANCELLED,    /* as the core asked */
+	CORE_END_STATUS,       /* the endpoint answered an error status */
 	CORE_END_COUNT
 };
 
@@ -71,9 +71,9 @@
 	uint64_t req;
 	uint32_t attempt;
 	enum core_end end;
-	int stage;	 /* CORE_END_STAGE: which one, from 0 */
-	uint32_t silent; /* stages, as bits, that gave no sign of life */
-	int status;	 /* HTTP status of the endpoint, 0 if none */
+	int stage;		/* CORE_END_STAGE: which one, from 0 */
+	uint32_t silent_stages; /* stages, as bits, that gave no sign of life */
+	int status;		/* HTTP status of the endpoint, 0 if none */
 	uint32_t tokens; /* delivered to the caller so far, all attempts */
 	char *answer;	 /* for the record, NULL if too long; core frees */
 	size_t answer_len;
@@ -82,8 +82,9 @@
 struct core_progress {
 	uint64_t req;
 	uint32_t attempt;
-	bool alive; /* nothing came, but every stage gives a sign of life */
-	uint32_t tokens;		/* delivered so far, all attempts */
+	bool stages_alive; /* nothing came, but every stage gives a sign of life
+			    */
+	uint32_t tokens;   /* delivered so far, all attempts */
 	uint32_t hop_us[MAG_CHAIN_MAX]; /* mean a token, by stage */
 	int hop_count;
 };
@@ -151,7 +152,7 @@
 	uint32_t layers;
 	uint32_t priority;
 	int64_t deadline_us;
-	bool once; /* a second send could run it twice */
+	bool at_most_once; /* a second send could run it twice */
 	char downstream_key[MAG_DIGEST_HEX]; /* "" if none is sent */
 	int not_begun_status[CFG_NOT_BEGUN_MAX];
 	struct core_stage stages[MAG_CHAIN_MAX];
@@ -211,7 +212,7 @@
 const struct cfg_set *core_config(const struct core *core);
 bool core_next_quarantine(struct core *core, uint8_t print[MAG_DIGEST_BYTES],
 			  uint32_t *endpoints_lost, int64_t *until_us);
-void core_learn_quarantine(struct core *core,
+void core_merge_quarantine(struct core *core,
 			   const uint8_t print[MAG_DIGEST_BYTES],
 			   uint32_t endpoints_lost, int64_t until_us);
 void core_set_share(struct core *core, int limit, double requests_per_s,
--- a/src/core_int.h
+++ b/src/core_int.h
@@ -28,13 +28,13 @@
 };
 
 enum req_event {
-	REQ_EV_GRANT,	 /* admission's turn has come, a chain is free */
-	REQ_EV_LEDGER,	 /* the ledger's verdict */
-	REQ_EV_PROGRESS, /* tokens came */
-	REQ_EV_ENDED,	 /* the attempt ended */
-	REQ_EV_GONE,	 /* the caller left */
-	REQ_EV_DEADLINE, /* the caller's deadline has passed */
-	REQ_EV_STALL,	 /* no progress until the deadline for it */
+	REQ_EV_GRANT,	    /* admission's turn has come, a chain is free */
+	REQ_EV_LEDGER,	    /* the ledger's verdict */
+	REQ_EV_PROGRESS,    /* tokens came */
+	REQ_EV_ENDED,	    /* the attempt ended */
+	REQ_EV_CALLER_GONE, /* the caller left */
+	REQ_EV_DEADLINE,    /* the caller's deadline has passed */
+	REQ_EV_STALL,	    /* no progress until the deadline for it */
 	REQ_EV_COUNT
 };
 
@@ -53,10 +53,10 @@
 	int64_t stall_us;   /* when the attempt counts as stalled */
 	int64_t give_up_us; /* REQ_READY: when to stop waiting for a chain */
 	int64_t dispatched_us;
-	int64_t first_token_us; /* of this attempt, 0 if none yet */
-	uint32_t attempt;	/* 0 before the first */
-	uint32_t tokens;	/* delivered, all attempts */
-	uint32_t attempt_from;	/* tokens when this attempt began */
+	int64_t first_token_us;		/* of this attempt, 0 if none yet */
+	uint32_t attempt;		/* 0 before the first */
+	uint32_t tokens;		/* delivered, all attempts */
+	uint32_t tokens_before_attempt; /* tokens when this attempt began */
 	struct pick_chain chain;
 	uint32_t hop_us[MAG_CHAIN_MAX]; /* of this attempt, the last report */
 	bool chain_held; /* pick counts this chain as in flight */
@@ -95,12 +95,13 @@
 	int64_t now;
 	int64_t due_us; /* no request's deadline lies before it */
 	bool stopping;
-	bool stopped_said;
+	bool stopped_reported;
 };
 
 struct core_req *core_find(struct core *core, uint64_t req);
-void core_due(struct core *core, int64_t deadline_us);
-struct core_action *core_act(struct core *core, enum core_action_type type);
+void core_schedule_tick(struct core *core, int64_t deadline_us);
+struct core_action *core_add_action(struct core *core,
+				    enum core_action_type type);
 void core_req_free(struct core *core, struct core_req *req);
 
 /* req_arrive.c */
@@ -120,22 +121,22 @@
 void req_running_ended(struct core *core, struct core_req *req, void *data);
 void req_cancelling_ended(struct core *core, struct core_req *req, void *data);
 void req_closing_ended(struct core *core, struct core_req *req, void *data);
-void req_leave_record(struct core *core, struct core_req *req);
+void req_finish_record(struct core *core, struct core_req *req);
 
 /* req_run.c */
 void req_dispatch(struct core *core, struct core_req *req,
 		  const struct pick_chain *chain);
 void req_hold_chain(struct core *core, struct core_req *req,
 		    const struct pick_chain *chain);
-void req_drop_chain(struct core *core, struct core_req *req);
+void req_release_chain(struct core *core, struct core_req *req);
 int req_choose(struct core *core, struct core_req *req,
 	       struct pick_chain *chain);
 void req_end_attempt(struct core *core, struct core_req *req,
 		     enum pick_result_kind kind, int at_stage, uint32_t silent);
 void req_avoid(struct core_req *req, int endpoint);
 void req_cancel(struct core *core, struct core_req *req, bool probe);
-bool req_try_again(struct core *core, struct core_req *req, int endpoint);
-bool req_go_elsewhere(struct core *core, struct core_req *req, int endpoint);
+bool req_may_retry(struct core *core, struct core_req *req, int endpoint);
+bool req_may_redispatch(struct core *core, struct core_req *req, int endpoint);
 
 /* req_answer.c */
 void req_refuse(struct core *core, struct core_req *req, int status,
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -167,7 +167,8 @@
 	to->seed = from->seed ? from->seed : daemon->incarnation;
 	to->policy = PICK_FLOW;
 	to->progress_timeout_us = from->progress_timeout_ms * MAG_US_PER_MS;
-	to->first_timeout_us = from->first_token_timeout_ms * MAG_US_PER_MS;
+	to->first_token_timeout_us =
+		from->first_token_timeout_ms * MAG_US_PER_MS;
 	to->kv_timeout_us = from->kv_timeout_ms * MAG_US_PER_MS;
 	memcpy(to->ledger.instance, from->instance,
 	       sizeof(to->ledger.instance));
--- a/src/ep.c
+++ b/src/ep.c
@@ -57,7 +57,7 @@
 
 /*
  * Carries one attempt to its end and says in answer how it ended.  Without
- * memory for it nothing is sent, which CORE_END_UNSENT says.
+ * memory for it nothing is sent, which CORE_END_NOT_CONNECTED says.
  */
 void ep_run(struct ep *ep, const struct ep_request *request,
 	    const struct ep_sink *sink, struct ep_answer *answer)
@@ -67,7 +67,7 @@
 	CURLcode code;
 
 	memset(answer, 0, sizeof(*answer));
-	answer->end = CORE_END_UNSENT;
+	answer->end = CORE_END_NOT_CONNECTED;
 	if (!call)
 		return;
 	call->ep = ep;
@@ -81,7 +81,7 @@
 		code = transfer(call, &cancelled);
 		call->protocol->finish(call, code);
 	}
-	if (cancelled && answer->end != CORE_END_WHOLE)
+	if (cancelled && answer->end != CORE_END_COMPLETE)
 		answer->end = CORE_END_CANCELLED;
 	if (began(answer->end))
 		call->protocol->cancel(call);
@@ -167,7 +167,7 @@
 /* Tells whether endpoints may still be at work on an attempt that ended. */
 static bool began(enum core_end end)
 {
-	return end != CORE_END_WHOLE && end != CORE_END_UNSENT &&
+	return end != CORE_END_COMPLETE && end != CORE_END_NOT_CONNECTED &&
 	       end != CORE_END_REFUSED;
 }
 
@@ -193,7 +193,7 @@
 	 * run the first one, and nobody would notice the second.  A fresh
 	 * connection is never retried that way.
 	 */
-	if (dispatch->once) {
+	if (dispatch->at_most_once) {
 		curl_easy_setopt(call->easy, CURLOPT_FRESH_CONNECT, 1L);
 		curl_easy_setopt(call->easy, CURLOPT_FORBID_REUSE, 1L);
 	}
--- a/src/ep_engine.c
+++ b/src/ep_engine.c
@@ -175,7 +175,7 @@
 
 	call->ended = true;
 	if (tokens == (json_int_t)call->next)
-		call->answer->end = CORE_END_WHOLE;
+		call->answer->end = CORE_END_COMPLETE;
 	else
 		call->wrong = true;
 }
@@ -209,18 +209,18 @@
 	struct ep_answer *answer = call->answer;
 
 	if (call->wrong)
-		answer->end = CORE_END_WRONG;
+		answer->end = CORE_END_WRONG_IDS;
 	else if (call->ended)
 		return;
 	else if (code != CURLE_OK)
-		answer->end = ep_never_sent(call, code) ? CORE_END_UNSENT
-							: CORE_END_CUT;
+		answer->end = ep_never_sent(call, code) ? CORE_END_NOT_CONNECTED
+							: CORE_END_DISCONNECTED;
 	else if (ep_status_proves_unbegun(call))
 		answer->end = CORE_END_REFUSED;
 	else if (answer->status != 200)
 		answer->end = CORE_END_STATUS;
 	else
-		answer->end = CORE_END_CUT;
+		answer->end = CORE_END_DISCONNECTED;
 }
 
 /*
--- a/src/ep_plain.c
+++ b/src/ep_plain.c
@@ -73,16 +73,16 @@
 	struct ep_answer *answer = call->answer;
 
 	if (code != CURLE_OK)
-		answer->end = ep_never_sent(call, code) ? CORE_END_UNSENT
-							: CORE_END_CUT;
+		answer->end = ep_never_sent(call, code) ? CORE_END_NOT_CONNECTED
+							: CORE_END_DISCONNECTED;
 	else if (echo_is_wrong(call))
-		answer->end = CORE_END_WRONG;
+		answer->end = CORE_END_WRONG_IDS;
 	else if (ep_status_proves_unbegun(call))
 		answer->end = CORE_END_REFUSED;
 	else if (answer->status >= HTTP_SERVER_ERROR)
 		answer->end = CORE_END_STATUS;
 	else
-		answer->end = CORE_END_WHOLE;
+		answer->end = CORE_END_COMPLETE;
 }
 
 static bool echo_is_wrong(const struct ep_call *call)
--- a/src/front_in.c
+++ b/src/front_in.c
@@ -137,7 +137,7 @@
 		*why = "Magnolia-Deadline-Ms must be a number of milliseconds";
 		return 400;
 	}
-	req->arrival.allowance_ms = (uint32_t)value;
+	req->arrival.timeout_ms = (uint32_t)value;
 	return 0;
 }
 
--- a/src/front_req.c
+++ b/src/front_req.c
@@ -116,10 +116,10 @@
 	event.ended.attempt = dispatch->attempt;
 	event.ended.end = req->answer.end;
 	event.ended.stage = req->answer.stage;
-	event.ended.silent = req->answer.silent;
+	event.ended.silent_stages = req->answer.silent;
 	event.ended.status = req->answer.status;
 	event.ended.tokens = req->token_count;
-	if (req->answer.end == CORE_END_WHOLE && dispatch->downstream_key[0])
+	if (req->answer.end == CORE_END_COMPLETE && dispatch->downstream_key[0])
 		event.ended.answer =
 			front_record_answer(req, &event.ended.answer_len);
 	if (loop_post(req->front->loop, &event))
@@ -175,7 +175,7 @@
 	event.progress.req = req->id;
 	event.progress.attempt = req->running->attempt;
 	event.progress.tokens = req->token_count;
-	event.progress.alive = true;
+	event.progress.stages_alive = true;
 	loop_post(req->front->loop, &event);
 }
 
--- a/src/inst.c
+++ b/src/inst.c
@@ -242,7 +242,7 @@
 
 static void on_quarantine(struct inst *inst, const struct fleet_news *news)
 {
-	core_learn_quarantine(inst->core, news->quarantine.print,
+	core_merge_quarantine(inst->core, news->quarantine.print,
 			      news->quarantine.endpoints_lost,
 			      news->quarantine.until_us);
 }
--- a/src/req.c
+++ b/src/req.c
@@ -66,7 +66,7 @@
 		[REQ_EV_LEDGER] = ignore,
 		[REQ_EV_PROGRESS] = ignore,
 		[REQ_EV_ENDED] = ignore,
-		[REQ_EV_GONE] = waiting_gone,
+		[REQ_EV_CALLER_GONE] = waiting_gone,
 		[REQ_EV_DEADLINE] = waiting_deadline,
 		[REQ_EV_STALL] = ignore,
 	},
@@ -75,7 +75,7 @@
 		[REQ_EV_LEDGER] = reserving_ledger,
 		[REQ_EV_PROGRESS] = ignore,
 		[REQ_EV_ENDED] = ignore,
-		[REQ_EV_GONE] = reserving_leave,
+		[REQ_EV_CALLER_GONE] = reserving_leave,
 		[REQ_EV_DEADLINE] = reserving_leave,
 		[REQ_EV_STALL] = ignore,
 	},
@@ -84,7 +84,7 @@
 		[REQ_EV_LEDGER] = ignore,
 		[REQ_EV_PROGRESS] = ignore,
 		[REQ_EV_ENDED] = ignore,
-		[REQ_EV_GONE] = ready_leave,
+		[REQ_EV_CALLER_GONE] = ready_leave,
 		[REQ_EV_DEADLINE] = ready_leave,
 		[REQ_EV_STALL] = ready_leave,
 	},
@@ -93,7 +93,7 @@
 		[REQ_EV_LEDGER] = ignore,
 		[REQ_EV_PROGRESS] = running_progress,
 		[REQ_EV_ENDED] = req_running_ended,
-		[REQ_EV_GONE] = running_leave,
+		[REQ_EV_CALLER_GONE] = running_leave,
 		[REQ_EV_DEADLINE] = running_leave,
 		[REQ_EV_STALL] = running_stall,
 	},
@@ -102,7 +102,7 @@
 		[REQ_EV_LEDGER] = ignore,
 		[REQ_EV_PROGRESS] = cancelling_progress,
 		[REQ_EV_ENDED] = req_cancelling_ended,
-		[REQ_EV_GONE] = running_leave,
+		[REQ_EV_CALLER_GONE] = running_leave,
 		[REQ_EV_DEADLINE] = running_leave,
 		[REQ_EV_STALL] = ignore,
 	},
@@ -111,7 +111,7 @@
 		[REQ_EV_LEDGER] = closing_ledger,
 		[REQ_EV_PROGRESS] = ignore,
 		[REQ_EV_ENDED] = req_closing_ended,
-		[REQ_EV_GONE] = ignore,
+		[REQ_EV_CALLER_GONE] = ignore,
 		[REQ_EV_DEADLINE] = closing_deadline,
 		[REQ_EV_STALL] = ignore,
 	},
@@ -206,9 +206,9 @@
 	req = core_find(core, id);
 	if (!req)
 		return;
-	core_due(core, req->deadline_us);
-	core_due(core, req->stall_us);
-	core_due(core, req->give_up_us);
+	core_schedule_tick(core, req->deadline_us);
+	core_schedule_tick(core, req->stall_us);
+	core_schedule_tick(core, req->give_up_us);
 }
 
 /* Admission's turn has come: reserve, or go to the chosen chain. */
@@ -286,7 +286,7 @@
 			   req_retry_after(core, req), "records unreachable");
 		break;
 	}
-	req_drop_chain(core, req);
+	req_release_chain(core, req);
 	adm_done(core->adm, req->arrival.req, 0, core->now);
 	core_req_free(core, req);
 }
@@ -300,9 +300,9 @@
 	(void)data;
 	req_refuse(core, req, 504, MAG_UNKNOWN, req_retry_after(core, req),
 		   "deadline passed while reserving");
-	req_drop_chain(core, req);
+	req_release_chain(core, req);
 	req->deadline_us = core->now + REQ_SETTLE_GRACE_US;
-	core_due(core, req->deadline_us);
+	core_schedule_tick(core, req->deadline_us);
 	req_enter(req, REQ_CLOSING);
 }
 
@@ -315,7 +315,7 @@
 		if (!pick_usable(core->pick, req->chain.stages[i].endpoint,
 				 core->now)) {
 			/* It died or started to leave in between. */
-			req_drop_chain(core, req);
+			req_release_chain(core, req);
 			req_enter_ready(core, req);
 			return;
 		}
@@ -329,7 +329,7 @@
 	(void)data;
 	req_refuse(core, req, 503, req_outcome(req), req_retry_after(core, req),
 		   "no endpoint in time");
-	req_leave_record(core, req);
+	req_finish_record(core, req);
 	adm_done(core->adm, req->arrival.req, req->tokens, core->now);
 	core_req_free(core, req);
 }
@@ -344,12 +344,12 @@
 	req->tokens = progress->tokens;
 	req->stalls = 0;
 	req->stall_us = core->now + core->settings.progress_timeout_us;
-	core_due(core, req->stall_us);
+	core_schedule_tick(core, req->stall_us);
 	memcpy(req->hop_us, progress->hop_us, sizeof(req->hop_us));
 	pick_hops(core->pick, &req->chain, progress->hop_us,
 		  progress->hop_count, core->now);
 	if (req->chain.alone &&
-	    req->tokens - req->attempt_from >= REQ_PROOF_TOKENS)
+	    req->tokens - req->tokens_before_attempt >= REQ_PROOF_TOKENS)
 		pick_proved(core->pick, &req->chain);
 	if (!req->idempotent)
 		return;
@@ -367,7 +367,7 @@
  */
 static bool hopeless(const struct core *core, const struct core_req *req)
 {
-	uint32_t made = req->tokens - req->attempt_from;
+	uint32_t made = req->tokens - req->tokens_before_attempt;
 	int64_t took = core->now - req->first_token_us;
 
 	if (made < REQ_PACE_TOKENS)
@@ -424,7 +424,7 @@
 	else
 		req_cancel(core, req, false);
 	req->deadline_us = core->now + REQ_SETTLE_GRACE_US;
-	core_due(core, req->deadline_us);
+	core_schedule_tick(core, req->deadline_us);
 	req_enter(req, REQ_CLOSING);
 }
 
@@ -460,17 +460,17 @@
 	const struct core_progress *progress = data;
 	int64_t patience_us = core->settings.progress_timeout_us;
 
-	if (!progress->alive)
+	if (!progress->stages_alive)
 		return;
 	if (++req->stalls > REQ_STALLS_MAX) {
 		req_cancel(core, req, false);
 		return;
 	}
 	if (!req->first_token_us)
-		patience_us = core->settings.first_timeout_us;
+		patience_us = core->settings.first_token_timeout_us;
 	req_enter(req, REQ_RUNNING);
 	req->stall_us = core->now + patience_us;
-	core_due(core, req->stall_us);
+	core_schedule_tick(core, req->stall_us);
 }
 
 /* The reservation landed after its caller was answered: nothing was sent. */
@@ -515,6 +515,6 @@
 {
 	req_enter(req, REQ_READY);
 	req->give_up_us = core->now + REQ_READY_PATIENCE_US;
-	core_due(core, req->give_up_us);
+	core_schedule_tick(core, req->give_up_us);
 	cds_list_add_tail(&req->ready_node, &core->ready);
 }
--- a/src/req_answer.c
+++ b/src/req_answer.c
@@ -114,7 +114,8 @@
 				  enum core_answer_kind kind,
 				  enum mag_outcome outcome)
 {
-	struct core_answer *made = &core_act(core, CORE_ACT_ANSWER)->answer;
+	struct core_answer *made =
+		&core_add_action(core, CORE_ACT_ANSWER)->answer;
 
 	made->req = req;
 	made->kind = kind;
--- a/src/req_arrive.c
+++ b/src/req_arrive.c
@@ -79,7 +79,7 @@
 
 	verdict = adm_offer(core->adm, &offered, core->now);
 	if (verdict == ADM_QUEUED) {
-		core_due(core, req->deadline_us);
+		core_schedule_tick(core, req->deadline_us);
 		return;
 	}
 	if (verdict == ADM_OVER_LIMIT || verdict == ADM_OVER_SHARE)
@@ -94,7 +94,7 @@
 				const struct core_arrival *arrival, int service)
 {
 	const struct cfg_service *object = &core->set->services[service];
-	uint32_t allowance_ms = arrival->allowance_ms;
+	uint32_t allowance_ms = arrival->timeout_ms;
 
 	if (allowance_ms == 0)
 		allowance_ms = object->default_deadline_ms;
@@ -189,7 +189,7 @@
 		req_refuse(core, req, 503, req_outcome(req),
 			   req_retry_after(core, req),
 			   "too many reservations wait");
-	req_drop_chain(core, req);
+	req_release_chain(core, req);
 	adm_done(core->adm, req->arrival.req, 0, core->now);
 	core_req_free(core, req);
 }
--- a/src/req_end.c
+++ b/src/req_end.c
@@ -21,10 +21,10 @@
 
 	req->tokens = ended->tokens;
 	switch (ended->end) {
-	case CORE_END_WHOLE:
+	case CORE_END_COMPLETE:
 		whole(core, req, ended);
 		break;
-	case CORE_END_UNSENT:
+	case CORE_END_NOT_CONNECTED:
 	case CORE_END_REFUSED:
 		proved_unbegun(core, req, ended);
 		break;
@@ -39,7 +39,7 @@
 	const struct core_ended *ended = data;
 
 	req->tokens = ended->tokens;
-	if (ended->end == CORE_END_WHOLE)
+	if (ended->end == CORE_END_COMPLETE)
 		whole(core, req, ended);
 	else
 		failed(core, req, ended, PICK_ENDED_SLOW);
@@ -54,10 +54,10 @@
 		.answer = ended->answer,
 		.answer_len = ended->answer_len,
 	};
-	bool unbegun =
-		ended->end == CORE_END_UNSENT || ended->end == CORE_END_REFUSED;
+	bool unbegun = ended->end == CORE_END_NOT_CONNECTED ||
+		       ended->end == CORE_END_REFUSED;
 
-	if (req->reserved && ended->end == CORE_END_WHOLE)
+	if (req->reserved && ended->end == CORE_END_COMPLETE)
 		ldg_settle(core->ldg, req->arrival.req, &outcome, core->now);
 	else if (req->reserved && unbegun && !req->taken_over &&
 		 !req->may_have_run)
@@ -105,7 +105,7 @@
 						       : PICK_ENDED_FAILED,
 			0, 0);
 	if (ended->end == CORE_END_REFUSED ||
-	    req_go_elsewhere(core, req, endpoint)) {
+	    req_may_redispatch(core, req, endpoint)) {
 		req_enter_ready(core, req);
 		return;
 	}
@@ -120,22 +120,23 @@
 		   const struct core_ended *ended, enum pick_result_kind kind)
 {
 	int stage = ended->end == CORE_END_STAGE ? ended->stage : 0;
-	bool died = ended->end == CORE_END_CUT || ended->end == CORE_END_STAGE;
+	bool died = ended->end == CORE_END_DISCONNECTED ||
+		    ended->end == CORE_END_STAGE;
 	int endpoint;
 
 	req->may_have_run = true;
 	if (kind == PICK_ENDED_SLOW)
-		stage = stalled_at(core, req, ended->silent);
+		stage = stalled_at(core, req, ended->silent_stages);
 	endpoint = failed_endpoint(req, stage);
 	log_attempt(core, req, ended, endpoint);
-	req_end_attempt(core, req, kind, stage, ended->silent);
+	req_end_attempt(core, req, kind, stage, ended->silent_stages);
 	if (died)
 		quar_lost_endpoint(core->quar, req->arrival.fingerprint,
 				   endpoint, req->chain.alone, core->now);
 	req->alone = quar_check(core->quar, req->arrival.fingerprint,
 				core->now) == QUAR_SUSPECT;
 	if ((req->idempotent || (req->reserved && req->may_resend)) &&
-	    req_try_again(core, req, endpoint)) {
+	    req_may_retry(core, req, endpoint)) {
 		req_enter_ready(core, req);
 		return;
 	}
@@ -206,13 +207,13 @@
 	else
 		req_refuse(core, req, 502, req_outcome(req),
 			   req_retry_after(core, req), "attempt failed");
-	req_leave_record(core, req);
+	req_finish_record(core, req);
 	adm_done(core->adm, req->arrival.req, req->tokens, core->now);
 	core_req_free(core, req);
 }
 
 /* Releases the record if nothing was sent under it, else holds it. */
-void req_leave_record(struct core *core, struct core_req *req)
+void req_finish_record(struct core *core, struct core_req *req)
 {
 	if (!req->reserved)
 		return;
@@ -234,12 +235,12 @@
 			const struct core_ended *ended, int endpoint)
 {
 	static const char *const ends[CORE_END_COUNT] = {
-		[CORE_END_WHOLE] = "whole",
-		[CORE_END_UNSENT] = "not-connected",
+		[CORE_END_COMPLETE] = "whole",
+		[CORE_END_NOT_CONNECTED] = "not-connected",
 		[CORE_END_REFUSED] = "refused",
 		[CORE_END_STAGE] = "stage-failed",
-		[CORE_END_CUT] = "cut",
-		[CORE_END_WRONG] = "wrong-ids",
+		[CORE_END_DISCONNECTED] = "cut",
+		[CORE_END_WRONG_IDS] = "wrong-ids",
 		[CORE_END_CANCELLED] = "stalled",
 		[CORE_END_STATUS] = "error-status",
 	};
--- a/src/req_run.c
+++ b/src/req_run.c
@@ -61,7 +61,7 @@
 }
 
 /* Gives a chain back that nothing was sent to. */
-void req_drop_chain(struct core *core, struct core_req *req)
+void req_release_chain(struct core *core, struct core_req *req)
 {
 	struct pick_result result = {
 		.kind = PICK_ENDED_OTHER,
@@ -87,14 +87,14 @@
 	req->dispatched_us = core->now;
 	req->first_token_us = 0;
 	memset(req->hop_us, 0, sizeof(req->hop_us));
-	req->attempt_from = req->tokens;
+	req->tokens_before_attempt = req->tokens;
 	req->give_up_us = MAG_NEVER;
-	req->stall_us = core->now + core->settings.first_timeout_us;
-	core_due(core, req->stall_us);
-	core_due(core, req->deadline_us);
+	req->stall_us = core->now + core->settings.first_token_timeout_us;
+	core_schedule_tick(core, req->stall_us);
+	core_schedule_tick(core, req->deadline_us);
 	req->state = REQ_RUNNING;
 	core->running++;
-	dispatch = &core_act(core, CORE_ACT_DISPATCH)->dispatch;
+	dispatch = &core_add_action(core, CORE_ACT_DISPATCH)->dispatch;
 	fill_dispatch(core, req, dispatch);
 	log_event(LOG_REQ_DISPATCHED,
 		  "request=%llu attempt=%u account=%s service=%s stages=%d "
@@ -113,7 +113,7 @@
 		.kind = kind,
 		.at_stage = at_stage,
 		.silent = silent,
-		.tokens = req->tokens - req->attempt_from,
+		.tokens = req->tokens - req->tokens_before_attempt,
 		.took_us = core->now - req->dispatched_us,
 	};
 
@@ -126,7 +126,7 @@
 	shr_ran(core->shr, req->account, req->service, &req->chain,
 		result.tokens, req->hop_us);
 	req->chain_held = false;
-	if (req->tokens > req->attempt_from) {
+	if (req->tokens > req->tokens_before_attempt) {
 		/* Only a chain that made tokens holds caches worth keeping. */
 		req->last_chain = req->chain;
 		req->has_last_chain = true;
@@ -139,7 +139,7 @@
 {
 	struct core_cancel *cancel;
 
-	cancel = &core_act(core, CORE_ACT_CANCEL)->cancel;
+	cancel = &core_add_action(core, CORE_ACT_CANCEL)->cancel;
 	cancel->req = req->arrival.req;
 	cancel->attempt = req->attempt;
 	cancel->probe = probe;
@@ -150,9 +150,9 @@
  * the endpoint that failed it.  Repeats spend a budget, so that an overload
  * is not multiplied by them.
  */
-bool req_try_again(struct core *core, struct core_req *req, int endpoint)
+bool req_may_retry(struct core *core, struct core_req *req, int endpoint)
 {
-	if (!req_go_elsewhere(core, req, endpoint) ||
+	if (!req_may_redispatch(core, req, endpoint) ||
 	    !adm_may_retry(core->adm, req->account, req->service, endpoint,
 			   core->now))
 		return false;
@@ -161,7 +161,7 @@
 }
 
 /* The same for a request that no endpoint has begun: it spends no budget. */
-bool req_go_elsewhere(struct core *core, struct core_req *req, int endpoint)
+bool req_may_redispatch(struct core *core, struct core_req *req, int endpoint)
 {
 	req_avoid(req, endpoint);
 	if (req->attempt >= CORE_ATTEMPTS_MAX)
@@ -191,7 +191,7 @@
 	dispatch->kind = service->kind;
 	dispatch->layers = service->layers;
 	dispatch->deadline_us = req->deadline_us;
-	dispatch->once = !req->idempotent || service->kind == CFG_MODEL;
+	dispatch->at_most_once = !req->idempotent || service->kind == CFG_MODEL;
 	memcpy(dispatch->not_begun_status, service->not_begun_status,
 	       sizeof(dispatch->not_begun_status));
 	if (req->reserved)
