--- a/src/adm.c
+++ b/src/adm.c
@@ -52,7 +52,7 @@
 		return;
 	for (i = 0; i < ADM_BUCKETS; i++) {
 		cds_list_for_each_entry_safe (request, next, &adm->by_id[i],
-					      by_id)
+					      id_node)
 			free(request);
 	}
 	adm_free_tables(adm);
@@ -91,7 +91,7 @@
 	if (!adm_known(adm, offer->account, offer->service))
 		return ADM_OVER_LIMIT;
 	queue = adm_queue_at(adm, offer->service, offer->account);
-	adm_limits_demand(adm, offer, now);
+	adm_limits_count_demand(adm, offer, now);
 	verdict = adm_judge(adm, offer, queue, now);
 	if (verdict == ADM_QUEUED && adm_admit(adm, offer, now) < 0)
 		verdict = ADM_QUEUE_FULL;
@@ -119,11 +119,11 @@
 	queue = adm_queue_at(adm, request->service, request->account);
 	adm_dequeue(adm, request);
 	request->started_us = now ? now : 1;
-	queue->deficit -= request->cost;
-	adm_spend(queue, request->run, now);
+	queue->deficit -= request->cost_tokens;
+	adm_count_started_tokens(queue, request->run_tokens, now);
 	if (queue->count == 0)
 		queue->deficit = 0;
-	adm_first_attempt(adm, queue, now);
+	adm_earn_retry(adm, queue, now);
 }
 
 /* Takes out a request that never started, as its caller is gone. */
@@ -142,7 +142,7 @@
 	struct adm_request *request = adm_find(adm, req);
 
 	if (request && request->started_us && request->service >= 0)
-		adm_learn(adm, request, tokens, now);
+		adm_update_estimates(adm, request, tokens, now);
 	adm_done(adm, req, tokens, now);
 }
 
@@ -159,9 +159,9 @@
 		return;
 	if (request->started_us && request->service >= 0) {
 		queue = adm_queue_at(adm, request->service, request->account);
-		adm_work_done(adm, request, tokens, now);
-		if (queue->count > 0 && tokens < request->cost)
-			queue->deficit += request->cost - tokens;
+		adm_count_work(adm, request, tokens, now);
+		if (queue->count > 0 && tokens < request->cost_tokens)
+			queue->deficit += request->cost_tokens - tokens;
 	}
 	adm_forget(adm, request);
 }
@@ -179,7 +179,8 @@
  * but for a few; 0 while too few answers are known.  Callers often allow far
  * more tokens than they get.
  */
-double adm_expected(const struct adm *adm, int service, uint32_t max_tokens)
+double adm_expected_tokens(const struct adm *adm, int service,
+			   uint32_t max_tokens)
 {
 	const struct adm_service *s;
 	double part;
@@ -187,7 +188,7 @@
 	if (service < 0 || service >= adm->service_count)
 		return 0;
 	s = &adm->services[service];
-	part = s->used_part - ADM_USED_DEVIATIONS * s->used_deviation;
+	part = s->answer_ratio - ADM_USED_DEVIATIONS * s->ratio_deviation;
 	if (s->answers < ADM_ANSWERS_LEAST || part < 0)
 		return 0;
 	return part * max_tokens;
@@ -219,7 +220,7 @@
 	struct cds_list_head *bucket = &adm->by_id[id & (ADM_BUCKETS - 1)];
 	struct adm_request *request;
 
-	cds_list_for_each_entry (request, bucket, by_id) {
+	cds_list_for_each_entry (request, bucket, id_node) {
 		if (request->id == id)
 			return request;
 	}
@@ -247,7 +248,7 @@
 	double share = adm_share(adm, queue);
 	double fair = service->queue_max * share;
 	int64_t run = adm_run_us(service, adm_run_tokens(offer),
-				 adm_is_modest(adm, queue, now));
+				 adm_is_below_share(adm, queue, now));
 
 	if (now + adm_wait_us(adm, queue) + run > offer->deadline_us)
 		return ADM_TOO_LATE;
@@ -258,7 +259,7 @@
 	if (service->waiting >= service->queue_max / 2 &&
 	    queue->count > (uint32_t)fair + 1)
 		return ADM_OVER_SHARE;
-	if (!adm_limits_allow(adm, offer, now))
+	if (!adm_limits_take(adm, offer, now))
 		return ADM_OVER_LIMIT;
 	return ADM_QUEUED;
 }
@@ -287,21 +288,21 @@
 	request->id = offer->req;
 	request->account = offer->account;
 	request->service = offer->service;
-	request->cost = offer->cost_tokens ? offer->cost_tokens : 1;
-	request->run = adm_run_tokens(offer);
+	request->cost_tokens = offer->cost_tokens ? offer->cost_tokens : 1;
+	request->run_tokens = adm_run_tokens(offer);
 	request->priority = offer->priority;
 	request->offered_us = now;
-	request->give_up_us =
+	request->latest_start_us =
 		offer->deadline_us -
-		adm_run_us(service, request->run,
-			   adm_is_modest(adm,
-					 adm_queue_at(adm, offer->service,
-						      offer->account),
-					 now));
+		adm_run_us(service, request->run_tokens,
+			   adm_is_below_share(adm,
+					      adm_queue_at(adm, offer->service,
+							   offer->account),
+					      now));
 	request->seq = adm->seq++;
-	cds_list_add_tail(&request->by_id,
+	cds_list_add_tail(&request->id_node,
 			  &adm->by_id[offer->req & (ADM_BUCKETS - 1)]);
-	adm_queue_at(adm, offer->service, offer->account)->inside++;
+	adm_queue_at(adm, offer->service, offer->account)->in_progress++;
 	adm_limits_enter(adm, offer);
 	adm_enqueue(adm, request);
 	return 0;
@@ -313,9 +314,10 @@
 	if (!request->started_us)
 		adm_dequeue(adm, request);
 	if (request->service >= 0) {
-		adm_queue_at(adm, request->service, request->account)->inside--;
+		adm_queue_at(adm, request->service, request->account)
+			->in_progress--;
 		adm_limits_leave(adm, request);
 	}
-	cds_list_del(&request->by_id);
+	cds_list_del(&request->id_node);
 	free(request);
 }
--- a/src/adm.h
+++ b/src/adm.h
@@ -61,7 +61,8 @@
 			   int64_t now);
 double adm_demand(const struct adm *adm, int limit, int64_t now);
 int64_t adm_next_deadline(const struct adm *adm);
-double adm_expected(const struct adm *adm, int service, uint32_t max_tokens);
+double adm_expected_tokens(const struct adm *adm, int service,
+			   uint32_t max_tokens);
 uint32_t adm_waiting(const struct adm *adm, int service);
 
 #endif /* ADM_H */
--- a/src/adm_config.c
+++ b/src/adm_config.c
@@ -79,7 +79,7 @@
 			CDS_INIT_LIST_HEAD(&queue->waiting);
 			queue->service = (int)i;
 			queue->account = (int)j;
-			queue->retries = ADM_RETRY_BURST;
+			queue->retry_balance = ADM_RETRY_BURST;
 		}
 	}
 	return 0;
@@ -94,12 +94,12 @@
 	int at = -1;
 
 	mag_copy_name(service->name, sizeof(service->name), cfg->name);
-	service->plain = cfg->kind == CFG_PLAIN;
+	service->counts_requests = cfg->kind == CFG_PLAIN;
 	service->queue_max = cfg->queue_max;
 	service->retry_percent = cfg->retry_percent;
 	service->us_per_token = ADM_START_US_PER_TOKEN;
 	service->mean_cost = ADM_START_COST;
-	service->used_part = 1;
+	service->answer_ratio = 1;
 	if (old)
 		at = mag_name_near(old->name, sizeof(*old), (size_t)old_count,
 				   cfg->name, hint);
@@ -110,8 +110,8 @@
 	service->us_per_token = old[at].us_per_token;
 	service->mean_cost = old[at].mean_cost;
 	service->us_deviation = old[at].us_deviation;
-	service->used_part = old[at].used_part;
-	service->used_deviation = old[at].used_deviation;
+	service->answer_ratio = old[at].answer_ratio;
+	service->ratio_deviation = old[at].ratio_deviation;
 	service->answers = old[at].answers;
 }
 
@@ -158,16 +158,16 @@
 	limit->account = cfg->account;
 	limit->service = cfg->service;
 	limit->concurrent = cfg->concurrent;
-	limit->whole_requests = cfg->requests_per_s;
-	limit->whole_tokens = cfg->tokens_per_s;
-	limit->whole_concurrent = cfg->concurrent;
+	limit->fleet_requests = cfg->requests_per_s;
+	limit->fleet_tokens = cfg->tokens_per_s;
+	limit->fleet_concurrent = cfg->concurrent;
 	limit->demand_us = now;
 	adm_bucket_set(&limit->requests, cfg->requests_per_s,
 		       cfg->requests_per_s, now);
 	adm_bucket_set(&limit->tokens, cfg->tokens_per_s, cfg->tokens_per_s,
 		       now);
-	limit->requests.level = limit->requests.most;
-	limit->tokens.level = limit->tokens.most;
+	limit->requests.level = limit->requests.burst;
+	limit->tokens.level = limit->tokens.burst;
 }
 
 /* Makes the retry budgets of the endpoints. */
@@ -189,8 +189,8 @@
 			      set->endpoints[i].name);
 		if (most < ADM_RETRY_BURST)
 			most = ADM_RETRY_BURST;
-		adm_bucket_set(&endpoint->retries, most * ADM_RETRY_REFILL,
-			       most, now);
+		adm_bucket_set(&endpoint->retries,
+			       most * ADM_RETRY_REFILL_PER_S, most, now);
 		endpoint->retries.level = most;
 	}
 	return 0;
@@ -205,7 +205,7 @@
 
 	adm->heap_count = 0;
 	for (b = 0; b < ADM_BUCKETS; b++) {
-		cds_list_for_each_entry (request, &adm->by_id[b], by_id)
+		cds_list_for_each_entry (request, &adm->by_id[b], id_node)
 			adm_move_request(adm, old, request);
 	}
 	for (i = 0; i < old->service_count * old->account_count; i++) {
@@ -221,9 +221,10 @@
 
 		if (s < 0 || a < 0)
 			continue;
-		adm_queue_at(adm, s, a)->retries = from->retries;
-		adm_queue_at(adm, s, a)->firsts = from->firsts;
-		adm_queue_at(adm, s, a)->firsts_us = from->firsts_us;
+		adm_queue_at(adm, s, a)->retry_balance = from->retry_balance;
+		adm_queue_at(adm, s, a)->first_attempts = from->first_attempts;
+		adm_queue_at(adm, s, a)->first_attempts_us =
+			from->first_attempts_us;
 		adm_queue_at(adm, s, a)->return_us = from->return_us;
 	}
 	return 0;
@@ -250,7 +251,7 @@
 		if (at < 0)
 			continue;
 		next = at + 1;
-		adm_keep_limit(to, &old->limits[at], now);
+		adm_limit_carry_over(to, &old->limits[at], now);
 	}
 }
 
@@ -272,7 +273,8 @@
 		if (at < 0)
 			continue;
 		next = at + 1;
-		adm_bucket_keep(&to->retries, &old->endpoints[at].retries, now);
+		adm_bucket_carry_over(&to->retries, &old->endpoints[at].retries,
+				      now);
 	}
 }
 
@@ -296,7 +298,7 @@
 	if (service < 0 || account < 0) {
 		service = -1;
 		account = -1;
-		request->give_up_us = 0;
+		request->latest_start_us = 0;
 	}
 	request->service = service;
 	request->account = account;
@@ -306,7 +308,7 @@
 		struct adm_offer offer = { .account = account,
 					   .service = service };
 
-		adm_queue_at(adm, service, account)->inside++;
+		adm_queue_at(adm, service, account)->in_progress++;
 		adm_limits_enter(adm, &offer);
 	}
 }
--- a/src/adm_int.h
+++ b/src/adm_int.h
@@ -12,31 +12,31 @@
 /* Retries that an account or an endpoint may always have saved up. */
 #define ADM_RETRY_BURST 10
 /* Part of an endpoint's retry budget that comes back in a second. */
-#define ADM_RETRY_REFILL 0.1
+#define ADM_RETRY_REFILL_PER_S 0.1
 
 /* A store of units that fills at a rate up to a most. */
 struct adm_bucket {
 	double level;
 	double rate; /* units a second; 0: the bucket is not in use */
-	double most;
-	int64_t at_us; /* when level was right */
+	double burst;
+	int64_t updated_us; /* when level was right */
 };
 
 /* A request that waits or runs. */
 struct adm_request {
-	struct cds_list_head by_id;
-	struct cds_list_head in_queue; /* while it waits */
+	struct cds_list_head id_node;
+	struct cds_list_head queue_node; /* while it waits */
 	uint64_t id;
 	int account;
 	int service;
-	uint32_t cost;
-	uint32_t run;
+	uint32_t cost_tokens;
+	uint32_t run_tokens;
 	uint32_t priority;
 	int64_t offered_us;
-	int64_t give_up_us; /* later starts would miss the deadline */
-	int64_t started_us; /* 0 while it waits */
-	int heap_at;	    /* place in the heap of those that wait */
-	uint32_t seq;	    /* of arrival, to break ties */
+	int64_t latest_start_us; /* later starts would miss the deadline */
+	int64_t started_us;	 /* 0 while it waits */
+	int heap_index;		 /* place in the heap of those that wait */
+	uint32_t seq;		 /* of arrival, to break ties */
 };
 
 /* One account at one service. */
@@ -45,16 +45,16 @@
 	struct cds_list_head waiting;
 	int account;
 	int service;
-	double deficit; /* tokens that it may start now */
-	double tokens;	/* to run, of what waits */
+	double deficit;	       /* tokens that it may start now */
+	double waiting_tokens; /* to run, of what waits */
 	uint32_t count;
-	uint32_t inside; /* waiting or running */
-	uint32_t passed; /* requests passed over in this round */
-	double spent;	 /* tokens started lately, decayed */
-	int64_t spent_us;
-	double retries; /* balance of the retry budget */
-	double firsts;	/* recent first attempts, decayed */
-	int64_t firsts_us;
+	uint32_t in_progress; /* waiting or running */
+	uint32_t skipped;     /* requests passed over in this round */
+	double recent_tokens; /* tokens started lately, decayed */
+	int64_t recent_us;
+	double retry_balance;  /* balance of the retry budget */
+	double first_attempts; /* recent first attempts, decayed */
+	int64_t first_attempts_us;
 	int64_t return_us; /* when the next refused caller may come back */
 };
 
@@ -63,20 +63,21 @@
 	struct cds_list_head active; /* queues with something waiting */
 	struct adm_request *peeked;
 	uint32_t waiting;
-	double tokens; /* to run, of what waits */
-	bool plain;    /* requests are counted, not tokens */
+	double waiting_tokens; /* to run, of what waits */
+	bool counts_requests;  /* requests are counted, not tokens */
 	uint32_t queue_max;
 	uint32_t retry_percent;
-	double capacity; /* tokens a second, as told */
-	double measured; /* the same, as seen while callers waited */
-	double done;	 /* tokens since the measurement began */
-	int64_t since_us;
+	double capacity;	/* tokens a second, as told */
+	double measured;	/* the same, as seen while callers waited */
+	double measured_tokens; /* tokens since the measurement began */
+	int64_t measure_from_us;
 	double us_per_token;
 	double us_deviation; /* mean of how far runs are from it */
 	double mean_cost;
-	double used_part; /* tokens delivered, as a part of those asked for */
-	double used_deviation; /* mean of how far answers are from it */
-	uint32_t answers;      /* learnt from */
+	double answer_ratio; /* tokens delivered, as a part of those asked for
+			      */
+	double ratio_deviation; /* mean of how far answers are from it */
+	uint32_t answers;	/* learnt from */
 };
 
 struct adm_account {
@@ -92,12 +93,12 @@
 	struct adm_bucket requests;
 	struct adm_bucket tokens;
 	double concurrent; /* 0: no such limit */
-	uint32_t inside;
+	uint32_t in_progress;
 	double demand; /* offered a second, decayed */
 	int64_t demand_us;
-	double whole_requests; /* what the object says, for the fleet */
-	double whole_tokens;
-	double whole_concurrent;
+	double fleet_requests; /* what the object says, for the fleet */
+	double fleet_tokens;
+	double fleet_concurrent;
 };
 
 struct adm_endpoint {
@@ -120,7 +121,7 @@
 	int endpoint_count;
 	struct adm_request **heap; /* those that wait, by give_up_us */
 	int heap_count;
-	int heap_room;
+	int heap_capacity;
 	uint32_t seq;
 };
 
@@ -142,33 +143,34 @@
 int64_t adm_wait_us(const struct adm *adm, const struct adm_queue *queue);
 int64_t adm_run_us(const struct adm_service *service, double tokens,
 		   bool modest);
-bool adm_is_modest(const struct adm *adm, const struct adm_queue *queue,
-		   int64_t now);
-void adm_spend(struct adm_queue *queue, double tokens, int64_t now);
+bool adm_is_below_share(const struct adm *adm, const struct adm_queue *queue,
+			int64_t now);
+void adm_count_started_tokens(struct adm_queue *queue, double tokens,
+			      int64_t now);
 double adm_decay(double value, int64_t since_us, int64_t now, double span_s);
-void adm_measure(struct adm_service *service, double tokens, int64_t now);
-void adm_work_done(struct adm *adm, const struct adm_request *request,
-		   uint32_t tokens, int64_t now);
-void adm_learn(struct adm *adm, const struct adm_request *request,
-	       uint32_t tokens, int64_t now);
+void adm_measure_rate(struct adm_service *service, double tokens, int64_t now);
+void adm_count_work(struct adm *adm, const struct adm_request *request,
+		    uint32_t tokens, int64_t now);
+void adm_update_estimates(struct adm *adm, const struct adm_request *request,
+			  uint32_t tokens, int64_t now);
 
 /* adm_limit.c */
-void adm_bucket_keep(struct adm_bucket *bucket, struct adm_bucket *old,
-		     int64_t now);
-void adm_keep_limit(struct adm_limit *limit, struct adm_limit *old,
-		    int64_t now);
+void adm_bucket_carry_over(struct adm_bucket *bucket, struct adm_bucket *old,
+			   int64_t now);
+void adm_limit_carry_over(struct adm_limit *limit, struct adm_limit *old,
+			  int64_t now);
 void adm_bucket_set(struct adm_bucket *bucket, double rate, double most,
 		    int64_t now);
 bool adm_bucket_has(struct adm_bucket *bucket, double units, int64_t now);
 void adm_bucket_take(struct adm_bucket *bucket, double units);
-void adm_limits_demand(struct adm *adm, const struct adm_offer *offer,
-		       int64_t now);
-bool adm_limits_allow(struct adm *adm, const struct adm_offer *offer,
-		      int64_t now);
+void adm_limits_count_demand(struct adm *adm, const struct adm_offer *offer,
+			     int64_t now);
+bool adm_limits_take(struct adm *adm, const struct adm_offer *offer,
+		     int64_t now);
 void adm_limits_enter(struct adm *adm, const struct adm_offer *offer);
 void adm_limits_leave(struct adm *adm, const struct adm_request *request);
 int64_t adm_limits_wait_us(struct adm *adm, int account, int service,
 			   int64_t now);
-void adm_first_attempt(struct adm *adm, struct adm_queue *queue, int64_t now);
+void adm_earn_retry(struct adm *adm, struct adm_queue *queue, int64_t now);
 
 #endif /* ADM_INT_H */
--- a/src/adm_limit.c
+++ b/src/adm_limit.c
@@ -24,55 +24,56 @@
 {
 	adm_bucket_fill(bucket, now);
 	bucket->rate = rate;
-	bucket->most = most < 1 ? 1 : most;
-	bucket->at_us = now;
-	if (bucket->level > bucket->most)
-		bucket->level = bucket->most;
+	bucket->burst = most < 1 ? 1 : most;
+	bucket->updated_us = now;
+	if (bucket->level > bucket->burst)
+		bucket->level = bucket->burst;
 }
 
 /*
  * Takes over from the bucket of the former set what is left in it and, if this
  * one may hold as much as that one, the part that it had of it.
  */
-void adm_bucket_keep(struct adm_bucket *bucket, struct adm_bucket *old,
-		     int64_t now)
+void adm_bucket_carry_over(struct adm_bucket *bucket, struct adm_bucket *old,
+			   int64_t now)
 {
 	if (bucket->rate <= 0 || old->rate <= 0)
 		return;
 	adm_bucket_fill(old, now);
-	bucket->level = old->level < bucket->most ? old->level : bucket->most;
+	bucket->level = old->level < bucket->burst ? old->level : bucket->burst;
 }
 
 /*
  * Keeps what is left of a limit, its demand, and this instance's part of it:
  * until the next part is told, the same fraction of what the limit is now.
  */
-void adm_keep_limit(struct adm_limit *limit, struct adm_limit *old, int64_t now)
+void adm_limit_carry_over(struct adm_limit *limit, struct adm_limit *old,
+			  int64_t now)
 {
 	double part = adm_part(old);
 
 	limit->demand = old->demand;
 	limit->demand_us = old->demand_us;
 	if (limit->requests.rate > 0)
-		adm_bucket_set(&limit->requests, part * limit->whole_requests,
-			       part * limit->whole_requests, now);
+		adm_bucket_set(&limit->requests, part * limit->fleet_requests,
+			       part * limit->fleet_requests, now);
 	if (limit->tokens.rate > 0)
-		adm_bucket_set(&limit->tokens, part * limit->whole_tokens,
-			       part * limit->whole_tokens, now);
-	limit->concurrent = part * limit->whole_concurrent;
-	adm_bucket_keep(&limit->requests, &old->requests, now);
-	adm_bucket_keep(&limit->tokens, &old->tokens, now);
+		adm_bucket_set(&limit->tokens, part * limit->fleet_tokens,
+			       part * limit->fleet_tokens, now);
+	limit->concurrent = part * limit->fleet_concurrent;
+	adm_bucket_carry_over(&limit->requests, &old->requests, now);
+	adm_bucket_carry_over(&limit->tokens, &old->tokens, now);
 }
 
 /* The fraction of a limit that this instance was given last. */
 static double adm_part(const struct adm_limit *limit)
 {
-	if (limit->whole_requests > 0)
-		return limit->requests.rate / limit->whole_requests;
-	if (limit->whole_tokens > 0)
-		return limit->tokens.rate / limit->whole_tokens;
-	if (limit->whole_concurrent > 0)
-		return limit->concurrent / limit->whole_concurrent;
+	if (limit->fleet_requests > 0)
+		return limit->requests.rate / limit->fleet_requests;
+	if (limit->fleet_tokens > 0)
+		return limit->tokens.rate / limit->fleet_tokens;
+	if (limit->fleet_concurrent > 0)
+		return limit->concurrent / limit->fleet_concurrent;
 	return 1;
 }
 
@@ -85,7 +86,7 @@
 	if (bucket->rate <= 0)
 		return true;
 	adm_bucket_fill(bucket, now);
-	return bucket->level >= units || bucket->level >= bucket->most;
+	return bucket->level >= units || bucket->level >= bucket->burst;
 }
 
 /* Takes units out of a bucket. */
@@ -109,10 +110,10 @@
 	l = &adm->limits[limit];
 	if (l->requests.rate > 0)
 		adm_bucket_set(&l->requests, adm_some(requests_per_s),
-			       requests_per_s, l->requests.at_us);
+			       requests_per_s, l->requests.updated_us);
 	if (l->tokens.rate > 0)
 		adm_bucket_set(&l->tokens, adm_some(tokens_per_s), tokens_per_s,
-			       l->tokens.at_us);
+			       l->tokens.updated_us);
 	if (l->concurrent > 0)
 		l->concurrent = adm_some(concurrent);
 }
@@ -129,14 +130,14 @@
 		return 0;
 	l = &adm->limits[limit];
 	if (l->requests.rate <= 0 && l->tokens.rate <= 0)
-		return l->inside;
+		return l->in_progress;
 	return adm_decay(l->demand, l->demand_us, now, ADM_DEMAND_SPAN_S) /
 	       ADM_DEMAND_SPAN_S;
 }
 
 /* Counts an offer in the demand of each limit that covers it. */
-void adm_limits_demand(struct adm *adm, const struct adm_offer *offer,
-		       int64_t now)
+void adm_limits_count_demand(struct adm *adm, const struct adm_offer *offer,
+			     int64_t now)
 {
 	int i;
 
@@ -153,8 +154,8 @@
 }
 
 /* Tells whether every limit lets a request in, and takes what it costs. */
-bool adm_limits_allow(struct adm *adm, const struct adm_offer *offer,
-		      int64_t now)
+bool adm_limits_take(struct adm *adm, const struct adm_offer *offer,
+		     int64_t now)
 {
 	int i;
 
@@ -182,7 +183,7 @@
 
 		if (!adm_limit_covers(l, offer->account, offer->service))
 			continue;
-		if (l->concurrent > 0 && l->inside + 1 > l->concurrent)
+		if (l->concurrent > 0 && l->in_progress + 1 > l->concurrent)
 			return false;
 		if (!adm_bucket_has(&l->requests, 1, now) ||
 		    !adm_bucket_has(&l->tokens, offer->cost_tokens, now))
@@ -199,7 +200,7 @@
 	for (i = 0; i < adm->limit_count; i++) {
 		if (adm_limit_covers(&adm->limits[i], offer->account,
 				     offer->service))
-			adm->limits[i].inside++;
+			adm->limits[i].in_progress++;
 	}
 }
 
@@ -211,7 +212,7 @@
 	for (i = 0; i < adm->limit_count; i++) {
 		if (adm_limit_covers(&adm->limits[i], request->account,
 				     request->service))
-			adm->limits[i].inside--;
+			adm->limits[i].in_progress--;
 	}
 }
 
@@ -239,21 +240,22 @@
 }
 
 /* Earns the part of a retry that a first attempt is worth. */
-void adm_first_attempt(struct adm *adm, struct adm_queue *queue, int64_t now)
+void adm_earn_retry(struct adm *adm, struct adm_queue *queue, int64_t now)
 {
 	double part = adm->services[queue->service].retry_percent / 100.0;
 	double most;
 
-	queue->firsts = adm_decay(queue->firsts, queue->firsts_us, now,
-				  ADM_FIRSTS_SPAN_S);
-	queue->firsts += 1;
-	queue->firsts_us = now;
-	most = part * queue->firsts;
+	queue->first_attempts =
+		adm_decay(queue->first_attempts, queue->first_attempts_us, now,
+			  ADM_FIRSTS_SPAN_S);
+	queue->first_attempts += 1;
+	queue->first_attempts_us = now;
+	most = part * queue->first_attempts;
 	if (most < ADM_RETRY_BURST)
 		most = ADM_RETRY_BURST;
-	queue->retries += part;
-	if (queue->retries > most)
-		queue->retries = most;
+	queue->retry_balance += part;
+	if (queue->retry_balance > most)
+		queue->retry_balance = most;
 }
 
 /*
@@ -274,14 +276,14 @@
 	    service >= adm->service_count)
 		return false;
 	queue = adm_queue_at(adm, service, account);
-	if (queue->retries < 1)
+	if (queue->retry_balance < 1)
 		return false;
 	if (endpoint >= 0 && endpoint < adm->endpoint_count &&
 	    !adm_bucket_has(&adm->endpoints[endpoint].retries, 1, now))
 		return false;
 	if (endpoint >= 0 && endpoint < adm->endpoint_count)
 		adm_bucket_take(&adm->endpoints[endpoint].retries, 1);
-	queue->retries -= 1;
+	queue->retry_balance -= 1;
 	return true;
 }
 
@@ -333,13 +335,13 @@
 /* Adds what came since the level was last right. */
 static void adm_bucket_fill(struct adm_bucket *bucket, int64_t now)
 {
-	if (now <= bucket->at_us)
+	if (now <= bucket->updated_us)
 		return;
-	bucket->level += bucket->rate * (double)(now - bucket->at_us) /
+	bucket->level += bucket->rate * (double)(now - bucket->updated_us) /
 			 (double)MAG_US_PER_S;
-	if (bucket->level > bucket->most)
-		bucket->level = bucket->most;
-	bucket->at_us = now;
+	if (bucket->level > bucket->burst)
+		bucket->level = bucket->burst;
+	bucket->updated_us = now;
 }
 
 /* Returns how long until a bucket has one unit. */
--- a/src/adm_queue.c
+++ b/src/adm_queue.c
@@ -53,7 +53,7 @@
 
 	if (!s->peeked)
 		return;
-	adm_queue_at(adm, service, s->peeked->account)->passed++;
+	adm_queue_at(adm, service, s->peeked->account)->skipped++;
 	s->peeked = NULL;
 }
 
@@ -63,7 +63,7 @@
  */
 bool adm_next_expired(struct adm *adm, int64_t now, uint64_t *req)
 {
-	if (adm->heap_count == 0 || adm->heap[0]->give_up_us > now)
+	if (adm->heap_count == 0 || adm->heap[0]->latest_start_us > now)
 		return false;
 	*req = adm->heap[0]->id;
 	return true;
@@ -72,7 +72,7 @@
 /* Returns when the next waiting request expires, MAG_NEVER if none waits. */
 int64_t adm_next_deadline(const struct adm *adm)
 {
-	return adm->heap_count ? adm->heap[0]->give_up_us : MAG_NEVER;
+	return adm->heap_count ? adm->heap[0]->latest_start_us : MAG_NEVER;
 }
 
 /* Puts a request into its account's queue; the heap has room for it. */
@@ -82,7 +82,7 @@
 	struct adm_queue *queue;
 
 	adm_heap_put(adm, request, adm->heap_count++);
-	adm_heap_up(adm, request->heap_at);
+	adm_heap_up(adm, request->heap_index);
 	if (request->service < 0)
 		return;
 	service = &adm->services[request->service];
@@ -91,9 +91,9 @@
 		cds_list_add_tail(&queue->active, &service->active);
 	adm_insert(queue, request);
 	queue->count++;
-	queue->tokens += request->run;
+	queue->waiting_tokens += request->run_tokens;
 	service->waiting++;
-	service->tokens += request->run;
+	service->waiting_tokens += request->run_tokens;
 }
 
 /* Takes a request out of its queue. */
@@ -109,30 +109,30 @@
 	queue = adm_queue_at(adm, request->service, request->account);
 	if (service->peeked == request)
 		service->peeked = NULL;
-	cds_list_del(&request->in_queue);
+	cds_list_del(&request->queue_node);
 	queue->count--;
-	queue->tokens -= request->run;
+	queue->waiting_tokens -= request->run_tokens;
 	service->waiting--;
-	service->tokens -= request->run;
+	service->waiting_tokens -= request->run_tokens;
 	if (queue->count > 0)
 		return;
-	queue->passed = 0;
+	queue->skipped = 0;
 	cds_list_del(&queue->active);
 }
 
 /* Makes room in the heap for one request more. */
 int adm_heap_reserve(struct adm *adm)
 {
-	int room = adm->heap_room ? 2 * adm->heap_room : ADM_HEAP_ROOM;
+	int room = adm->heap_capacity ? 2 * adm->heap_capacity : ADM_HEAP_ROOM;
 	struct adm_request **heap;
 
-	if (adm->heap_count < adm->heap_room)
+	if (adm->heap_count < adm->heap_capacity)
 		return 0;
 	heap = realloc(adm->heap, (size_t)room * sizeof(struct adm_request *));
 	if (!heap)
 		return -1;
 	adm->heap = heap;
-	adm->heap_room = room;
+	adm->heap_capacity = room;
 	return 0;
 }
 
@@ -142,10 +142,10 @@
 	struct adm_request *request;
 	uint32_t at = 0;
 
-	if (queue->passed >= ADM_PASS_MAX)
+	if (queue->skipped >= ADM_PASS_MAX)
 		return NULL;
-	cds_list_for_each_entry (request, &queue->waiting, in_queue) {
-		if (at++ == queue->passed)
+	cds_list_for_each_entry (request, &queue->waiting, queue_node) {
+		if (at++ == queue->skipped)
 			return request;
 	}
 	return NULL;
@@ -166,7 +166,7 @@
 			&service->active, struct adm_queue, active);
 		struct adm_request *request = adm_candidate(queue);
 
-		if (request && queue->deficit >= request->cost)
+		if (request && queue->deficit >= request->cost_tokens)
 			return request;
 		if (!request && queue == first_passed)
 			return NULL;
@@ -189,7 +189,7 @@
 	struct adm_queue *queue;
 
 	cds_list_for_each_entry (queue, &service->active, active)
-		queue->passed = 0;
+		queue->skipped = 0;
 }
 
 /* Inserts by priority, those of one priority in the order of arrival. */
@@ -199,9 +199,9 @@
 
 	while (at != &queue->waiting &&
 	       adm_before(request,
-			  cds_list_entry(at, struct adm_request, in_queue)))
+			  cds_list_entry(at, struct adm_request, queue_node)))
 		at = at->prev;
-	cds_list_add(&request->in_queue, at);
+	cds_list_add(&request->queue_node, at);
 }
 
 /* Tells whether a request starts before another one of its account. */
@@ -216,7 +216,7 @@
 static void adm_heap_put(struct adm *adm, struct adm_request *request, int at)
 {
 	adm->heap[at] = request;
-	request->heap_at = at;
+	request->heap_index = at;
 }
 
 /* Moves a request towards the root while it expires before its parent. */
@@ -227,7 +227,8 @@
 	while (at > 0) {
 		int parent = (at - 1) / 2;
 
-		if (adm->heap[parent]->give_up_us <= request->give_up_us)
+		if (adm->heap[parent]->latest_start_us <=
+		    request->latest_start_us)
 			break;
 		adm_heap_put(adm, adm->heap[parent], at);
 		at = parent;
@@ -246,10 +247,11 @@
 		if (child >= adm->heap_count)
 			break;
 		if (child + 1 < adm->heap_count &&
-		    adm->heap[child + 1]->give_up_us <
-			    adm->heap[child]->give_up_us)
+		    adm->heap[child + 1]->latest_start_us <
+			    adm->heap[child]->latest_start_us)
 			child++;
-		if (request->give_up_us <= adm->heap[child]->give_up_us)
+		if (request->latest_start_us <=
+		    adm->heap[child]->latest_start_us)
 			break;
 		adm_heap_put(adm, adm->heap[child], at);
 		at = child;
@@ -261,11 +263,11 @@
 static void adm_heap_remove(struct adm *adm, struct adm_request *request)
 {
 	struct adm_request *last = adm->heap[--adm->heap_count];
-	int at = request->heap_at;
+	int at = request->heap_index;
 
 	if (last == request)
 		return;
 	adm_heap_put(adm, last, at);
 	adm_heap_down(adm, at);
-	adm_heap_up(adm, last->heap_at);
+	adm_heap_up(adm, last->heap_index);
 }
--- a/src/adm_rate.c
+++ b/src/adm_rate.c
@@ -47,17 +47,19 @@
 {
 	const struct adm_service *service = &adm->services[queue->service];
 	double weight = adm->accounts[queue->account].weight;
-	double tokens = queue->tokens;
+	double tokens = queue->waiting_tokens;
 	struct adm_queue *other;
 
 	cds_list_for_each_entry (other, &service->active, active) {
-		double most = queue->tokens *
+		double most = queue->waiting_tokens *
 			      adm->accounts[other->account].weight / weight;
 
 		if (other != queue)
-			tokens += other->tokens < most ? other->tokens : most;
+			tokens += other->waiting_tokens < most
+					  ? other->waiting_tokens
+					  : most;
 	}
-	tokens *= service->used_part;
+	tokens *= service->answer_ratio;
 	return (int64_t)(tokens / adm_service_rate(service) *
 			 (double)MAG_US_PER_S);
 }
@@ -74,21 +76,22 @@
 	double part = modest ? ADM_DEVIATIONS_MODEST : ADM_DEVIATIONS;
 	double us = service->us_per_token + part * service->us_deviation;
 
-	return (int64_t)(tokens * service->used_part * us);
+	return (int64_t)(tokens * service->answer_ratio * us);
 }
 
 /* Counts what an account starts. */
-void adm_spend(struct adm_queue *queue, double tokens, int64_t now)
+void adm_count_started_tokens(struct adm_queue *queue, double tokens,
+			      int64_t now)
 {
-	queue->spent = adm_decay(queue->spent, queue->spent_us, now,
-				 ADM_SPENT_SPAN_S) +
-		       tokens;
-	queue->spent_us = now;
+	queue->recent_tokens = adm_decay(queue->recent_tokens, queue->recent_us,
+					 now, ADM_SPENT_SPAN_S) +
+			       tokens;
+	queue->recent_us = now;
 }
 
 /* Tells whether an account got clearly less than its share lately. */
-bool adm_is_modest(const struct adm *adm, const struct adm_queue *queue,
-		   int64_t now)
+bool adm_is_below_share(const struct adm *adm, const struct adm_queue *queue,
+			int64_t now)
 {
 	const struct adm_queue *first =
 		&adm->queues[queue->service * adm->account_count];
@@ -98,8 +101,9 @@
 	int i;
 
 	for (i = 0; i < adm->account_count; i++) {
-		double spent = adm_decay(first[i].spent, first[i].spent_us, now,
-					 ADM_SPENT_SPAN_S);
+		double spent =
+			adm_decay(first[i].recent_tokens, first[i].recent_us,
+				  now, ADM_SPENT_SPAN_S);
 
 		if (&first[i] == queue)
 			mine = spent;
@@ -117,38 +121,38 @@
  * callers waited; otherwise it would be the callers' rate, not the
  * service's.
  */
-void adm_measure(struct adm_service *service, double tokens, int64_t now)
+void adm_measure_rate(struct adm_service *service, double tokens, int64_t now)
 {
 	double rate;
 
-	if (service->since_us == 0 || service->waiting == 0) {
-		service->since_us = now ? now : 1;
-		service->done = 0;
+	if (service->measure_from_us == 0 || service->waiting == 0) {
+		service->measure_from_us = now ? now : 1;
+		service->measured_tokens = 0;
 		return;
 	}
-	service->done += tokens;
-	if (now - service->since_us < ADM_MEASURE_US)
+	service->measured_tokens += tokens;
+	if (now - service->measure_from_us < ADM_MEASURE_US)
 		return;
-	rate = service->done * (double)MAG_US_PER_S /
-	       (double)(now - service->since_us);
+	rate = service->measured_tokens * (double)MAG_US_PER_S /
+	       (double)(now - service->measure_from_us);
 	if (service->measured <= 0)
 		service->measured = rate;
 	service->measured += ADM_MEASURE_STEP * (rate - service->measured);
-	service->since_us = now;
-	service->done = 0;
+	service->measure_from_us = now;
+	service->measured_tokens = 0;
 }
 
 /* Counts the work of a request that ended. */
-void adm_work_done(struct adm *adm, const struct adm_request *request,
-		   uint32_t tokens, int64_t now)
+void adm_count_work(struct adm *adm, const struct adm_request *request,
+		    uint32_t tokens, int64_t now)
 {
 	struct adm_service *service = &adm->services[request->service];
 
-	if (service->plain && tokens == 0)
-		tokens = request->run;
-	adm_measure(service, tokens, now);
+	if (service->counts_requests && tokens == 0)
+		tokens = request->run_tokens;
+	adm_measure_rate(service, tokens, now);
 	service->mean_cost +=
-		ADM_LEARN_STEP * (request->cost - service->mean_cost);
+		ADM_LEARN_STEP * (request->cost_tokens - service->mean_cost);
 }
 
 /*
@@ -156,8 +160,8 @@
  * The first answers count more: callers may allow many times what they get,
  * and would be refused as too late until that is known.
  */
-void adm_learn(struct adm *adm, const struct adm_request *request,
-	       uint32_t tokens, int64_t now)
+void adm_update_estimates(struct adm *adm, const struct adm_request *request,
+			  uint32_t tokens, int64_t now)
 {
 	struct adm_service *service = &adm->services[request->service];
 	double took = (double)(now - request->started_us);
@@ -165,15 +169,16 @@
 	double off;
 
 	if (tokens == 0)
-		tokens = request->run;
+		tokens = request->run_tokens;
 	off = took / tokens - service->us_per_token;
 	service->us_per_token += ADM_LEARN_STEP * off;
 	service->us_deviation +=
 		ADM_LEARN_STEP * (fabs(off) - service->us_deviation);
 	if (step < ADM_LEARN_STEP)
 		step = ADM_LEARN_STEP;
-	off = (double)tokens / request->run - service->used_part;
-	service->used_part += step * off;
-	service->used_deviation += step * (fabs(off) - service->used_deviation);
+	off = (double)tokens / request->run_tokens - service->answer_ratio;
+	service->answer_ratio += step * off;
+	service->ratio_deviation +=
+		step * (fabs(off) - service->ratio_deviation);
 	service->answers++;
 }
--- a/src/req.c
+++ b/src/req.c
@@ -396,8 +396,8 @@
 static bool too_slow(const struct core *core, const struct core_req *req,
 		     double us_per_token)
 {
-	double tokens =
-		adm_expected(core->adm, req->service, req->arrival.max_tokens);
+	double tokens = adm_expected_tokens(core->adm, req->service,
+					    req->arrival.max_tokens);
 	int64_t left = req->deadline_us - core->now;
 
 	return (tokens - req->tokens) * us_per_token >
