--- a/src/core.c
+++ b/src/core.c
@@ -54,7 +54,7 @@
 	[CORE_EV_CACHE] = on_cache,	[CORE_EV_STOP] = on_stop,
 };
 
-/* Makes a core without a configuration; NULL if memory is short. */
+/* Creates a core without a configuration.  Returns NULL if out of memory. */
 struct core *core_new(const struct core_settings *settings)
 {
 	struct core *core = calloc(1, sizeof(*core));
@@ -83,7 +83,7 @@
 	return core;
 }
 
-/* Frees a core with all that waits in it. */
+/* Frees a core, its requests, queued events and pending actions. */
 void core_free(struct core *core)
 {
 	struct core_req *req, *next_req;
@@ -112,8 +112,8 @@
 }
 
 /*
- * Queues an event for the next tick.  What the event points to belongs to
- * the core from here on.  Returns 0, or -1 if memory is short.
+ * Queues an event for the next tick.  The core becomes the owner of what the
+ * event points to.  Returns 0, or -1 if out of memory.
  */
 int core_post(struct core *core, const struct core_event *event)
 {
@@ -128,8 +128,8 @@
 
 /*
  * Runs every system once, in this order: events, chains, ledger, deadlines,
- * requests that are ready, admission, stop.  now is in microseconds and does
- * not go back.
+ * capacity, ready requests, admission, ledger again, stop.  The parameter now
+ * is in microseconds and never decreases.
  */
 void core_tick(struct core *core, int64_t now)
 {
@@ -145,7 +145,7 @@
 	stop_system(core);
 }
 
-/* Takes the oldest action; false if there is none. */
+/* Removes and returns the oldest action; false if there is none. */
 bool core_next_action(struct core *core, struct core_action *action)
 {
 	struct core_action_node *node;
@@ -160,45 +160,53 @@
 	return true;
 }
 
-/* Returns when the next tick is due at the latest, MAG_NEVER for not. */
+/* Returns the latest time for the next tick, MAG_NEVER if none is needed. */
 int64_t core_next_deadline(const struct core *core)
 {
 	int64_t due = core->due_us;
-	int64_t other = pick_next_deadline(core->pick);
-
-	if (other < due)
-		due = other;
-	other = ldg_next_deadline(core->ldg);
-	if (other < due)
-		due = other;
-	other = adm_next_deadline(core->adm);
-	if (other < due)
-		due = other;
+	int64_t module_due = pick_next_deadline(core->pick);
+
+	if (module_due < due)
+		due = module_due;
+	module_due = ldg_next_deadline(core->ldg);
+	if (module_due < due)
+		due = module_due;
+	module_due = adm_next_deadline(core->adm);
+	if (module_due < due)
+		due = module_due;
 	return due;
 }
 
-/* Returns the set in force, NULL before the first; it lasts until a tick. */
+/*
+ * Returns the active configuration, NULL before the first.  The pointer is
+ * valid until the next tick.
+ */
 const struct cfg_set *core_config(const struct core *core)
 {
 	return core->set;
 }
 
-/* Takes the next fingerprint that was quarantined here; false for none. */
-bool core_next_quarantine(struct core *core, uint8_t print[MAG_DIGEST_BYTES],
+/*
+ * Returns the next fingerprint that this instance quarantined; false if none.
+ */
+bool core_next_quarantine(struct core *core,
+			  uint8_t fingerprint[MAG_DIGEST_BYTES],
 			  uint32_t *endpoints_lost, int64_t *until_us)
 {
-	return quar_next_news(core->quar, print, endpoints_lost, until_us);
+	return quar_next_news(core->quar, fingerprint, endpoints_lost,
+			      until_us);
 }
 
-/* Takes over what another instance lost to a fingerprint. */
+/* Merges another instance's count of endpoints lost to a fingerprint. */
 void core_merge_quarantine(struct core *core,
-			   const uint8_t print[MAG_DIGEST_BYTES],
+			   const uint8_t fingerprint[MAG_DIGEST_BYTES],
 			   uint32_t endpoints_lost, int64_t until_us)
 {
-	quar_learn(core->quar, print, endpoints_lost, until_us, core->now);
+	quar_learn(core->quar, fingerprint, endpoints_lost, until_us,
+		   core->now);
 }
 
-/* Sets this instance's part of a fleet-wide limit. */
+/* Sets this instance's share of a fleet-wide limit. */
 void core_set_share(struct core *core, int limit, double requests_per_s,
 		    double tokens_per_s, double concurrent)
 {
@@ -206,25 +214,25 @@
 		      concurrent);
 }
 
-/* Returns what callers ask of a limit here, in the limit's own unit. */
+/* Returns the local demand for a limit, in the unit of the limit. */
 double core_demand(const struct core *core, int limit)
 {
 	return adm_demand(core->adm, limit, core->now);
 }
 
-/* Returns the revision in force, 0 before the first. */
+/* Returns the active revision, 0 before the first configuration. */
 uint64_t core_revision(const struct core *core)
 {
 	return core->set ? core->set->revision : 0;
 }
 
-/* Tells whether this instance should be given requests. */
+/* Tells whether load balancers should send requests to this instance. */
 bool core_ready(const struct core *core)
 {
 	return core->set && !core->stopping;
 }
 
-/* Returns the live request of an id, NULL if it has been answered and ended. */
+/* Returns the request with an id, NULL if it was answered and has ended. */
 struct core_req *core_find(struct core *core, uint64_t id)
 {
 	struct cds_list_head *bucket = &core->buckets[id % CORE_BUCKETS];
@@ -237,7 +245,7 @@
 	return NULL;
 }
 
-/* Notes that a request has a deadline, so that the tick will come in time. */
+/* Ensures that the next tick is not later than a request's deadline. */
 void core_schedule_tick(struct core *core, int64_t deadline_us)
 {
 	if (deadline_us < core->due_us)
@@ -245,8 +253,8 @@
 }
 
 /*
- * Appends an empty action.  Memory for it can't be missing without cutting a
- * caller off, so the process ends there and the balancer sends elsewhere.
+ * Appends an empty action.  Without memory for it a client would be cut off,
+ * so the process aborts and the load balancer uses other instances.
  */
 struct core_action *core_add_action(struct core *core,
 				    enum core_action_type type)
@@ -260,7 +268,7 @@
 	return &node->action;
 }
 
-/* Takes a request out of the tables. */
+/* Removes a request from the tables and frees it. */
 void core_req_free(struct core *core, struct core_req *req)
 {
 	(void)core;
@@ -297,7 +305,7 @@
 		req_handle(core, req, REQ_EV_PROGRESS, &event->progress);
 }
 
-/* An end of an attempt that is no longer the current one changes nothing. */
+/* Ignores the end of an attempt that is no longer the current one. */
 static void on_ended(struct core *core, struct core_event *event)
 {
 	struct core_req *req = core_find(core, event->ended.req);
@@ -316,9 +324,9 @@
 }
 
 /*
- * Puts a revision in force.  An older one than that in force can come from a
- * service that was restored from an old copy, or from a peer that lags; it
- * is dropped, because an accepted configuration never reverts.
+ * Activates a configuration.  A revision older than the active one can come
+ * from a store that was restored from an old backup, or from a peer that lags
+ * behind.  It is dropped, because an accepted configuration is never reverted.
  */
 static void on_config(struct core *core, struct core_event *event)
 {
@@ -389,7 +397,7 @@
 	core->stopping = true;
 }
 
-/* Hands the ledger's calls out and its verdicts to the requests. */
+/* Emits the ledger's store calls and passes its verdicts to the requests. */
 static void ledger_system(struct core *core)
 {
 	struct kv_call call;
@@ -407,7 +415,7 @@
 		core_add_action(core, CORE_ACT_KV)->kv = call;
 }
 
-/* Tells admission how fast the work of each service gets done. */
+/* Passes the throughput bound of each service to admission. */
 static void capacity_system(struct core *core)
 {
 	size_t i;
@@ -419,7 +427,7 @@
 				 pick_bound(core->pick, (int)i));
 }
 
-/* Says once that nothing is left in progress after a stop was asked for. */
+/* Reports once, after a requested stop, that no request is in progress. */
 static void stop_system(struct core *core)
 {
 	if (!core->stopping || core->stopped_reported)
@@ -431,8 +439,9 @@
 }
 
 /*
- * Indices of the old set mean other objects in the new one; a request that
- * kept them would be counted under another account or endpoint.
+ * An index of the old configuration denotes another object in the new one.  A
+ * request with an old index would be counted for the wrong account or
+ * endpoint.
  */
 static void remap_all(struct core *core, const struct cfg_set *from)
 {
@@ -443,7 +452,7 @@
 	}
 }
 
-/* Moves the indices of a live request from one set to the next by name. */
+/* Translates a request's indices from one configuration to the next by name. */
 static void remap_req(struct core_req *req, const struct cfg_set *from,
 		      const struct cfg_set *to)
 {
--- a/src/core.h
+++ b/src/core.h
@@ -2,9 +2,10 @@
 #define CORE_H
 
 /*
- * The deterministic core: no clock, socket or thread in it.  Shells post
- * typed events and carry out typed actions; core_tick runs the systems over
- * the tables in a fixed order.  One thread owns a core.
+ * The deterministic core of a router.  It uses no clock, socket or thread.
+ * The surrounding shells post typed events and execute typed actions;
+ * core_tick runs the systems over the tables in a fixed order.  A core belongs
+ * to one thread.
  */
 
 #include <stdbool.h>
@@ -27,43 +28,43 @@
 	char cluster[MAG_NAME_MAX];
 	char instance[MAG_NAME_MAX];
 	char data_centre[MAG_NAME_MAX];
-	uint64_t incarnation; /* drawn at random at start */
+	uint64_t incarnation; /* random, drawn when the process starts */
 	uint64_t seed;
 	enum pick_policy policy;
-	bool no_retry_budgets; /* second sends have no bound */
-	bool no_resume;	       /* a stream begins again at its first token */
-	int64_t progress_timeout_us;	/* longest wait for the next token */
-	int64_t first_token_timeout_us; /* longest wait for the first */
+	bool no_retry_budgets;	     /* retries are not limited by budgets */
+	bool no_resume;		     /* streams restart at their first token */
+	int64_t progress_timeout_us; /* longest wait for the next token */
+	int64_t first_token_timeout_us; /* longest wait for the first token */
 	int64_t kv_timeout_us;
 	struct ldg_settings ledger;
 };
 
-/* A request of a caller as the front hands it over. */
+/* A client's request as the HTTP front end passes it to the core. */
 struct core_arrival {
-	uint64_t req; /* chosen by the front, unique in this incarnation */
-	char account_key_hash[MAG_DIGEST_HEX]; /* "" if no bearer was sent */
+	uint64_t req; /* chosen by the front end, unique in this incarnation */
+	char account_key_hash[MAG_DIGEST_HEX]; /* "" if it has no bearer */
 	char host[CORE_HOST_MAX];
 	char path[CORE_PATH_MAX];
-	char key[LDG_KEY_MAX]; /* Idempotency-Key, "" if none */
-	bool safe_method;      /* GET, HEAD, OPTIONS */
+	char key[LDG_KEY_MAX]; /* Idempotency-Key, "" if the request has none */
+	bool safe_method;      /* GET, HEAD or OPTIONS */
 	uint8_t fingerprint[MAG_DIGEST_BYTES];
 	uint32_t prompt_tokens;
 	uint32_t max_tokens;
 	uint64_t prefix;
-	uint32_t timeout_ms; /* the caller's, 0 if it stated none */
+	uint32_t timeout_ms; /* stated by the client, 0 if it stated none */
 	int64_t wall_ms;
 };
 
-/* How an attempt ended, as the shell that carried it saw it. */
+/* How an attempt ended, as seen by the shell that carried it. */
 enum core_end {
-	CORE_END_COMPLETE,	/* the whole answer is here */
-	CORE_END_NOT_CONNECTED, /* the connection was never made */
-	CORE_END_REFUSED,      /* a status that the service declares as proof */
-	CORE_END_STAGE,	       /* the stream says which stage failed */
-	CORE_END_DISCONNECTED, /* the connection broke after the send */
-	CORE_END_WRONG_IDS,    /* ids of another request or attempt */
-	CORE_END_CANCELLED,    /* as the core asked */
-	CORE_END_STATUS,       /* the endpoint answered an error status */
+	CORE_END_COMPLETE,	/* the complete answer was received */
+	CORE_END_NOT_CONNECTED, /* the connection was never established */
+	CORE_END_REFUSED,	/* a status its service declares as proof */
+	CORE_END_STAGE,		/* the stream reports which stage failed */
+	CORE_END_DISCONNECTED,	/* the connection broke after the send */
+	CORE_END_WRONG_IDS, /* the ids belong to another request or attempt */
+	CORE_END_CANCELLED, /* cancelled on request of the core */
+	CORE_END_STATUS,    /* the endpoint returned an error status */
 	CORE_END_COUNT
 };
 
@@ -71,21 +72,20 @@
 	uint64_t req;
 	uint32_t attempt;
 	enum core_end end;
-	int stage;		/* CORE_END_STAGE: which one, from 0 */
-	uint32_t silent_stages; /* stages, as bits, that gave no sign of life */
+	int stage; /* for CORE_END_STAGE: the failed stage, from 0 */
+	uint32_t silent_stages; /* bits of stages that did not respond */
 	int status;		/* HTTP status of the endpoint, 0 if none */
-	uint32_t tokens; /* delivered to the caller so far, all attempts */
-	char *answer;	 /* for the record, NULL if too long; core frees */
+	uint32_t tokens; /* delivered to the client so far by all attempts */
+	char *answer; /* for the record, NULL if too long; the core frees it */
 	size_t answer_len;
 };
 
 struct core_progress {
 	uint64_t req;
 	uint32_t attempt;
-	bool stages_alive; /* nothing came, but every stage gives a sign of life
-			    */
-	uint32_t tokens;   /* delivered so far, all attempts */
-	uint32_t hop_us[MAG_CHAIN_MAX]; /* mean a token, by stage */
+	bool stages_alive; /* no token, but every stage responded */
+	uint32_t tokens;   /* delivered so far by all attempts */
+	uint32_t hop_us[MAG_CHAIN_MAX]; /* mean time per token of each stage */
 	int hop_count;
 };
 
@@ -113,12 +113,12 @@
 	bool leaving;
 };
 
-/* An event of an engine's prefix cache; late, and with gaps. */
+/* An event of an engine's prefix cache.  Events may be late or missing. */
 struct core_cache {
 	char endpoint[MAG_NAME_MAX];
-	uint64_t sequence; /* one higher with each event of the endpoint */
+	uint64_t sequence; /* increases by 1 per event of the endpoint */
 	uint64_t prefix;
-	bool stored; /* false: dropped */
+	bool stored; /* false: the prefix was evicted */
 };
 
 struct core_event {
@@ -128,7 +128,7 @@
 		struct core_progress progress;
 		struct core_ended ended;
 		uint64_t caller_gone;
-		struct cfg_set *config; /* the core owns it from here */
+		struct cfg_set *config; /* ownership passes to the core */
 		struct kv_reply kv;
 		struct core_load load;
 		struct core_leaving leaving;
@@ -136,7 +136,7 @@
 	};
 };
 
-/* One stage of a dispatched chain, all that the shell needs. */
+/* One stage of a dispatched chain, with all that the shell needs. */
 struct core_stage {
 	char endpoint[MAG_NAME_MAX];
 	char address[MAG_ADDR_MAX];
@@ -146,13 +146,13 @@
 
 struct core_dispatch {
 	uint64_t req;
-	uint32_t attempt; /* from 1 */
+	uint32_t attempt; /* number of the attempt, from 1 */
 	uint32_t resume;  /* index of the next token to deliver */
 	enum cfg_service_kind kind;
 	uint32_t layers;
 	uint32_t priority;
 	int64_t deadline_us;
-	bool at_most_once; /* a second send could run it twice */
+	bool at_most_once; /* sending it twice could run it twice */
 	char downstream_key[MAG_DIGEST_HEX]; /* "" if none is sent */
 	int not_begun_status[CFG_NOT_BEGUN_MAX];
 	struct core_stage stages[MAG_CHAIN_MAX];
@@ -161,9 +161,9 @@
 };
 
 enum core_answer_kind {
-	CORE_ANSWER_RELAY,  /* the answer that the attempt brought */
-	CORE_ANSWER_REPLAY, /* the answer that the record kept */
-	CORE_ANSWER_REFUSE, /* made by the router */
+	CORE_ANSWER_RELAY,  /* the answer that the attempt returned */
+	CORE_ANSWER_REPLAY, /* the answer stored in the record */
+	CORE_ANSWER_REFUSE, /* an error answer of the router itself */
 };
 
 struct core_answer {
@@ -171,16 +171,16 @@
 	enum core_answer_kind kind;
 	enum mag_outcome outcome;
 	int status;
-	uint32_t retry_after_s; /* 0: none */
+	uint32_t retry_after_s; /* 0: no Retry-After */
 	char why[CORE_WHY_MAX];
-	char *body; /* CORE_ANSWER_REPLAY; the shell frees it */
+	char *body; /* for CORE_ANSWER_REPLAY; the shell frees it */
 	size_t body_len;
 };
 
 struct core_cancel {
 	uint64_t req;
 	uint32_t attempt;
-	bool probe; /* only if a stage gives no sign of life */
+	bool probe; /* cancel only if a stage does not respond to a probe */
 };
 
 enum core_action_type {
@@ -188,7 +188,7 @@
 	CORE_ACT_CANCEL,
 	CORE_ACT_ANSWER,
 	CORE_ACT_KV,
-	CORE_ACT_STOPPED, /* nothing is left in progress */
+	CORE_ACT_STOPPED, /* after a stop: no request in progress */
 	CORE_ACTION_COUNT
 };
 
@@ -208,12 +208,13 @@
 void core_tick(struct core *core, int64_t now);
 bool core_next_action(struct core *core, struct core_action *action);
 int64_t core_next_deadline(const struct core *core);
-/* What the node carries between a core and the other instances. */
+/* State that the instance exchanges between its core and other instances. */
 const struct cfg_set *core_config(const struct core *core);
-bool core_next_quarantine(struct core *core, uint8_t print[MAG_DIGEST_BYTES],
+bool core_next_quarantine(struct core *core,
+			  uint8_t fingerprint[MAG_DIGEST_BYTES],
 			  uint32_t *endpoints_lost, int64_t *until_us);
 void core_merge_quarantine(struct core *core,
-			   const uint8_t print[MAG_DIGEST_BYTES],
+			   const uint8_t fingerprint[MAG_DIGEST_BYTES],
 			   uint32_t endpoints_lost, int64_t until_us);
 void core_set_share(struct core *core, int limit, double requests_per_s,
 		    double tokens_per_s, double concurrent);
--- a/src/core_int.h
+++ b/src/core_int.h
@@ -1,7 +1,9 @@
 #ifndef CORE_INT_H
 #define CORE_INT_H
 
-/* The tables of a core and the request's life; internal to core and req. */
+/*
+ * The tables of a core and the states of a request; internal to core and req.
+ */
 
 #include <urcu/list.h>
 
@@ -14,37 +16,37 @@
 #define CORE_ATTEMPTS_MAX 4
 
 /*
- * The life of a request.  Only the table in req.c moves a request from one
- * state to another; spec/ uses the same names.
+ * The states of a request.  Only the transition table in req.c moves a request
+ * from one state to another.
  */
 enum req_state {
-	REQ_WAITING,	/* in the queue of admission */
-	REQ_RESERVING,	/* the ledger has been asked for a reservation */
-	REQ_READY,	/* may be dispatched, no chain has been free yet */
-	REQ_RUNNING,	/* an attempt is with an endpoint */
-	REQ_CANCELLING, /* the attempt made no progress; its end is awaited */
-	REQ_CLOSING,	/* the caller has its answer; the end is awaited */
+	REQ_WAITING,	/* in an admission queue */
+	REQ_RESERVING,	/* waits for the ledger to reserve the record */
+	REQ_READY,	/* may be dispatched, waits for a free chain */
+	REQ_RUNNING,	/* an attempt is at an endpoint */
+	REQ_CANCELLING, /* the attempt is being probed or cancelled */
+	REQ_CLOSING,	/* the client has its answer; the attempt still runs */
 	REQ_STATE_COUNT
 };
 
 enum req_event {
-	REQ_EV_GRANT,	    /* admission's turn has come, a chain is free */
-	REQ_EV_LEDGER,	    /* the ledger's verdict */
-	REQ_EV_PROGRESS,    /* tokens came */
-	REQ_EV_ENDED,	    /* the attempt ended */
-	REQ_EV_CALLER_GONE, /* the caller left */
-	REQ_EV_DEADLINE,    /* the caller's deadline has passed */
-	REQ_EV_STALL,	    /* no progress until the deadline for it */
+	REQ_EV_GRANT,	 /* selected by admission, with a chain if one exists */
+	REQ_EV_LEDGER,	 /* the ledger returned a verdict */
+	REQ_EV_PROGRESS, /* tokens arrived, or a stalled chain responded */
+	REQ_EV_ENDED,	 /* the attempt ended */
+	REQ_EV_CALLER_GONE, /* the client disconnected */
+	REQ_EV_DEADLINE,    /* the client's deadline passed */
+	REQ_EV_STALL,	    /* no progress in time, or no chain in time */
 	REQ_EV_COUNT
 };
 
 struct core_req {
 	struct cds_list_head bucket_node;
 	struct cds_list_head all_node;
-	struct cds_list_head ready_node; /* in core->ready while REQ_READY */
+	struct cds_list_head ready_node; /* in core->ready while in REQ_READY */
 	struct core_arrival arrival;
 	enum req_state state;
-	int account; /* index, -1 once the object was removed; so below */
+	int account; /* index, -1 after the object was removed; also below */
 	int service;
 	int route;
 	uint8_t intent[MAG_DIGEST_BYTES];
@@ -53,29 +55,28 @@
 	int64_t stall_us;   /* when the attempt counts as stalled */
 	int64_t give_up_us; /* REQ_READY: when to stop waiting for a chain */
 	int64_t dispatched_us;
-	int64_t first_token_us;		/* of this attempt, 0 if none yet */
-	uint32_t attempt;		/* 0 before the first */
-	uint32_t tokens;		/* delivered, all attempts */
+	int64_t first_token_us; /* of this attempt, 0 before the first token */
+	uint32_t attempt;	/* number of the attempt, 0 before the first */
+	uint32_t tokens;	/* delivered by all attempts */
 	uint32_t tokens_before_attempt; /* tokens when this attempt began */
 	struct pick_chain chain;
-	uint32_t hop_us[MAG_CHAIN_MAX]; /* of this attempt, the last report */
+	uint32_t hop_us[MAG_CHAIN_MAX]; /* last report of this attempt */
 	bool chain_held; /* pick counts this chain as in flight */
 	struct pick_chain last_chain;
 	bool has_last_chain;
 	int avoid[CORE_AVOID_MAX];
 	int avoid_count;
-	int stalled[MAG_CHAIN_MAX]; /* endpoints of the last stall, but the one
-				     * that was blamed */
+	int stalled[MAG_CHAIN_MAX]; /* unblamed endpoints of the last stall */
 	int stalled_count;
 	bool idempotent;
-	bool keyed;	   /* a record in the ledger decides */
-	bool reserved;	   /* this request holds the record */
-	bool taken_over;   /* an earlier attempt may have run */
-	bool may_resend;   /* endpoints run a downstream key once */
+	bool keyed;	 /* a record in the ledger decides whether it may run */
+	bool reserved;	 /* this request holds the record */
+	bool taken_over; /* an earlier attempt of the key may have run */
+	bool may_resend; /* endpoints run a downstream key at most once */
 	bool may_have_run; /* some attempt of this request may have begun */
 	bool answered;
-	bool alone;	 /* a suspect, run alone */
-	uint32_t stalls; /* in a row, with every stage alive */
+	bool alone;	 /* a suspect: runs without other requests */
+	uint32_t stalls; /* consecutive stalls in which every stage responded */
 };
 
 struct core {
@@ -93,7 +94,7 @@
 	struct cds_list_head actions; /* struct core_action_node */
 	uint32_t running;
 	int64_t now;
-	int64_t due_us; /* no request's deadline lies before it */
+	int64_t due_us; /* no request has an earlier deadline */
 	bool stopping;
 	bool stopped_reported;
 };
--- a/src/core_show.c
+++ b/src/core_show.c
@@ -8,11 +8,11 @@
 
 #define SHOW_BINDS_MAX 512
 
-static json_t *bound_of(struct core *core, int service);
+static json_t *bound_summary(struct core *core, int service);
 static json_t *read_bound(struct core *core, int service);
-static void binds_text(const json_t *binds, char *text, size_t size);
+static void format_binds(const json_t *binds, char *text, size_t size);
 
-/* Writes what only the core knows, after the counters of cnt.h. */
+/* Writes the metrics that only the core has; those of cnt.h precede them. */
 void core_show_metrics(struct core *core, FILE *out)
 {
 	size_t i;
@@ -32,15 +32,15 @@
 	shr_write_metrics(core->shr, out);
 }
 
-/* Writes each account's load by service and endpoint as JSON. */
+/* Writes each account's load per service and endpoint as JSON. */
 void core_show_shares(struct core *core, FILE *out)
 {
 	shr_write_json(core->shr, out);
 }
 
 /*
- * Writes, for each service, the bound in tokens a second, and the endpoint
- * whose loss would lower it most.
+ * Writes, for each service, the bound in tokens per second and the endpoint
+ * whose loss would reduce it most.
  */
 void core_show_bound(struct core *core, FILE *out)
 {
@@ -49,14 +49,14 @@
 	size_t i;
 
 	for (i = 0; core->set && i < core->set->service_count; i++)
-		json_array_append_new(services, bound_of(core, (int)i));
+		json_array_append_new(services, bound_summary(core, (int)i));
 	json_dumpf(root, out, JSON_COMPACT | JSON_REAL_PRECISION(6));
 	json_decref(root);
 }
 
 /*
- * Writes the chains that a request of the service may take.  Returns 0, or
- * -1 if there is no such service.
+ * Writes the chains that a request to the service could use.  Returns 0, or -1
+ * if the service does not exist.
  */
 int core_show_explain(struct core *core, const char *service, FILE *out)
 {
@@ -69,40 +69,40 @@
 	return pick_explain_request(core->pick, &want, core->now, out) ? -1 : 0;
 }
 
-/* Makes a row: the bound, the worst single loss, and what binds it. */
-static json_t *bound_of(struct core *core, int service)
+/* Builds one row: the bound, the worst single loss and what binds the bound. */
+static json_t *bound_summary(struct core *core, int service)
 {
 	json_t *bound = read_bound(core, service);
 	const char *worst = "";
 	char binds[SHOW_BINDS_MAX];
 	double value;
-	double least;
+	double lowest;
 	json_t *entry;
 	json_t *row;
 	size_t i;
 
 	value = json_number_value(json_object_get(bound, "tokens_per_s"));
-	least = value;
+	lowest = value;
 	json_array_foreach (json_object_get(bound, "without"), i, entry) {
 		double without = json_number_value(
 			json_object_get(entry, "tokens_per_s"));
 
-		if (without < least) {
-			least = without;
+		if (without < lowest) {
+			lowest = without;
 			worst = json_string_value(
 				json_object_get(entry, "endpoint"));
 		}
 	}
-	binds_text(json_object_get(bound, "binds"), binds, sizeof(binds));
+	format_binds(json_object_get(bound, "binds"), binds, sizeof(binds));
 	row = json_pack("{s:s, s:f, s:f, s:s, s:s}", "service",
 			core->set->services[service].name, "tokens_per_s",
-			value, "tokens_per_s_worst_loss", least, "worst_loss",
+			value, "tokens_per_s_worst_loss", lowest, "worst_loss",
 			worst, "bound_by", binds);
 	json_decref(bound);
 	return row;
 }
 
-/* Reads what pick writes of a service's bound; NULL if there is none. */
+/* Parses the JSON that pick writes about a service's bound; NULL if none. */
 static json_t *read_bound(struct core *core, int service)
 {
 	char *text = NULL;
@@ -119,23 +119,23 @@
 	return bound;
 }
 
-/* Writes the endpoints that bind, each once for its work or its link. */
-static void binds_text(const json_t *binds, char *text, size_t size)
+/* Lists what binds the bound as endpoint:kind, each pair once. */
+static void format_binds(const json_t *binds, char *text, size_t size)
 {
 	json_t *entry;
-	char one[MAG_NAME_MAX + 16];
+	char item[MAG_NAME_MAX + 16];
 	size_t used = 0;
 	size_t i;
 
 	text[0] = '\0';
 	json_array_foreach (binds, i, entry) {
-		snprintf(one, sizeof(one), "%s:%s",
+		snprintf(item, sizeof(item), "%s:%s",
 			 json_string_value(json_object_get(entry, "endpoint")),
 			 json_string_value(json_object_get(entry, "what")));
 		if (used >= size)
 			return;
-		if (!strstr(text, one))
+		if (!strstr(text, item))
 			used += (size_t)snprintf(text + used, size - used,
-						 "%s%s", used ? " " : "", one);
+						 "%s%s", used ? " " : "", item);
 	}
 }
--- a/src/core_show.h
+++ b/src/core_show.h
@@ -1,7 +1,7 @@
 #ifndef CORE_SHOW_H
 #define CORE_SHOW_H
 
-/* What operators may see of a core, as JSON or text exposition. */
+/* Views of a core for operators, as JSON or in the text format for metrics. */
 
 #include <stdio.h>
 
