--- a/src/req.c
+++ b/src/req.c
@@ -5,126 +5,137 @@
 #include "core_int.h"
 #include "log.h"
 
-/* How long a request that has begun waits for a chain to go on with. */
-#define REQ_READY_PATIENCE_US (5 * MAG_US_PER_S)
-/* Heads of queues that a service may pass over when the first can't start. */
+/* How long a request waits for a chain for its next attempt. */
+#define REQ_READY_TIMEOUT_US (5 * MAG_US_PER_S)
+/* Queue heads that one pass may skip per service when no chain can run them. */
 #define REQ_SKIPS_MAX 4
-/* How long an attempt that may not be repeated may go on after its caller
- * was answered, so that its outcome still gets into the record. */
+/*
+ * How long an attempt that may not be repeated may continue after its client
+ * was answered, so that its outcome is still recorded.
+ */
 #define REQ_SETTLE_GRACE_US (30 * MAG_US_PER_S)
 
-/* Tokens after which a suspect makes way for the next one.  What crashes
- * an endpoint does so when it begins; and there are as many suspects as ran
- * on the endpoint, who would miss their deadlines one behind the other. */
-#define REQ_PROOF_TOKENS 5
-/* Tokens after which the pace of a stream is known well enough. */
+/*
+ * Tokens after which a suspect stops blocking the next suspect.  A request
+ * that crashes an endpoint does so at its start.  All requests that ran on the
+ * endpoint become suspects; if each ran to its end alone, the later ones would
+ * miss their deadlines.
+ */
+#define REQ_SUSPECT_TOKENS 5
+/* Tokens after which the measured pace of a stream is reliable. */
 #define REQ_PACE_TOKENS 10
-/* A stream that would take so many times what is left is given up. */
-#define REQ_HOPELESS 1.3
+/*
+ * A stream is abandoned if it needs more than this multiple of the time left.
+ */
+#define REQ_LATE_FACTOR 1.3
 
-/* Stalls in a row that a stream may have while every stage is alive. */
+/* Consecutive stalls that a stream may have while every stage responds. */
 #define REQ_STALLS_MAX 3
 
 typedef void (*req_handler_fn)(struct core *core, struct core_req *req,
 			       void *data);
 
 static void waiting_grant(struct core *core, struct core_req *req, void *data);
-static void waiting_gone(struct core *core, struct core_req *req, void *data);
+static void waiting_caller_gone(struct core *core, struct core_req *req,
+				void *data);
 static void waiting_deadline(struct core *core, struct core_req *req,
 			     void *data);
 static void reserving_ledger(struct core *core, struct core_req *req,
 			     void *data);
-static void reserving_leave(struct core *core, struct core_req *req,
-			    void *data);
-static void ready_leave(struct core *core, struct core_req *req, void *data);
+static void reserving_abandon(struct core *core, struct core_req *req,
+			      void *data);
+static void ready_abandon(struct core *core, struct core_req *req, void *data);
 static void running_progress(struct core *core, struct core_req *req,
 			     void *data);
-static bool hopeless(const struct core *core, const struct core_req *req);
-static bool slowed_down(const struct core *core, const struct core_req *req);
-static bool too_slow(const struct core *core, const struct core_req *req,
-		     double us_per_token);
-static void leave(struct core *core, struct core_req *req, const char *why);
-static void running_leave(struct core *core, struct core_req *req, void *data);
+static bool will_miss_deadline(const struct core *core,
+			       const struct core_req *req);
+static bool slowed_by_stage(const struct core *core,
+			    const struct core_req *req);
+static bool pace_too_slow(const struct core *core, const struct core_req *req,
+			  double us_per_token);
+static void abandon(struct core *core, struct core_req *req, const char *why);
+static void running_abandon(struct core *core, struct core_req *req,
+			    void *data);
 static void running_stall(struct core *core, struct core_req *req, void *data);
-static void move_away(struct core *core, struct core_req *req);
+static void cancel_slow_attempt(struct core *core, struct core_req *req);
 static void cancelling_progress(struct core *core, struct core_req *req,
 				void *data);
 static void closing_ledger(struct core *core, struct core_req *req, void *data);
 static void closing_deadline(struct core *core, struct core_req *req,
 			     void *data);
-static void ignore(struct core *core, struct core_req *req, void *data);
-static void dispatch_held(struct core *core, struct core_req *req);
-static void check_due(struct core *core, struct core_req *req);
+static void ignore_event(struct core *core, struct core_req *req, void *data);
+static void dispatch_reserved(struct core *core, struct core_req *req);
+static void check_deadlines(struct core *core, struct core_req *req);
 
 /*
- * The whole life of a request.  A pair that can't occur, or that changes
- * nothing because it comes late, is ignored.
+ * The transition table of a request.  A pair that cannot occur, or that
+ * arrives too late to change anything, is ignored.
  */
 static const req_handler_fn req_table[REQ_STATE_COUNT][REQ_EV_COUNT] = {
 	[REQ_WAITING] = {
 		[REQ_EV_GRANT] = waiting_grant,
-		[REQ_EV_LEDGER] = ignore,
-		[REQ_EV_PROGRESS] = ignore,
-		[REQ_EV_ENDED] = ignore,
-		[REQ_EV_CALLER_GONE] = waiting_gone,
+		[REQ_EV_LEDGER] = ignore_event,
+		[REQ_EV_PROGRESS] = ignore_event,
+		[REQ_EV_ENDED] = ignore_event,
+		[REQ_EV_CALLER_GONE] = waiting_caller_gone,
 		[REQ_EV_DEADLINE] = waiting_deadline,
-		[REQ_EV_STALL] = ignore,
+		[REQ_EV_STALL] = ignore_event,
 	},
 	[REQ_RESERVING] = {
-		[REQ_EV_GRANT] = ignore,
+		[REQ_EV_GRANT] = ignore_event,
 		[REQ_EV_LEDGER] = reserving_ledger,
-		[REQ_EV_PROGRESS] = ignore,
-		[REQ_EV_ENDED] = ignore,
-		[REQ_EV_CALLER_GONE] = reserving_leave,
-		[REQ_EV_DEADLINE] = reserving_leave,
-		[REQ_EV_STALL] = ignore,
+		[REQ_EV_PROGRESS] = ignore_event,
+		[REQ_EV_ENDED] = ignore_event,
+		[REQ_EV_CALLER_GONE] = reserving_abandon,
+		[REQ_EV_DEADLINE] = reserving_abandon,
+		[REQ_EV_STALL] = ignore_event,
 	},
 	[REQ_READY] = {
-		[REQ_EV_GRANT] = ignore,
-		[REQ_EV_LEDGER] = ignore,
-		[REQ_EV_PROGRESS] = ignore,
-		[REQ_EV_ENDED] = ignore,
-		[REQ_EV_CALLER_GONE] = ready_leave,
-		[REQ_EV_DEADLINE] = ready_leave,
-		[REQ_EV_STALL] = ready_leave,
+		[REQ_EV_GRANT] = ignore_event,
+		[REQ_EV_LEDGER] = ignore_event,
+		[REQ_EV_PROGRESS] = ignore_event,
+		[REQ_EV_ENDED] = ignore_event,
+		[REQ_EV_CALLER_GONE] = ready_abandon,
+		[REQ_EV_DEADLINE] = ready_abandon,
+		[REQ_EV_STALL] = ready_abandon,
 	},
 	[REQ_RUNNING] = {
-		[REQ_EV_GRANT] = ignore,
-		[REQ_EV_LEDGER] = ignore,
+		[REQ_EV_GRANT] = ignore_event,
+		[REQ_EV_LEDGER] = ignore_event,
 		[REQ_EV_PROGRESS] = running_progress,
 		[REQ_EV_ENDED] = req_running_ended,
-		[REQ_EV_CALLER_GONE] = running_leave,
-		[REQ_EV_DEADLINE] = running_leave,
+		[REQ_EV_CALLER_GONE] = running_abandon,
+		[REQ_EV_DEADLINE] = running_abandon,
 		[REQ_EV_STALL] = running_stall,
 	},
 	[REQ_CANCELLING] = {
-		[REQ_EV_GRANT] = ignore,
-		[REQ_EV_LEDGER] = ignore,
+		[REQ_EV_GRANT] = ignore_event,
+		[REQ_EV_LEDGER] = ignore_event,
 		[REQ_EV_PROGRESS] = cancelling_progress,
 		[REQ_EV_ENDED] = req_cancelling_ended,
-		[REQ_EV_CALLER_GONE] = running_leave,
-		[REQ_EV_DEADLINE] = running_leave,
-		[REQ_EV_STALL] = ignore,
+		[REQ_EV_CALLER_GONE] = running_abandon,
+		[REQ_EV_DEADLINE] = running_abandon,
+		[REQ_EV_STALL] = ignore_event,
 	},
 	[REQ_CLOSING] = {
-		[REQ_EV_GRANT] = ignore,
+		[REQ_EV_GRANT] = ignore_event,
 		[REQ_EV_LEDGER] = closing_ledger,
-		[REQ_EV_PROGRESS] = ignore,
+		[REQ_EV_PROGRESS] = ignore_event,
 		[REQ_EV_ENDED] = req_closing_ended,
-		[REQ_EV_CALLER_GONE] = ignore,
+		[REQ_EV_CALLER_GONE] = ignore_event,
 		[REQ_EV_DEADLINE] = closing_deadline,
-		[REQ_EV_STALL] = ignore,
+		[REQ_EV_STALL] = ignore_event,
 	},
 };
 
-/* Runs the handler that the table names for a request's state. */
+/* Calls the handler for an event in the request's state. */
 void req_handle(struct core *core, struct core_req *req, enum req_event event,
 		void *data)
 {
 	req_table[req->state][event](core, req, data);
 }
 
-/* Tries every request that only lacks a chain, oldest first. */
+/* Tries to dispatch each request that waits only for a chain, oldest first. */
 void req_ready_system(struct core *core)
 {
 	struct core_req *req, *next;
@@ -140,7 +151,7 @@
 	}
 }
 
-/* Starts what admission puts first, while there are chains for it. */
+/* Starts requests in admission's order while chains are free for them. */
 void req_admit_system(struct core *core)
 {
 	struct core_req *req;
@@ -173,8 +184,8 @@
 }
 
 /*
- * Ends the waiting of requests whose stored deadline has passed, and finds
- * the next one.  The table is only walked when some deadline is due.
+ * Fires the deadlines that have passed and computes the next one.  The table
+ * is scanned only when some deadline is due.
  */
 void req_deadline_system(struct core *core)
 {
@@ -190,12 +201,12 @@
 		return;
 	core->due_us = MAG_NEVER;
 	cds_list_for_each_entry_safe (req, next, &core->all, all_node) {
-		check_due(core, req);
+		check_deadlines(core, req);
 	}
 }
 
-/* Fires the deadlines of one request and notes its next one. */
-static void check_due(struct core *core, struct core_req *req)
+/* Fires the deadlines of one request and schedules its next one. */
+static void check_deadlines(struct core *core, struct core_req *req)
 {
 	uint64_t id = req->arrival.req;
 
@@ -211,7 +222,7 @@
 	core_schedule_tick(core, req->give_up_us);
 }
 
-/* Admission's turn has come: reserve, or go to the chosen chain. */
+/* Admission selected the request: reserve its record or dispatch it. */
 static void waiting_grant(struct core *core, struct core_req *req, void *data)
 {
 	adm_start(core->adm, req->arrival.req, core->now);
@@ -231,7 +242,8 @@
 	req_dispatch(core, req, data);
 }
 
-static void waiting_gone(struct core *core, struct core_req *req, void *data)
+static void waiting_caller_gone(struct core *core, struct core_req *req,
+				void *data)
 {
 	(void)data;
 	adm_drop(core->adm, req->arrival.req, core->now);
@@ -249,7 +261,7 @@
 	core_req_free(core, req);
 }
 
-/* Acts on the ledger's verdict about a key. */
+/* Handles the ledger's verdict on the request's key. */
 static void reserving_ledger(struct core *core, struct core_req *req,
 			     void *data)
 {
@@ -261,7 +273,7 @@
 		/* fall through */
 	case LDG_GO:
 		req->reserved = true;
-		dispatch_held(core, req);
+		dispatch_reserved(core, req);
 		return;
 	case LDG_REPLAY:
 		req_replay(core, req, result);
@@ -292,10 +304,12 @@
 }
 
 /*
- * The caller is answered while the swap is under way.  It may still land, so
- * not-run can't be said; closing_ledger releases the reservation then.
+ * The client is answered while the compare-and-swap of the reservation is
+ * pending.  It may still succeed, so not-run cannot be claimed; closing_ledger
+ * then releases the reservation.
  */
-static void reserving_leave(struct core *core, struct core_req *req, void *data)
+static void reserving_abandon(struct core *core, struct core_req *req,
+			      void *data)
 {
 	(void)data;
 	req_refuse(core, req, 504, MAG_UNKNOWN, req_retry_after(core, req),
@@ -306,15 +320,15 @@
 	req_enter(req, REQ_CLOSING);
 }
 
-/* The record is reserved: go to the chain that was kept meanwhile. */
-static void dispatch_held(struct core *core, struct core_req *req)
+/* The record is reserved: dispatch to the chain held for the request. */
+static void dispatch_reserved(struct core *core, struct core_req *req)
 {
 	int i;
 
 	for (i = 0; i < req->chain.count; i++) {
 		if (!pick_usable(core->pick, req->chain.stages[i].endpoint,
 				 core->now)) {
-			/* It died or started to leave in between. */
+			/* An endpoint failed or began to leave meanwhile. */
 			req_release_chain(core, req);
 			req_enter_ready(core, req);
 			return;
@@ -323,8 +337,8 @@
 	req_dispatch(core, req, &req->chain);
 }
 
-/* A request that waits for a chain ends without one. */
-static void ready_leave(struct core *core, struct core_req *req, void *data)
+/* Refuses a request for which no chain became free in time. */
+static void ready_abandon(struct core *core, struct core_req *req, void *data)
 {
 	(void)data;
 	req_refuse(core, req, 503, req_outcome(req), req_retry_after(core, req),
@@ -349,37 +363,38 @@
 	pick_hops(core->pick, &req->chain, progress->hop_us,
 		  progress->hop_count, core->now);
 	if (req->chain.alone &&
-	    req->tokens - req->tokens_before_attempt >= REQ_PROOF_TOKENS)
+	    req->tokens - req->tokens_before_attempt >= REQ_SUSPECT_TOKENS)
 		pick_proved(core->pick, &req->chain);
 	if (!req->idempotent)
 		return;
-	if (slowed_down(core, req))
-		move_away(core, req);
-	else if (hopeless(core, req))
-		leave(core, req, "too slow for its deadline");
+	if (slowed_by_stage(core, req))
+		cancel_slow_attempt(core, req);
+	else if (will_miss_deadline(core, req))
+		abandon(core, req, "too slow for its deadline");
 }
 
 /*
- * Tells whether a stream is so slow that its answer can't be whole by its
- * deadline.  It would only take the endpoints' time from answers that can;
- * after the loss of an endpoint, when more streams run than the others can
- * carry, most of them would miss their deadlines by a little.
+ * Tells whether a stream is too slow to complete by its deadline.  It would
+ * only occupy endpoints that other requests could use in time.  After the loss
+ * of an endpoint, when more streams run than the remaining ones can serve,
+ * most streams would otherwise miss their deadlines by a little.
  */
-static bool hopeless(const struct core *core, const struct core_req *req)
+static bool will_miss_deadline(const struct core *core,
+			       const struct core_req *req)
 {
-	uint32_t made = req->tokens - req->tokens_before_attempt;
-	int64_t took = core->now - req->first_token_us;
+	uint32_t received = req->tokens - req->tokens_before_attempt;
+	int64_t elapsed_us = core->now - req->first_token_us;
 
-	if (made < REQ_PACE_TOKENS)
+	if (received < REQ_PACE_TOKENS)
 		return false;
-	return too_slow(core, req, (double)took / made);
+	return pace_too_slow(core, req, (double)elapsed_us / received);
 }
 
 /*
- * Tells whether a stream would miss its deadline because a stage of its
- * chain got slow under it; elsewhere it can still be in time.
+ * Tells whether a stream would miss its deadline because a stage of its chain
+ * became slow; on another chain it can still be in time.
  */
-static bool slowed_down(const struct core *core, const struct core_req *req)
+static bool slowed_by_stage(const struct core *core, const struct core_req *req)
 {
 	double pace = 0;
 	int i;
@@ -389,33 +404,33 @@
 		return false;
 	for (i = 0; i < req->chain.count; i++)
 		pace += req->hop_us[i];
-	return too_slow(core, req, pace);
+	return pace_too_slow(core, req, pace);
 }
 
-/* Tells whether a pace leaves no hope of an answer in time. */
-static bool too_slow(const struct core *core, const struct core_req *req,
-		     double us_per_token)
+/* Tells whether a pace is too slow for an answer in time. */
+static bool pace_too_slow(const struct core *core, const struct core_req *req,
+			  double us_per_token)
 {
 	double tokens = adm_expected_tokens(core->adm, req->service,
 					    req->arrival.max_tokens);
-	int64_t left = req->deadline_us - core->now;
+	int64_t remaining_us = req->deadline_us - core->now;
 
 	return (tokens - req->tokens) * us_per_token >
-	       REQ_HOPELESS * (double)left;
+	       REQ_LATE_FACTOR * (double)remaining_us;
 }
 
 /*
- * The deadline passed or the caller left.  Work that may be repeated is
- * cancelled.  A non-idempotent attempt goes on for a while, because only its
- * end can turn the record from ambiguous into settled.
+ * The deadline passed or the client disconnected.  Repeatable work is
+ * cancelled.  A non-idempotent attempt continues for a while, because only its
+ * end can change the record from ambiguous to settled.
  */
-static void running_leave(struct core *core, struct core_req *req, void *data)
+static void running_abandon(struct core *core, struct core_req *req, void *data)
 {
 	(void)data;
-	leave(core, req, "deadline passed");
+	abandon(core, req, "deadline passed");
 }
 
-static void leave(struct core *core, struct core_req *req, const char *why)
+static void abandon(struct core *core, struct core_req *req, const char *why)
 {
 	req_refuse(core, req, 504, req_outcome(req), req_retry_after(core, req),
 		   why);
@@ -429,10 +444,10 @@
 }
 
 /*
- * An endpoint that hangs keeps the connection open and sends nothing.  So
- * does one where the stream only waits its turn, and sending that stream
- * elsewhere would add work where there is too much; the stages are asked
- * first.
+ * No progress in time.  A hung endpoint keeps the connection open and sends
+ * nothing; so does an endpoint at which the stream only waits in a queue.
+ * Moving a queued stream would add work to an overloaded system, so the stages
+ * are probed first.
  */
 static void running_stall(struct core *core, struct core_req *req, void *data)
 {
@@ -443,22 +458,23 @@
 	req_enter(req, REQ_CANCELLING);
 }
 
-/* Ends an attempt whose chain has become too slow for it. */
-static void move_away(struct core *core, struct core_req *req)
+/* Cancels an attempt whose chain has become too slow for it. */
+static void cancel_slow_attempt(struct core *core, struct core_req *req)
 {
 	req_cancel(core, req, false);
 	req_enter(req, REQ_CANCELLING);
 }
 
 /*
- * Every stage of a stalled stream gives a sign of life: it goes on waiting.
- * A stage that answers and yet makes nothing is given up after a few times.
+ * Every stage of a stalled stream responded to the probe, so the stream
+ * continues to wait.  If the stages respond but produce nothing, the attempt
+ * is cancelled after more than REQ_STALLS_MAX consecutive stalls.
  */
 static void cancelling_progress(struct core *core, struct core_req *req,
 				void *data)
 {
 	const struct core_progress *progress = data;
-	int64_t patience_us = core->settings.progress_timeout_us;
+	int64_t timeout_us = core->settings.progress_timeout_us;
 
 	if (!progress->stages_alive)
 		return;
@@ -467,13 +483,13 @@
 		return;
 	}
 	if (!req->first_token_us)
-		patience_us = core->settings.first_token_timeout_us;
+		timeout_us = core->settings.first_token_timeout_us;
 	req_enter(req, REQ_RUNNING);
-	req->stall_us = core->now + patience_us;
+	req->stall_us = core->now + timeout_us;
 	core_schedule_tick(core, req->stall_us);
 }
 
-/* The reservation landed after its caller was answered: nothing was sent. */
+/* The reservation succeeded after the client was answered; nothing was sent. */
 static void closing_ledger(struct core *core, struct core_req *req, void *data)
 {
 	const struct ldg_result *result = data;
@@ -486,7 +502,7 @@
 	core_req_free(core, req);
 }
 
-/* The endpoint never ended the attempt; the record stays ambiguous. */
+/* The endpoint never ended the attempt, so the record stays ambiguous. */
 static void closing_deadline(struct core *core, struct core_req *req,
 			     void *data)
 {
@@ -495,14 +511,14 @@
 	req->deadline_us = MAG_NEVER;
 }
 
-static void ignore(struct core *core, struct core_req *req, void *data)
+static void ignore_event(struct core *core, struct core_req *req, void *data)
 {
 	(void)core;
 	(void)req;
 	(void)data;
 }
 
-/* Changes the state; deadlines of the state that is left no longer count. */
+/* Changes the state and clears the deadlines of the previous state. */
 void req_enter(struct core_req *req, enum req_state state)
 {
 	cds_list_del_init(&req->ready_node);
@@ -514,7 +530,7 @@
 void req_enter_ready(struct core *core, struct core_req *req)
 {
 	req_enter(req, REQ_READY);
-	req->give_up_us = core->now + REQ_READY_PATIENCE_US;
+	req->give_up_us = core->now + REQ_READY_TIMEOUT_US;
 	core_schedule_tick(core, req->give_up_us);
 	cds_list_add_tail(&req->ready_node, &core->ready);
 }
--- a/src/req_answer.c
+++ b/src/req_answer.c
@@ -6,19 +6,19 @@
 #include "log.h"
 
 static void count_outcome(enum mag_outcome outcome);
-static struct core_answer *answer(struct core *core, uint64_t req,
-				  enum core_answer_kind kind,
-				  enum mag_outcome outcome);
-static void refuse(struct core *core, uint64_t req, int status,
-		   enum mag_outcome outcome, uint32_t retry_after_s,
-		   const char *why);
+static struct core_answer *add_answer(struct core *core, uint64_t req,
+				      enum core_answer_kind kind,
+				      enum mag_outcome outcome);
+static void add_refusal(struct core *core, uint64_t req, int status,
+			enum mag_outcome outcome, uint32_t retry_after_s,
+			const char *why);
 static void log_done(const struct core *core, const struct core_req *req,
 		     bool replay);
 
 /*
- * Returns what can be said of a request that gets no answer from an
- * endpoint.  not-run needs proof for the intent: a key whose record was not
- * read may have run through another instance.
+ * Returns the outcome to report for a request without an answer from an
+ * endpoint.  The outcome not-run requires proof for the intent: a key whose
+ * record was not read may have run through another instance.
  */
 enum mag_outcome req_outcome(const struct core_req *req)
 {
@@ -31,7 +31,7 @@
 	return MAG_NOT_RUN;
 }
 
-/* Returns after how many seconds coming back makes sense. */
+/* Returns the seconds after which the client should retry. */
 uint32_t req_retry_after(struct core *core, const struct core_req *req)
 {
 	if (req->account < 0 || req->service < 0)
@@ -40,7 +40,7 @@
 				 core->now);
 }
 
-/* Leaves the router's own final answer; a request gets one answer only. */
+/* Sends the router's own final answer.  Each request gets only one answer. */
 void req_refuse(struct core *core, struct core_req *req, int status,
 		enum mag_outcome outcome, uint32_t retry_after_s,
 		const char *why)
@@ -53,7 +53,8 @@
 	if (req->account >= 0)
 		account = core->set->accounts[req->account].name;
 	shr_add(core->shr, req->account, req->service, SHR_REFUSED);
-	refuse(core, req->arrival.req, status, outcome, retry_after_s, why);
+	add_refusal(core, req->arrival.req, status, outcome, retry_after_s,
+		    why);
 	log_event(LOG_REQ_REFUSED,
 		  "request=%llu account=%s status=%d outcome=%s attempts=%u "
 		  "why=\"%s\"",
@@ -62,16 +63,17 @@
 }
 
 /*
- * Refuses a request that never got an entry.  Without a key nothing can have
- * run for it.  A key may have run through another instance, or here before
- * its account or route was taken out of the configuration.
+ * Refuses a request that has no entry in the tables.  Without a key, nothing
+ * can have run for it.  With a key, it may have run through another instance,
+ * or through this one before its account or route was removed.
  */
 void req_refuse_arrival(struct core *core, const struct core_arrival *arrival,
 			int status, const char *why)
 {
 	enum mag_outcome outcome = arrival->key[0] ? MAG_UNKNOWN : MAG_NOT_RUN;
 
-	refuse(core, arrival->req, status, outcome, status == 503 ? 1 : 0, why);
+	add_refusal(core, arrival->req, status, outcome, status == 503 ? 1 : 0,
+		    why);
 	log_event(LOG_REQ_REFUSED,
 		  "request=%llu account=- status=%d outcome=%s attempts=0 "
 		  "why=\"%s\"",
@@ -79,17 +81,17 @@
 		  mag_outcome_name(outcome), why);
 }
 
-/* Hands on the answer that the attempt brought. */
+/* Relays the answer that the attempt returned. */
 void req_relay(struct core *core, struct core_req *req)
 {
 	if (req->answered)
 		return;
 	req->answered = true;
-	answer(core, req->arrival.req, CORE_ANSWER_RELAY, MAG_RAN);
+	add_answer(core, req->arrival.req, CORE_ANSWER_RELAY, MAG_RAN);
 	log_done(core, req, false);
 }
 
-/* Hands on the answer that the record kept, marked as a replay. */
+/* Sends the answer stored in the record, marked as a replay. */
 void req_replay(struct core *core, struct core_req *req,
 		struct ldg_result *result)
 {
@@ -98,7 +100,8 @@
 	if (req->answered)
 		return;
 	req->answered = true;
-	replay = answer(core, req->arrival.req, CORE_ANSWER_REPLAY, MAG_RAN);
+	replay =
+		add_answer(core, req->arrival.req, CORE_ANSWER_REPLAY, MAG_RAN);
 	replay->status = result->status;
 	replay->body = result->answer;
 	replay->body_len = result->answer_len;
@@ -109,28 +112,28 @@
 	log_done(core, req, true);
 }
 
-/* Appends the action of a final answer and counts its outcome. */
-static struct core_answer *answer(struct core *core, uint64_t req,
-				  enum core_answer_kind kind,
-				  enum mag_outcome outcome)
+/* Appends the action for a final answer and counts its outcome. */
+static struct core_answer *add_answer(struct core *core, uint64_t req,
+				      enum core_answer_kind kind,
+				      enum mag_outcome outcome)
 {
-	struct core_answer *made =
+	struct core_answer *answer =
 		&core_add_action(core, CORE_ACT_ANSWER)->answer;
 
-	made->req = req;
-	made->kind = kind;
-	made->outcome = outcome;
+	answer->req = req;
+	answer->kind = kind;
+	answer->outcome = outcome;
 	count_outcome(outcome);
-	return made;
+	return answer;
 }
 
-static void refuse(struct core *core, uint64_t req, int status,
-		   enum mag_outcome outcome, uint32_t retry_after_s,
-		   const char *why)
+static void add_refusal(struct core *core, uint64_t req, int status,
+			enum mag_outcome outcome, uint32_t retry_after_s,
+			const char *why)
 {
 	struct core_answer *refusal;
 
-	refusal = answer(core, req, CORE_ANSWER_REFUSE, outcome);
+	refusal = add_answer(core, req, CORE_ANSWER_REFUSE, outcome);
 	refusal->status = status;
 	refusal->retry_after_s = retry_after_s;
 	snprintf(refusal->why, sizeof(refusal->why), "%s", why);
--- a/src/req_arrive.c
+++ b/src/req_arrive.c
@@ -3,22 +3,23 @@
 
 #include "core_int.h"
 
-static void offer(struct core *core, struct core_req *req);
+static void offer_to_admission(struct core *core, struct core_req *req);
 static int64_t arrival_deadline(const struct core *core,
 				const struct core_arrival *arrival,
 				int service);
 static struct core_req *req_new(struct core *core,
 				const struct core_arrival *arrival);
-static bool identify(struct core *core, const struct core_arrival *arrival,
-		     int *account, int *route);
+static bool find_account_and_route(struct core *core,
+				   const struct core_arrival *arrival,
+				   int *account, int *route);
 static bool key_is_missing(const struct cfg_route *route,
 			   const struct core_arrival *arrival);
-static bool endpoints_resend(const struct core *core,
-			     const struct core_req *req);
+static bool endpoints_deduplicate(const struct core *core,
+				  const struct core_req *req);
 
 /*
- * Takes a caller's request in: finds account and route, refuses what can be
- * refused at once, and offers the rest to admission.
+ * Handles a new request: finds its account and route, refuses it if that is
+ * already certain, and otherwise offers it to admission.
  */
 void req_arrive(struct core *core, const struct core_arrival *arrival)
 {
@@ -31,7 +32,7 @@
 		req_refuse_arrival(core, arrival, 503, "not ready");
 		return;
 	}
-	if (!identify(core, arrival, &account, &route))
+	if (!find_account_and_route(core, arrival, &account, &route))
 		return;
 	req = req_new(core, arrival);
 	req->account = account;
@@ -41,7 +42,7 @@
 		core->set->routes[route].idempotent || arrival->safe_method;
 	req->keyed = !req->idempotent && arrival->key[0];
 	shr_add(core->shr, account, req->service, SHR_OFFERED);
-	req->may_resend = req->keyed && endpoints_resend(core, req);
+	req->may_resend = req->keyed && endpoints_deduplicate(core, req);
 	req->deadline_us = arrival_deadline(core, arrival, req->service);
 	ldg_intent(req->intent, core->set->accounts[account].name,
 		   core->set->routes[route].name, arrival->key);
@@ -52,19 +53,19 @@
 		return;
 	}
 	req->alone = quarantine == QUAR_SUSPECT;
-	offer(core, req);
+	offer_to_admission(core, req);
 }
 
-/* Offers a request to admission and refuses it at once if that says no. */
-static void offer(struct core *core, struct core_req *req)
+/* Offers a request to admission and answers it at once if it is refused. */
+static void offer_to_admission(struct core *core, struct core_req *req)
 {
-	static const char *const why[] = {
+	static const char *const reasons[] = {
 		[ADM_QUEUE_FULL] = "queue full",
 		[ADM_TOO_LATE] = "would start past its deadline",
 		[ADM_OVER_LIMIT] = "over a limit",
 		[ADM_OVER_SHARE] = "over the account's share",
 	};
-	struct adm_offer offered = {
+	struct adm_offer offer = {
 		.req = req->arrival.req,
 		.account = req->account,
 		.service = req->service,
@@ -77,7 +78,7 @@
 	enum adm_verdict verdict;
 	int status = 503;
 
-	verdict = adm_offer(core->adm, &offered, core->now);
+	verdict = adm_offer(core->adm, &offer, core->now);
 	if (verdict == ADM_QUEUED) {
 		core_schedule_tick(core, req->deadline_us);
 		return;
@@ -85,22 +86,22 @@
 	if (verdict == ADM_OVER_LIMIT || verdict == ADM_OVER_SHARE)
 		status = 429;
 	req_refuse(core, req, status, req_outcome(req),
-		   req_retry_after(core, req), why[verdict]);
+		   req_retry_after(core, req), reasons[verdict]);
 	core_req_free(core, req);
 }
 
-/* Turns the caller's allowance into a deadline, within the service's. */
+/* Converts the client's timeout to a deadline within the service's maximum. */
 static int64_t arrival_deadline(const struct core *core,
 				const struct core_arrival *arrival, int service)
 {
-	const struct cfg_service *object = &core->set->services[service];
-	uint32_t allowance_ms = arrival->timeout_ms;
-
-	if (allowance_ms == 0)
-		allowance_ms = object->default_deadline_ms;
-	if (allowance_ms > object->max_deadline_ms)
-		allowance_ms = object->max_deadline_ms;
-	return core->now + (int64_t)allowance_ms * MAG_US_PER_MS;
+	const struct cfg_service *config = &core->set->services[service];
+	uint32_t timeout_ms = arrival->timeout_ms;
+
+	if (timeout_ms == 0)
+		timeout_ms = config->default_deadline_ms;
+	if (timeout_ms > config->max_deadline_ms)
+		timeout_ms = config->max_deadline_ms;
+	return core->now + (int64_t)timeout_ms * MAG_US_PER_MS;
 }
 
 static struct core_req *req_new(struct core *core,
@@ -122,11 +123,12 @@
 	return req;
 }
 
-/* Finds account and route; false if the request has been refused. */
-static bool identify(struct core *core, const struct core_arrival *arrival,
-		     int *account, int *route)
+/* Finds account and route; returns false if the request was refused. */
+static bool find_account_and_route(struct core *core,
+				   const struct core_arrival *arrival,
+				   int *account, int *route)
 {
-	const struct cfg_route *object;
+	const struct cfg_route *config;
 
 	*account = cfg_find_account(core->set, arrival->account_key_hash);
 	if (*account < 0) {
@@ -138,8 +140,8 @@
 		req_refuse_arrival(core, arrival, 404, "no route");
 		return false;
 	}
-	object = &core->set->routes[*route];
-	if (key_is_missing(object, arrival)) {
+	config = &core->set->routes[*route];
+	if (key_is_missing(config, arrival)) {
 		req_refuse_arrival(core, arrival, 400,
 				   "Idempotency-Key is required");
 		return false;
@@ -155,7 +157,7 @@
 	return route->key != CFG_KEY_OPTIONAL && !arrival->key[0];
 }
 
-/* Asks the ledger for the record of this intent. */
+/* Asks the ledger to reserve the record of the request's intent. */
 void req_reserve(struct core *core, struct core_req *req)
 {
 	const struct cfg_route *route;
@@ -196,10 +198,11 @@
 
 /*
  * Tells whether every endpoint that may serve the request runs a downstream
- * key once: those of its service, in the group that its route leads to.
+ * key at most once.  These are the endpoints of its service in the group that
+ * its route selects.
  */
-static bool endpoints_resend(const struct core *core,
-			     const struct core_req *req)
+static bool endpoints_deduplicate(const struct core *core,
+				  const struct core_req *req)
 {
 	const struct cfg_endpoint *endpoint;
 	const char *group;
--- a/src/req_end.c
+++ b/src/req_end.c
@@ -1,17 +1,18 @@
 #include "core_int.h"
 #include "log.h"
 
-static void whole(struct core *core, struct core_req *req,
-		  const struct core_ended *ended);
-static void proved_unbegun(struct core *core, struct core_req *req,
-			   const struct core_ended *ended);
-static void failed(struct core *core, struct core_req *req,
-		   const struct core_ended *ended, enum pick_result_kind kind);
-static int stalled_at(const struct core *core, struct core_req *req,
-		      uint32_t silent);
-static int stalled_again(const struct core *core, struct core_req *req);
-static void give_up_failed(struct core *core, struct core_req *req);
-static int failed_endpoint(const struct core_req *req, int stage);
+static void attempt_completed(struct core *core, struct core_req *req,
+			      const struct core_ended *ended);
+static void attempt_not_begun(struct core *core, struct core_req *req,
+			      const struct core_ended *ended);
+static void attempt_failed(struct core *core, struct core_req *req,
+			   const struct core_ended *ended,
+			   enum pick_result_kind kind);
+static int find_stalled_stage(const struct core *core, struct core_req *req,
+			      uint32_t silent);
+static int guess_stalled_stage(const struct core *core, struct core_req *req);
+static void refuse_failed(struct core *core, struct core_req *req);
+static int endpoint_at_stage(const struct core_req *req, int stage);
 static void log_attempt(const struct core *core, const struct core_req *req,
 			const struct core_ended *ended, int endpoint);
 
@@ -22,14 +23,14 @@
 	req->tokens = ended->tokens;
 	switch (ended->end) {
 	case CORE_END_COMPLETE:
-		whole(core, req, ended);
+		attempt_completed(core, req, ended);
 		break;
 	case CORE_END_NOT_CONNECTED:
 	case CORE_END_REFUSED:
-		proved_unbegun(core, req, ended);
+		attempt_not_begun(core, req, ended);
 		break;
 	default:
-		failed(core, req, ended, PICK_ENDED_FAILED);
+		attempt_failed(core, req, ended, PICK_ENDED_FAILED);
 		break;
 	}
 }
@@ -40,12 +41,15 @@
 
 	req->tokens = ended->tokens;
 	if (ended->end == CORE_END_COMPLETE)
-		whole(core, req, ended);
+		attempt_completed(core, req, ended);
 	else
-		failed(core, req, ended, PICK_ENDED_SLOW);
+		attempt_failed(core, req, ended, PICK_ENDED_SLOW);
 }
 
-/* A late end still settles the record, so that a repeat gets the answer. */
+/*
+ * The late end of an attempt still settles the record, so that a repeated
+ * request receives the answer.
+ */
 void req_closing_ended(struct core *core, struct core_req *req, void *data)
 {
 	const struct core_ended *ended = data;
@@ -54,12 +58,12 @@
 		.answer = ended->answer,
 		.answer_len = ended->answer_len,
 	};
-	bool unbegun = ended->end == CORE_END_NOT_CONNECTED ||
-		       ended->end == CORE_END_REFUSED;
+	bool not_begun = ended->end == CORE_END_NOT_CONNECTED ||
+			 ended->end == CORE_END_REFUSED;
 
 	if (req->reserved && ended->end == CORE_END_COMPLETE)
 		ldg_settle(core->ldg, req->arrival.req, &outcome, core->now);
-	else if (req->reserved && unbegun && !req->taken_over &&
+	else if (req->reserved && not_begun && !req->taken_over &&
 		 !req->may_have_run)
 		ldg_release(core->ldg, req->arrival.req, core->now);
 	req_end_attempt(core, req, PICK_ENDED_OTHER, -1, 0);
@@ -67,9 +71,9 @@
 	core_req_free(core, req);
 }
 
-/* The whole answer came: settle the record and hand the answer on. */
-static void whole(struct core *core, struct core_req *req,
-		  const struct core_ended *ended)
+/* The complete answer arrived: settle the record and relay the answer. */
+static void attempt_completed(struct core *core, struct core_req *req,
+			      const struct core_ended *ended)
 {
 	struct ldg_outcome outcome = {
 		.status = ended->status,
@@ -87,17 +91,18 @@
 }
 
 /*
- * The endpoint provably began nothing: the connection was never made, or it
- * refused in the way that its service declares as proof.  Any request may go
- * elsewhere then.  A refusal is no failure, only a late load report: the
- * request waits for room again and spends no retry, or a fleet at its limit
- * would use up the budgets and give up requests that have time left.  Nor
- * does a connection that was never made: it cost no endpoint any work.
+ * The endpoint provably began nothing: either the connection was never
+ * established, or it returned a status that its service declares as proof.
+ * Any request may then be dispatched again.  A refusal is not a failure, only
+ * a late load report: the request waits for capacity and spends no retry.
+ * Otherwise a fleet at its limit would exhaust the retry budgets and give up
+ * requests that still have time.  A connection that was never established
+ * spends no retry either, because it cost no endpoint any work.
  */
-static void proved_unbegun(struct core *core, struct core_req *req,
-			   const struct core_ended *ended)
+static void attempt_not_begun(struct core *core, struct core_req *req,
+			      const struct core_ended *ended)
 {
-	int endpoint = failed_endpoint(req, 0);
+	int endpoint = endpoint_at_stage(req, 0);
 
 	log_attempt(core, req, ended, endpoint);
 	req_end_attempt(core, req,
@@ -109,28 +114,30 @@
 		req_enter_ready(core, req);
 		return;
 	}
-	give_up_failed(core, req);
+	refuse_failed(core, req);
 }
 
 /*
- * The attempt failed and may have run.  Idempotent work goes elsewhere; a
- * keyed booking only where endpoints run a downstream key once.
+ * The attempt failed and may have run.  An idempotent request is retried on
+ * other endpoints; a request with a key only if the endpoints run a downstream
+ * key at most once.
  */
-static void failed(struct core *core, struct core_req *req,
-		   const struct core_ended *ended, enum pick_result_kind kind)
+static void attempt_failed(struct core *core, struct core_req *req,
+			   const struct core_ended *ended,
+			   enum pick_result_kind kind)
 {
 	int stage = ended->end == CORE_END_STAGE ? ended->stage : 0;
-	bool died = ended->end == CORE_END_DISCONNECTED ||
-		    ended->end == CORE_END_STAGE;
+	bool endpoint_died = ended->end == CORE_END_DISCONNECTED ||
+			     ended->end == CORE_END_STAGE;
 	int endpoint;
 
 	req->may_have_run = true;
 	if (kind == PICK_ENDED_SLOW)
-		stage = stalled_at(core, req, ended->silent_stages);
-	endpoint = failed_endpoint(req, stage);
+		stage = find_stalled_stage(core, req, ended->silent_stages);
+	endpoint = endpoint_at_stage(req, stage);
 	log_attempt(core, req, ended, endpoint);
 	req_end_attempt(core, req, kind, stage, ended->silent_stages);
-	if (died)
+	if (endpoint_died)
 		quar_lost_endpoint(core->quar, req->arrival.fingerprint,
 				   endpoint, req->chain.alone, core->now);
 	req->alone = quar_check(core->quar, req->arrival.fingerprint,
@@ -140,16 +147,16 @@
 		req_enter_ready(core, req);
 		return;
 	}
-	give_up_failed(core, req);
+	refuse_failed(core, req);
 }
 
 /*
- * Returns the stage that holds a stream up, -1 if none stands out.  Stages
- * that gave no sign of life when they were asked hang for certain; all of
- * them are avoided from now on.
+ * Returns the stage that blocks a stream, -1 if none is identified.  Stages
+ * that did not respond to the probe hang for certain, and the request avoids
+ * all of them from now on.
  */
-static int stalled_at(const struct core *core, struct core_req *req,
-		      uint32_t silent)
+static int find_stalled_stage(const struct core *core, struct core_req *req,
+			      uint32_t silent)
 {
 	int stage = -1;
 	int i;
@@ -162,17 +169,17 @@
 	}
 	if (stage >= 0)
 		return stage;
-	return stalled_again(core, req);
+	return guess_stalled_stage(core, req);
 }
 
 /*
- * Guesses the stage where nobody could be asked.  A stream that brought
- * nothing doesn't show which stage hangs, and blaming the first one each time
- * would use up the healthy endpoints while the hung one is kept.  An endpoint
- * that was in this request's last stall too, and wasn't blamed then, is the
- * likelier one.
+ * Guesses the stalled stage when no stage could be probed.  A stream without
+ * tokens does not show which stage hangs.  If the first stage were blamed each
+ * time, healthy endpoints would be excluded while the hung one stayed in use.
+ * The likelier stage is an endpoint that was also in this request's last stall
+ * and was not blamed then.
  */
-static int stalled_again(const struct core *core, struct core_req *req)
+static int guess_stalled_stage(const struct core *core, struct core_req *req)
 {
 	int stage = pick_silent(core->pick, &req->chain, core->now);
 	int i;
@@ -196,8 +203,8 @@
 	return stage;
 }
 
-/* No further attempt: the final answer, at once. */
-static void give_up_failed(struct core *core, struct core_req *req)
+/* Sends the final answer: there will be no further attempt. */
+static void refuse_failed(struct core *core, struct core_req *req)
 {
 	enum quar_state state;
 
@@ -212,7 +219,7 @@
 	core_req_free(core, req);
 }
 
-/* Releases the record if nothing was sent under it, else holds it. */
+/* Releases the record if nothing was sent under it, otherwise holds it. */
 void req_finish_record(struct core *core, struct core_req *req)
 {
 	if (!req->reserved)
@@ -223,18 +230,18 @@
 		ldg_release(core->ldg, req->arrival.req, core->now);
 }
 
-static int failed_endpoint(const struct core_req *req, int stage)
+static int endpoint_at_stage(const struct core_req *req, int stage)
 {
 	if (stage < 0 || stage >= req->chain.count)
 		return -1;
 	return req->chain.stages[stage].endpoint;
 }
 
-/* Writes how an attempt failed, and which endpoint it is counted against. */
+/* Logs how an attempt failed and the endpoint that it counts against. */
 static void log_attempt(const struct core *core, const struct core_req *req,
 			const struct core_ended *ended, int endpoint)
 {
-	static const char *const ends[CORE_END_COUNT] = {
+	static const char *const end_names[CORE_END_COUNT] = {
 		[CORE_END_COMPLETE] = "whole",
 		[CORE_END_NOT_CONNECTED] = "not-connected",
 		[CORE_END_REFUSED] = "refused",
@@ -252,5 +259,5 @@
 		  "request=%llu attempt=%u end=%s endpoint=%s status=%d "
 		  "tokens=%u",
 		  (unsigned long long)req->arrival.req, req->attempt,
-		  ends[ended->end], name, ended->status, req->tokens);
+		  end_names[ended->end], name, ended->status, req->tokens);
 }
--- a/src/req_run.c
+++ b/src/req_run.c
@@ -3,7 +3,8 @@
 #include "core_int.h"
 #include "log.h"
 
-static int64_t pace(const struct core *core, const struct core_req *req);
+static int64_t available_us_per_token(const struct core *core,
+				      const struct core_req *req);
 static void fill_dispatch(struct core *core, struct core_req *req,
 			  struct core_dispatch *dispatch);
 static void fill_stage(const struct core *core, const struct pick_stage *from,
@@ -25,7 +26,7 @@
 		.careful = !req->idempotent,
 		.prefix = req->arrival.prefix,
 		.prompt_tokens = req->arrival.prompt_tokens,
-		.pace_us = pace(core, req),
+		.pace_us = available_us_per_token(core, req),
 	};
 
 	if (req->service < 0)
@@ -38,19 +39,20 @@
 	return pick_choose(core->pick, &want, core->now, chain);
 }
 
-/* Returns how long a token may take for the answer to be in time. */
-static int64_t pace(const struct core *core, const struct core_req *req)
+/* Returns the time available per remaining token until the deadline. */
+static int64_t available_us_per_token(const struct core *core,
+				      const struct core_req *req)
 {
-	int64_t left = req->deadline_us - core->now;
+	int64_t remaining_us = req->deadline_us - core->now;
 
 	if (req->arrival.max_tokens <= req->tokens)
-		return left;
-	return left / (req->arrival.max_tokens - req->tokens);
+		return remaining_us;
+	return remaining_us / (req->arrival.max_tokens - req->tokens);
 }
 
 /*
- * Keeps a chosen chain for a request whose record is being reserved, so that
- * the place is still free once it may go.
+ * Reserves capacity on a chain while the request's record is being reserved,
+ * so that it is still free when the request may run.
  */
 void req_hold_chain(struct core *core, struct core_req *req,
 		    const struct pick_chain *chain)
@@ -60,7 +62,7 @@
 	pick_started(core->pick, chain, core->now);
 }
 
-/* Gives a chain back that nothing was sent to. */
+/* Releases a held chain to which nothing was sent. */
 void req_release_chain(struct core *core, struct core_req *req)
 {
 	struct pick_result result = {
@@ -105,7 +107,7 @@
 		  dispatch->resume);
 }
 
-/* Tells pick how the current attempt ended and gives its chain back. */
+/* Reports the end of the current attempt to pick and releases its chain. */
 void req_end_attempt(struct core *core, struct core_req *req,
 		     enum pick_result_kind kind, int at_stage, uint32_t silent)
 {
@@ -127,14 +129,14 @@
 		result.tokens, req->hop_us);
 	req->chain_held = false;
 	if (req->tokens > req->tokens_before_attempt) {
-		/* Only a chain that made tokens holds caches worth keeping. */
+		/* Only a chain that produced tokens has useful caches. */
 		req->last_chain = req->chain;
 		req->has_last_chain = true;
 	}
 	core->running--;
 }
 
-/* Asks the shell to stop the current attempt and the endpoint's work. */
+/* Asks the shell to cancel the current attempt and the endpoint's work. */
 void req_cancel(struct core *core, struct core_req *req, bool probe)
 {
 	struct core_cancel *cancel;
@@ -146,9 +148,9 @@
 }
 
 /*
- * Tells whether a failed request may be tried once more, elsewhere than at
- * the endpoint that failed it.  Repeats spend a budget, so that an overload
- * is not multiplied by them.
+ * Tells whether a failed request may be retried, and makes it avoid the
+ * endpoint that failed.  Retries spend a budget, so that they do not multiply
+ * an overload.
  */
 bool req_may_retry(struct core *core, struct core_req *req, int endpoint)
 {
@@ -160,7 +162,10 @@
 	return true;
 }
 
-/* The same for a request that no endpoint has begun: it spends no budget. */
+/*
+ * Like req_may_retry, for a request that no endpoint has begun: it spends no
+ * retry budget.
+ */
 bool req_may_redispatch(struct core *core, struct core_req *req, int endpoint)
 {
 	req_avoid(req, endpoint);
