--- a/regress/check_adm.c
+++ b/regress/check_adm.c
@@ -9,9 +9,12 @@
 
 #define OBJECTS_MAX 16
 #define TEXT_MAX    256
-#define FEW	    20 /* requests that a line names one by one */
+#define LISTED_MAX  20 /* requests up to which a line lists each one */
 
-/* A run: the set being built and the admission and shares that take it. */
+/*
+ * The state of one script: the next configuration, and the admission and
+ * shares under test.
+ */
 struct run {
 	FILE *out;
 	struct cfg_service services[OBJECTS_MAX];
@@ -22,7 +25,7 @@
 	struct adm *adm;
 	struct shr *shr;
 	int64_t now;
-	long id; /* of the next request that "offers" makes */
+	long id; /* id of the next request made by "offers" */
 };
 
 typedef void (*command_fn)(char **word);
@@ -35,7 +38,7 @@
 
 static struct run run;
 
-/* Log lines are part of the output. */
+/* Adds log lines to the output. */
 static void log_line(void *ctx, enum log_prio prio, const char *line)
 {
 	(void)ctx;
@@ -84,7 +87,7 @@
 	e->concurrency = (uint32_t)atoi(word[2]);
 }
 
-/* swap-accounts: the next set lists the first two the other way round */
+/* swap-accounts: the next configuration lists the first two in reverse order */
 static void do_swap(char **word)
 {
 	struct cfg_account first = run.accounts[0];
@@ -94,14 +97,14 @@
 	run.accounts[1] = first;
 }
 
-/* remove-account: the next set lacks the last one */
+/* remove-account: the next configuration lacks the last account */
 static void do_remove(char **word)
 {
 	(void)word;
 	run.set.account_count--;
 }
 
-/* config */
+/* config: applies the next configuration */
 static void do_config(char **word)
 {
 	(void)word;
@@ -122,7 +125,7 @@
 		      atof(word[4]));
 }
 
-/* at MS */
+/* at MS: sets the time */
 static void do_at(char **word)
 {
 	run.now = atoll(word[1]) * MAG_US_PER_MS;
@@ -155,7 +158,7 @@
 	fprintf(run.out, "offer %s: %s\n", word[1], adm_verdict_name(verdict));
 }
 
-/* offers COUNT ACCOUNT COST ALLOWANCE_MS PRIORITY: counts the verdicts */
+/* offers COUNT ACCOUNT COST ALLOWANCE_MS PRIORITY: prints verdict counts */
 static void do_offers(char **word)
 {
 	int counts[ADM_OVER_SHARE + 1] = { 0 };
@@ -175,7 +178,7 @@
 	fprintf(run.out, "\n");
 }
 
-/* start COUNT: starts requests in their turn; names them if they are few */
+/* start COUNT: starts requests in order; lists up to LISTED_MAX of them */
 static void do_start(char **word)
 {
 	uint64_t req;
@@ -184,13 +187,13 @@
 	fprintf(run.out, "start:");
 	for (i = 0; i < atoi(word[1]) && adm_peek(run.adm, 0, &req); i++) {
 		adm_start(run.adm, req, run.now);
-		if (atoi(word[1]) <= FEW)
+		if (atoi(word[1]) <= LISTED_MAX)
 			fprintf(run.out, " %d", (int)req);
 	}
-	fprintf(run.out, atoi(word[1]) <= FEW ? "\n" : " %d\n", i);
+	fprintf(run.out, atoi(word[1]) <= LISTED_MAX ? "\n" : " %d\n", i);
 }
 
-/* skip COUNT: passes requests over and names them */
+/* skip COUNT: skips requests and lists them */
 static void do_skip(char **word)
 {
 	uint64_t req;
@@ -204,7 +207,10 @@
 	fprintf(run.out, "\n");
 }
 
-/* serve TOKENS_PER_S UNTIL_MS: one at a time; tokens served by account */
+/*
+ * serve TOKENS_PER_S UNTIL_MS: runs one request at a time; prints tokens per
+ * account
+ */
 static void do_serve(char **word)
 {
 	double served[OBJECTS_MAX] = { 0 };
@@ -226,24 +232,24 @@
 			served[a]);
 }
 
-/* backlog ACCOUNT COUNT: queues requests that serve can tell apart */
+/* backlog ACCOUNT COUNT: queues requests whose ids tell serve the account */
 static void do_backlog(char **word)
 {
-	char *one[] = { "", word[1], "100", "3600000", "0" };
+	char *args[] = { "", word[1], "100", "3600000", "0" };
 	int i;
 
 	for (i = 0; i < atoi(word[2]); i++)
-		offer(atol(word[1]) * 100000 + i, one);
+		offer(atol(word[1]) * 100000 + i, args);
 }
 
-/* done ID TOKENS */
+/* done ID TOKENS: the request was answered completely */
 static void do_done(char **word)
 {
 	adm_answered(run.adm, (uint64_t)atoll(word[1]), (uint32_t)atoi(word[2]),
 		     run.now);
 }
 
-/* cut ID TOKENS: it failed after so many */
+/* cut ID TOKENS: the request failed after so many tokens */
 static void do_cut(char **word)
 {
 	adm_done(run.adm, (uint64_t)atoll(word[1]), (uint32_t)atoi(word[2]),
@@ -256,7 +262,7 @@
 	adm_drop(run.adm, (uint64_t)atoll(word[1]), run.now);
 }
 
-/* expired: names and drops what waited too long */
+/* expired: lists and drops requests that waited too long */
 static void do_expired(char **word)
 {
 	uint64_t req;
@@ -270,7 +276,7 @@
 	fprintf(run.out, "\n");
 }
 
-/* retries COUNT ACCOUNT ENDPOINT: how many the budgets allow */
+/* retries COUNT ACCOUNT ENDPOINT: prints how many the budgets allow */
 static void do_retries(char **word)
 {
 	int allowed = 0;
@@ -287,12 +293,12 @@
 		word[2], word[3], allowed, word[1]);
 }
 
-/* come-back COUNT ACCOUNT: how many are told to come back in which second */
+/* come-back COUNT ACCOUNT: prints how many clients return in which second */
 static void do_come_back(char **word)
 {
 	int at[256] = { 0 };
 	int seconds = 0;
-	int most = 0;
+	int max_in_one = 0;
 	int i;
 
 	for (i = 0; i < atoi(word[1]); i++)
@@ -300,16 +306,16 @@
 		   255]++;
 	fprintf(run.out, "come back:");
 	for (i = 0; i < 256; i++) {
-		if (at[i] && atoi(word[1]) <= 2 * FEW)
+		if (at[i] && atoi(word[1]) <= 2 * LISTED_MAX)
 			fprintf(run.out, " %d s: %d", i, at[i]);
-		most = at[i] > most ? at[i] : most;
+		max_in_one = at[i] > max_in_one ? at[i] : max_in_one;
 		seconds += at[i] > 0;
 	}
 	fprintf(run.out, " in %d different seconds, at most %d in one\n",
-		seconds, most);
+		seconds, max_in_one);
 }
 
-/* state: what waits, what the limits saw */
+/* state: prints the number of waiting requests and each limit's demand */
 static void do_state(char **word)
 {
 	size_t i;
@@ -322,7 +328,7 @@
 	fprintf(run.out, "\n");
 }
 
-/* ran ACCOUNT TOKENS: through the first two endpoints */
+/* ran ACCOUNT TOKENS: an attempt ran on the first two endpoints */
 static void do_ran(char **word)
 {
 	struct pick_chain chain = { .stages = { { 0, 0, 3 }, { 1, 4, 7 } },
@@ -363,7 +369,7 @@
 	{ "shares", 1, do_shares },	 { "metrics", 1, do_metrics },
 };
 
-/* Splits a line into words and runs its command. */
+/* Splits a line into words and runs the command. */
 static void run_line(char *line)
 {
 	char *word[16] = { NULL };
@@ -382,8 +388,8 @@
 	}
 }
 
-/* Runs one script; see regress/adm. */
-static void driver(FILE *in, FILE *out)
+/* Runs one script of regress/adm. */
+static void run_script(FILE *in, FILE *out)
 {
 	char line[TEXT_MAX];
 
@@ -409,5 +415,5 @@
 /* Runs all scripts. */
 int main(void)
 {
-	return script_main("regress/adm", driver);
+	return script_main("regress/adm", run_script);
 }
--- a/src/adm.c
+++ b/src/adm.c
@@ -4,23 +4,23 @@
 #include "adm_int.h"
 #include "log.h"
 
-#define ADM_SEED_MIX	    UINT64_C(0x2545f4914f6cdd1d)
-#define ADM_USED_DEVIATIONS 2
-#define ADM_ANSWERS_LEAST   20
-
-static bool adm_known(const struct adm *adm, int account, int service);
-static enum adm_verdict adm_judge(struct adm *adm,
-				  const struct adm_offer *offer,
-				  struct adm_queue *queue, int64_t now);
+#define ADM_SEED_MIX	     UINT64_C(0x2545f4914f6cdd1d)
+#define ADM_RATIO_DEVIATIONS 2
+#define ADM_MIN_ANSWERS	     20
+
+static bool adm_indices_valid(const struct adm *adm, int account, int service);
+static enum adm_verdict adm_check_offer(struct adm *adm,
+					const struct adm_offer *offer,
+					struct adm_queue *queue, int64_t now);
 static uint32_t adm_run_tokens(const struct adm_offer *offer);
-static int adm_admit(struct adm *adm, const struct adm_offer *offer,
-		     int64_t now);
-static void adm_forget(struct adm *adm, struct adm_request *request);
+static int adm_add_request(struct adm *adm, const struct adm_offer *offer,
+			   int64_t now);
+static void adm_remove(struct adm *adm, struct adm_request *request);
 
 /*
- * Makes an empty admission.  The seed fixes how refused callers are spread;
- * without budgets every retry is allowed, which is the bench's baseline.
- * Returns NULL if memory is short.
+ * Creates an empty admission.  The seed determines how the returns of refused
+ * clients are spread.  Without budgets every retry is allowed, which is the
+ * baseline of the benchmark.  Returns NULL if out of memory.
  */
 struct adm *adm_new(uint64_t seed, bool budgets)
 {
@@ -62,9 +62,9 @@
 }
 
 /*
- * Tells the rate at which a service's work gets done, in tokens a second.
- * What is measured while callers wait goes before it, but a change of
- * capacity changes that at once in proportion, long before it is measured.
+ * Sets the throughput of a service in tokens per second.  The throughput
+ * measured while requests wait takes precedence, but a change of capacity
+ * scales the measured value at once, long before the change could be measured.
  */
 void adm_set_capacity(struct adm *adm, int service, double tokens_per_s)
 {
@@ -79,8 +79,8 @@
 }
 
 /*
- * Offers a request.  ADM_QUEUED means that adm_peek will name it in its
- * turn; everything else is a refusal, and nothing is kept of it.
+ * Offers a request.  After ADM_QUEUED, adm_peek returns the request in its
+ * turn.  Any other verdict is a refusal, and the request is not stored.
  */
 enum adm_verdict adm_offer(struct adm *adm, const struct adm_offer *offer,
 			   int64_t now)
@@ -88,12 +88,12 @@
 	struct adm_queue *queue;
 	enum adm_verdict verdict;
 
-	if (!adm_known(adm, offer->account, offer->service))
+	if (!adm_indices_valid(adm, offer->account, offer->service))
 		return ADM_OVER_LIMIT;
 	queue = adm_queue_at(adm, offer->service, offer->account);
 	adm_limits_count_demand(adm, offer, now);
-	verdict = adm_judge(adm, offer, queue, now);
-	if (verdict == ADM_QUEUED && adm_admit(adm, offer, now) < 0)
+	verdict = adm_check_offer(adm, offer, queue, now);
+	if (verdict == ADM_QUEUED && adm_add_request(adm, offer, now) < 0)
 		verdict = ADM_QUEUE_FULL;
 	if (verdict != ADM_QUEUED) {
 		log_event(LOG_ADM_REFUSED,
@@ -108,7 +108,7 @@
 	return verdict;
 }
 
-/* Notes that a request goes to endpoints now. */
+/* Records that a request is sent to endpoints now. */
 void adm_start(struct adm *adm, uint64_t req, int64_t now)
 {
 	struct adm_request *request = adm_find(adm, req);
@@ -126,17 +126,20 @@
 	adm_earn_retry(adm, queue, now);
 }
 
-/* Takes out a request that never started, as its caller is gone. */
+/* Removes a request that never started, for example when its client is gone. */
 void adm_drop(struct adm *adm, uint64_t req, int64_t now)
 {
 	struct adm_request *request = adm_find(adm, req);
 
 	(void)now;
 	if (request)
-		adm_forget(adm, request);
+		adm_remove(adm, request);
 }
 
-/* Takes out a request whose whole answer came, and learns from its length. */
+/*
+ * Removes a request that was answered completely, and updates the estimates
+ * from the length of the answer.
+ */
 void adm_answered(struct adm *adm, uint64_t req, uint32_t tokens, int64_t now)
 {
 	struct adm_request *request = adm_find(adm, req);
@@ -147,8 +150,8 @@
 }
 
 /*
- * Takes out a request that ended.  What it cost less than it was charged is
- * given back to its account.
+ * Removes a request that ended.  If it used fewer tokens than it was charged,
+ * the difference is returned to its account.
  */
 void adm_done(struct adm *adm, uint64_t req, uint32_t tokens, int64_t now)
 {
@@ -163,10 +166,10 @@
 		if (queue->count > 0 && tokens < request->cost_tokens)
 			queue->deficit += request->cost_tokens - tokens;
 	}
-	adm_forget(adm, request);
+	adm_remove(adm, request);
 }
 
-/* Returns how many requests wait for a service. */
+/* Returns the number of requests that wait for a service. */
 uint32_t adm_waiting(const struct adm *adm, int service)
 {
 	if (service < 0 || service >= adm->service_count)
@@ -175,26 +178,26 @@
 }
 
 /*
- * Returns how many tokens an answer of at most max_tokens will have at least,
- * but for a few; 0 while too few answers are known.  Callers often allow far
- * more tokens than they get.
+ * Returns the tokens that almost every answer of at most max_tokens will have
+ * at least; 0 until enough answers are known.  Clients often allow far more
+ * tokens than they receive.
  */
 double adm_expected_tokens(const struct adm *adm, int service,
 			   uint32_t max_tokens)
 {
 	const struct adm_service *s;
-	double part;
+	double ratio;
 
 	if (service < 0 || service >= adm->service_count)
 		return 0;
 	s = &adm->services[service];
-	part = s->answer_ratio - ADM_USED_DEVIATIONS * s->ratio_deviation;
-	if (s->answers < ADM_ANSWERS_LEAST || part < 0)
+	ratio = s->answer_ratio - ADM_RATIO_DEVIATIONS * s->ratio_deviation;
+	if (s->answers < ADM_MIN_ANSWERS || ratio < 0)
 		return 0;
-	return part * max_tokens;
+	return ratio * max_tokens;
 }
 
-/* Returns the name of a verdict, as logs and answers show it. */
+/* Returns the name of a verdict for logs and answers. */
 const char *adm_verdict_name(enum adm_verdict verdict)
 {
 	static const char *const names[] = {
@@ -214,7 +217,7 @@
 	return &adm->queues[service * adm->account_count + account];
 }
 
-/* Finds a request by its id; NULL if it is not here. */
+/* Finds a request by its id; NULL if there is none. */
 struct adm_request *adm_find(struct adm *adm, uint64_t id)
 {
 	struct cds_list_head *bucket = &adm->by_id[id & (ADM_BUCKETS - 1)];
@@ -227,37 +230,37 @@
 	return NULL;
 }
 
-/* Tells whether both indices name an object of the present set. */
-static bool adm_known(const struct adm *adm, int account, int service)
+/* Tells whether both indices denote objects of the current configuration. */
+static bool adm_indices_valid(const struct adm *adm, int account, int service)
 {
 	return account >= 0 && account < adm->account_count && service >= 0 &&
 	       service < adm->service_count;
 }
 
 /*
- * Judges an offer.  A request that would miss its deadline is refused now:
- * admitted, it would wait, run and be thrown away, and under overload the
- * endpoints would work on nothing else; goodput would fall while throughput
- * stays.
+ * Decides on an offer.  A request that would miss its deadline is refused at
+ * once.  If it were admitted, it would wait, run and be discarded; under
+ * overload the endpoints would do nothing else, and goodput would fall while
+ * throughput stayed the same.
  */
-static enum adm_verdict adm_judge(struct adm *adm,
-				  const struct adm_offer *offer,
-				  struct adm_queue *queue, int64_t now)
+static enum adm_verdict adm_check_offer(struct adm *adm,
+					const struct adm_offer *offer,
+					struct adm_queue *queue, int64_t now)
 {
 	struct adm_service *service = &adm->services[offer->service];
 	double share = adm_share(adm, queue);
-	double fair = service->queue_max * share;
-	int64_t run = adm_run_us(service, adm_run_tokens(offer),
-				 adm_is_below_share(adm, queue, now));
+	double fair_places = service->queue_max * share;
+	int64_t run_us = adm_run_us(service, adm_run_tokens(offer),
+				    adm_is_below_share(adm, queue, now));
 
-	if (now + adm_wait_us(adm, queue) + run > offer->deadline_us)
+	if (now + adm_wait_us(adm, queue) + run_us > offer->deadline_us)
 		return ADM_TOO_LATE;
 	if (service->waiting >= service->queue_max &&
-	    queue->count >= (uint32_t)fair)
-		return queue->count > 2 * fair + 1 ? ADM_OVER_SHARE
-						   : ADM_QUEUE_FULL;
+	    queue->count >= (uint32_t)fair_places)
+		return queue->count > 2 * fair_places + 1 ? ADM_OVER_SHARE
+							  : ADM_QUEUE_FULL;
 	if (service->waiting >= service->queue_max / 2 &&
-	    queue->count > (uint32_t)fair + 1)
+	    queue->count > (uint32_t)fair_places + 1)
 		return ADM_OVER_SHARE;
 	if (!adm_limits_take(adm, offer, now))
 		return ADM_OVER_LIMIT;
@@ -274,9 +277,9 @@
 	return tokens ? tokens : 1;
 }
 
-/* Puts an admitted request into its queue. */
-static int adm_admit(struct adm *adm, const struct adm_offer *offer,
-		     int64_t now)
+/* Adds an admitted request to its queue. */
+static int adm_add_request(struct adm *adm, const struct adm_offer *offer,
+			   int64_t now)
 {
 	struct adm_service *service = &adm->services[offer->service];
 	struct adm_request *request = calloc(1, sizeof(*request));
@@ -308,8 +311,8 @@
 	return 0;
 }
 
-/* Takes a request out of every table. */
-static void adm_forget(struct adm *adm, struct adm_request *request)
+/* Removes a request from all tables and frees it. */
+static void adm_remove(struct adm *adm, struct adm_request *request)
 {
 	if (!request->started_us)
 		adm_dequeue(adm, request);
--- a/src/adm.h
+++ b/src/adm.h
@@ -2,9 +2,10 @@
 #define ADM_H
 
 /*
- * Admission: per service a deficit round robin over client accounts by
- * weight, cost in tokens; limits; early refusal by deadline; budgets for
- * retries.  Deterministic.
+ * Admission control.  Each service schedules its client accounts by deficit
+ * round robin with weights; costs are in tokens.  Admission also enforces
+ * limits, refuses early what would miss its deadline, and holds the retry
+ * budgets.  It is deterministic.
  */
 
 #include <stdbool.h>
@@ -17,18 +18,18 @@
 
 enum adm_verdict {
 	ADM_QUEUED,
-	ADM_QUEUE_FULL, /* 503 */
-	ADM_TOO_LATE,	/* 503: its answer would come past its deadline */
-	ADM_OVER_LIMIT, /* 429: a limit object */
-	ADM_OVER_SHARE, /* 429: the account is far over its share */
+	ADM_QUEUE_FULL, /* status 503 */
+	ADM_TOO_LATE,	/* status 503: its answer would miss its deadline */
+	ADM_OVER_LIMIT, /* status 429: a limit object is exhausted */
+	ADM_OVER_SHARE, /* status 429: the account is far over its share */
 };
 
 struct adm_offer {
 	uint64_t req;
 	int account;
 	int service;
-	uint32_t cost_tokens; /* what its account is charged */
-	uint32_t run_tokens;  /* the longest answer; 0: the cost */
+	uint32_t cost_tokens; /* charged to the account */
+	uint32_t run_tokens;  /* maximum length of the answer; 0: cost_tokens */
 	int64_t deadline_us;
 	uint32_t priority;
 };
@@ -38,11 +39,11 @@
 void adm_free(struct adm *adm);
 int adm_config(struct adm *adm, const struct cfg_set *set, int64_t now);
 
-/* What this instance may admit of a fleet-wide limit now. */
+/* Sets this instance's share of a fleet-wide limit. */
 void adm_set_share(struct adm *adm, int limit, double requests_per_s,
 		   double tokens_per_s, double concurrent);
 
-/* The rate at which the service's work gets done, for expected starts. */
+/* Sets a service's throughput, from which waiting times are estimated. */
 void adm_set_capacity(struct adm *adm, int service, double tokens_per_s);
 
 enum adm_verdict adm_offer(struct adm *adm, const struct adm_offer *offer,
--- a/src/adm_config.c
+++ b/src/adm_config.c
@@ -3,21 +3,21 @@
 
 #include "adm_int.h"
 
-#define ADM_START_US_PER_TOKEN 1000 /* until some request has ended */
-#define ADM_START_COST	       100
-#define ADM_LEAST_WEIGHT       1
+#define ADM_INITIAL_US_PER_TOKEN 1000 /* until a request has ended */
+#define ADM_INITIAL_COST	 100
+#define ADM_MIN_WEIGHT		 1
 
-static int adm_take_services(struct adm *adm, const struct cfg_set *set);
-static void adm_take_service(struct adm_service *service,
+static int adm_load_services(struct adm *adm, const struct cfg_set *set);
+static void adm_load_service(struct adm_service *service,
 			     const struct cfg_service *cfg,
 			     const struct adm_service *old, int old_count,
 			     int hint);
-static int adm_take_accounts(struct adm *adm, const struct cfg_set *set);
-static int adm_take_limits(struct adm *adm, const struct cfg_set *set,
+static int adm_load_accounts(struct adm *adm, const struct cfg_set *set);
+static int adm_load_limits(struct adm *adm, const struct cfg_set *set,
 			   int64_t now);
-static void adm_take_limit(struct adm_limit *limit, const struct cfg_limit *cfg,
+static void adm_load_limit(struct adm_limit *limit, const struct cfg_limit *cfg,
 			   int64_t now);
-static int adm_take_endpoints(struct adm *adm, const struct cfg_set *set,
+static int adm_load_endpoints(struct adm *adm, const struct cfg_set *set,
 			      int64_t now);
 static int adm_move_requests(struct adm *adm, const struct adm *old);
 static void adm_move_limits(struct adm *adm, const struct adm *old,
@@ -28,9 +28,10 @@
 			     struct adm_request *request);
 
 /*
- * Takes a new set.  Requests, budgets and estimates of accounts and services
- * that both sets name are kept; what waits for one that is gone is given up
- * by the next adm_next_expired.  Returns 0, or -1 if memory is short.
+ * Applies a configuration.  Requests, budgets and estimates of accounts and
+ * services that exist in both configurations are retained.  Waiting requests
+ * whose account or service was removed expire at the next adm_next_expired.
+ * Returns 0, or -1 if out of memory.
  */
 int adm_config(struct adm *adm, const struct cfg_set *set, int64_t now)
 {
@@ -45,13 +46,13 @@
 	adm->queues = calloc(queues, sizeof(*adm->queues));
 	adm->service_count = (int)set->service_count;
 	adm->account_count = (int)set->account_count;
-	if (!adm->queues || adm_take_services(adm, set) < 0 ||
-	    adm_take_accounts(adm, set) < 0 ||
-	    adm_take_limits(adm, set, now) < 0 ||
-	    adm_take_endpoints(adm, set, now) < 0)
+	if (!adm->queues || adm_load_services(adm, set) < 0 ||
+	    adm_load_accounts(adm, set) < 0 ||
+	    adm_load_limits(adm, set, now) < 0 ||
+	    adm_load_endpoints(adm, set, now) < 0)
 		return -1;
 	for (i = 0; i < set->service_count; i++)
-		adm_take_service(&adm->services[i], &set->services[i],
+		adm_load_service(&adm->services[i], &set->services[i],
 				 old.services, old.service_count, (int)i);
 	if (adm_move_requests(adm, &old) < 0)
 		return -1;
@@ -61,8 +62,8 @@
 	return 0;
 }
 
-/* Makes the services and the queues of their accounts. */
-static int adm_take_services(struct adm *adm, const struct cfg_set *set)
+/* Creates the services and the queues of their accounts. */
+static int adm_load_services(struct adm *adm, const struct cfg_set *set)
 {
 	size_t i;
 	size_t j;
@@ -85,38 +86,38 @@
 	return 0;
 }
 
-/* Sets a service to what its object says, and keeps its estimates. */
-static void adm_take_service(struct adm_service *service,
+/* Sets up a service from its object and copies its former estimates. */
+static void adm_load_service(struct adm_service *service,
 			     const struct cfg_service *cfg,
 			     const struct adm_service *old, int old_count,
 			     int hint)
 {
-	int at = -1;
+	int old_index = -1;
 
 	mag_copy_name(service->name, sizeof(service->name), cfg->name);
 	service->counts_requests = cfg->kind == CFG_PLAIN;
 	service->queue_max = cfg->queue_max;
 	service->retry_percent = cfg->retry_percent;
-	service->us_per_token = ADM_START_US_PER_TOKEN;
-	service->mean_cost = ADM_START_COST;
+	service->us_per_token = ADM_INITIAL_US_PER_TOKEN;
+	service->mean_cost = ADM_INITIAL_COST;
 	service->answer_ratio = 1;
 	if (old)
-		at = mag_name_near(old->name, sizeof(*old), (size_t)old_count,
-				   cfg->name, hint);
-	if (at < 0)
+		old_index = mag_name_near(old->name, sizeof(*old),
+					  (size_t)old_count, cfg->name, hint);
+	if (old_index < 0)
 		return;
-	service->capacity = old[at].capacity;
-	service->measured = old[at].measured;
-	service->us_per_token = old[at].us_per_token;
-	service->mean_cost = old[at].mean_cost;
-	service->us_deviation = old[at].us_deviation;
-	service->answer_ratio = old[at].answer_ratio;
-	service->ratio_deviation = old[at].ratio_deviation;
-	service->answers = old[at].answers;
+	service->capacity = old[old_index].capacity;
+	service->measured = old[old_index].measured;
+	service->us_per_token = old[old_index].us_per_token;
+	service->mean_cost = old[old_index].mean_cost;
+	service->us_deviation = old[old_index].us_deviation;
+	service->answer_ratio = old[old_index].answer_ratio;
+	service->ratio_deviation = old[old_index].ratio_deviation;
+	service->answers = old[old_index].answers;
 }
 
-/* Makes the accounts. */
-static int adm_take_accounts(struct adm *adm, const struct cfg_set *set)
+/* Creates the accounts. */
+static int adm_load_accounts(struct adm *adm, const struct cfg_set *set)
 {
 	size_t i;
 
@@ -129,14 +130,14 @@
 		mag_copy_name(account->name, sizeof(account->name),
 			      set->accounts[i].name);
 		account->weight = set->accounts[i].weight;
-		if (account->weight < ADM_LEAST_WEIGHT)
-			account->weight = ADM_LEAST_WEIGHT;
+		if (account->weight < ADM_MIN_WEIGHT)
+			account->weight = ADM_MIN_WEIGHT;
 	}
 	return 0;
 }
 
-/* Makes the limits, each with its whole amount until adm_set_share. */
-static int adm_take_limits(struct adm *adm, const struct cfg_set *set,
+/* Creates the limits, each with its full amount until adm_set_share. */
+static int adm_load_limits(struct adm *adm, const struct cfg_set *set,
 			   int64_t now)
 {
 	size_t i;
@@ -146,12 +147,12 @@
 	if (!adm->limits)
 		return -1;
 	for (i = 0; i < set->limit_count; i++)
-		adm_take_limit(&adm->limits[i], &set->limits[i], now);
+		adm_load_limit(&adm->limits[i], &set->limits[i], now);
 	return 0;
 }
 
-/* Sets one limit to what its object says. */
-static void adm_take_limit(struct adm_limit *limit, const struct cfg_limit *cfg,
+/* Sets up one limit from its object. */
+static void adm_load_limit(struct adm_limit *limit, const struct cfg_limit *cfg,
 			   int64_t now)
 {
 	mag_copy_name(limit->name, sizeof(limit->name), cfg->name);
@@ -170,8 +171,8 @@
 	limit->tokens.level = limit->tokens.burst;
 }
 
-/* Makes the retry budgets of the endpoints. */
-static int adm_take_endpoints(struct adm *adm, const struct cfg_set *set,
+/* Creates the retry budgets of the endpoints. */
+static int adm_load_endpoints(struct adm *adm, const struct cfg_set *set,
 			      int64_t now)
 {
 	size_t i;
@@ -183,20 +184,20 @@
 		return -1;
 	for (i = 0; i < set->endpoint_count; i++) {
 		struct adm_endpoint *endpoint = &adm->endpoints[i];
-		double most = set->endpoints[i].concurrency;
+		double burst = set->endpoints[i].concurrency;
 
 		mag_copy_name(endpoint->name, sizeof(endpoint->name),
 			      set->endpoints[i].name);
-		if (most < ADM_RETRY_BURST)
-			most = ADM_RETRY_BURST;
+		if (burst < ADM_RETRY_BURST)
+			burst = ADM_RETRY_BURST;
 		adm_bucket_set(&endpoint->retries,
-			       most * ADM_RETRY_REFILL_PER_S, most, now);
-		endpoint->retries.level = most;
+			       burst * ADM_RETRY_REFILL_PER_S, burst, now);
+		endpoint->retries.level = burst;
 	}
 	return 0;
 }
 
-/* Moves the requests and budgets of the former set to the new tables. */
+/* Moves requests and account budgets from the former tables to the new ones. */
 static int adm_move_requests(struct adm *adm, const struct adm *old)
 {
 	struct adm_request *request;
@@ -231,9 +232,9 @@
 }
 
 /*
- * Keeps what is left of each limit, and this instance's part of it.  A limit
- * that started full after every change of some object would let in its whole
- * amount once more each time.
+ * Carries over the remaining amount of each limit and this instance's share of
+ * it.  If limits started full after each change of any object, each change
+ * would admit the full amount once more.
  */
 static void adm_move_limits(struct adm *adm, const struct adm *old, int64_t now)
 {
@@ -242,20 +243,20 @@
 
 	for (i = 0; i < adm->limit_count; i++) {
 		struct adm_limit *to = &adm->limits[i];
-		int at = -1;
+		int old_index = -1;
 
 		if (old->limits)
-			at = mag_name_near(
+			old_index = mag_name_near(
 				old->limits->name, sizeof(*old->limits),
 				(size_t)old->limit_count, to->name, next);
-		if (at < 0)
+		if (old_index < 0)
 			continue;
-		next = at + 1;
-		adm_limit_carry_over(to, &old->limits[at], now);
+		next = old_index + 1;
+		adm_limit_carry_over(to, &old->limits[old_index], now);
 	}
 }
 
-/* The same for the retries that each endpoint may cause. */
+/* Carries over the retry budget of each endpoint. */
 static void adm_move_endpoints(struct adm *adm, const struct adm *old,
 			       int64_t now)
 {
@@ -264,21 +265,21 @@
 
 	for (i = 0; i < adm->endpoint_count; i++) {
 		struct adm_endpoint *to = &adm->endpoints[i];
-		int at = -1;
+		int old_index = -1;
 
 		if (old->endpoints)
-			at = mag_name_near(
+			old_index = mag_name_near(
 				old->endpoints->name, sizeof(*old->endpoints),
 				(size_t)old->endpoint_count, to->name, next);
-		if (at < 0)
+		if (old_index < 0)
 			continue;
-		next = at + 1;
-		adm_bucket_carry_over(&to->retries, &old->endpoints[at].retries,
-				      now);
+		next = old_index + 1;
+		adm_bucket_carry_over(&to->retries,
+				      &old->endpoints[old_index].retries, now);
 	}
 }
 
-/* Moves one request; without its account or service it is given up. */
+/* Moves one request.  It expires if its account or service was removed. */
 static void adm_move_request(struct adm *adm, const struct adm *old,
 			     struct adm_request *request)
 {
@@ -313,7 +314,7 @@
 	}
 }
 
-/* Frees the tables that a set fills. */
+/* Frees the tables that are created from a configuration. */
 void adm_free_tables(struct adm *adm)
 {
 	free(adm->services);
--- a/src/adm_int.h
+++ b/src/adm_int.h
@@ -1,7 +1,7 @@
 #ifndef ADM_INT_H
 #define ADM_INT_H
 
-/* What the files of the adm family share; no other module includes it. */
+/* Declarations shared by the adm files; no other module includes them. */
 
 #include <urcu/list.h>
 
@@ -9,23 +9,23 @@
 
 #define ADM_BUCKETS 4096 /* of the table of requests; a power of two */
 
-/* Retries that an account or an endpoint may always have saved up. */
+/* Retries that an account or an endpoint can always accumulate. */
 #define ADM_RETRY_BURST 10
-/* Part of an endpoint's retry budget that comes back in a second. */
+/* Fraction of an endpoint's retry budget that is refilled per second. */
 #define ADM_RETRY_REFILL_PER_S 0.1
 
-/* A store of units that fills at a rate up to a most. */
+/* A token bucket: fills at a rate up to its burst size. */
 struct adm_bucket {
 	double level;
-	double rate; /* units a second; 0: the bucket is not in use */
+	double rate; /* units per second; 0: the bucket is not in use */
 	double burst;
-	int64_t updated_us; /* when level was right */
+	int64_t updated_us; /* time for which level is valid */
 };
 
-/* A request that waits or runs. */
+/* A request that is waiting or running. */
 struct adm_request {
 	struct cds_list_head id_node;
-	struct cds_list_head queue_node; /* while it waits */
+	struct cds_list_head queue_node; /* while it is waiting */
 	uint64_t id;
 	int account;
 	int service;
@@ -33,51 +33,50 @@
 	uint32_t run_tokens;
 	uint32_t priority;
 	int64_t offered_us;
-	int64_t latest_start_us; /* later starts would miss the deadline */
-	int64_t started_us;	 /* 0 while it waits */
-	int heap_index;		 /* place in the heap of those that wait */
-	uint32_t seq;		 /* of arrival, to break ties */
+	int64_t latest_start_us; /* a later start would miss the deadline */
+	int64_t started_us;	 /* 0 while it is waiting */
+	int heap_index;		 /* index in adm->heap while it is waiting */
+	uint32_t seq;		 /* order of arrival, to break ties */
 };
 
-/* One account at one service. */
+/* The requests of one account at one service. */
 struct adm_queue {
-	struct cds_list_head active; /* in the service's list while it waits */
+	struct cds_list_head active; /* in adm_service.active while waiting */
 	struct cds_list_head waiting;
 	int account;
 	int service;
 	double deficit;	       /* tokens that it may start now */
-	double waiting_tokens; /* to run, of what waits */
+	double waiting_tokens; /* sum of run_tokens of the waiting requests */
 	uint32_t count;
 	uint32_t in_progress; /* waiting or running */
-	uint32_t skipped;     /* requests passed over in this round */
-	double recent_tokens; /* tokens started lately, decayed */
+	uint32_t skipped;     /* requests skipped in this round */
+	double recent_tokens; /* recently started tokens, decayed */
 	int64_t recent_us;
 	double retry_balance;  /* balance of the retry budget */
 	double first_attempts; /* recent first attempts, decayed */
 	int64_t first_attempts_us;
-	int64_t return_us; /* when the next refused caller may come back */
+	int64_t return_us; /* earliest return of the next refused client */
 };
 
 struct adm_service {
 	char name[MAG_NAME_MAX];
-	struct cds_list_head active; /* queues with something waiting */
+	struct cds_list_head active; /* queues with waiting requests */
 	struct adm_request *peeked;
 	uint32_t waiting;
-	double waiting_tokens; /* to run, of what waits */
-	bool counts_requests;  /* requests are counted, not tokens */
+	double waiting_tokens; /* sum of run_tokens of the waiting requests */
+	bool counts_requests;  /* work is counted in requests, not tokens */
 	uint32_t queue_max;
 	uint32_t retry_percent;
-	double capacity;	/* tokens a second, as told */
-	double measured;	/* the same, as seen while callers waited */
-	double measured_tokens; /* tokens since the measurement began */
+	double capacity; /* tokens per second, from adm_set_capacity */
+	double measured; /* tokens per second, measured while requests wait */
+	double measured_tokens; /* tokens since measure_from_us */
 	int64_t measure_from_us;
 	double us_per_token;
-	double us_deviation; /* mean of how far runs are from it */
+	double us_deviation; /* mean absolute deviation of us_per_token */
 	double mean_cost;
-	double answer_ratio; /* tokens delivered, as a part of those asked for
-			      */
-	double ratio_deviation; /* mean of how far answers are from it */
-	uint32_t answers;	/* learnt from */
+	double answer_ratio;	/* delivered tokens / requested tokens */
+	double ratio_deviation; /* mean absolute deviation of answer_ratio */
+	uint32_t answers;	/* number of answers in the estimates */
 };
 
 struct adm_account {
@@ -85,18 +84,18 @@
 	uint32_t weight;
 };
 
-/* A limit object and what this instance may admit of it. */
+/* A limit object and this instance's share of it. */
 struct adm_limit {
 	char name[MAG_NAME_MAX];
 	int account;
 	int service;
 	struct adm_bucket requests;
 	struct adm_bucket tokens;
-	double concurrent; /* 0: no such limit */
+	double concurrent; /* 0: no limit on concurrent requests */
 	uint32_t in_progress;
-	double demand; /* offered a second, decayed */
+	double demand; /* offered units per second, decayed */
 	int64_t demand_us;
-	double fleet_requests; /* what the object says, for the fleet */
+	double fleet_requests; /* the object's limits, fleet-wide */
 	double fleet_tokens;
 	double fleet_concurrent;
 };
@@ -114,12 +113,12 @@
 	int service_count;
 	struct adm_account *accounts;
 	int account_count;
-	struct adm_queue *queues; /* services x accounts */
+	struct adm_queue *queues; /* one per service and account */
 	struct adm_limit *limits;
 	int limit_count;
 	struct adm_endpoint *endpoints;
 	int endpoint_count;
-	struct adm_request **heap; /* those that wait, by give_up_us */
+	struct adm_request **heap; /* waiting, by latest_start_us */
 	int heap_count;
 	int heap_capacity;
 	uint32_t seq;
@@ -142,7 +141,7 @@
 double adm_share(const struct adm *adm, const struct adm_queue *queue);
 int64_t adm_wait_us(const struct adm *adm, const struct adm_queue *queue);
 int64_t adm_run_us(const struct adm_service *service, double tokens,
-		   bool modest);
+		   bool below_share);
 bool adm_is_below_share(const struct adm *adm, const struct adm_queue *queue,
 			int64_t now);
 void adm_count_started_tokens(struct adm_queue *queue, double tokens,
@@ -159,7 +158,7 @@
 			   int64_t now);
 void adm_limit_carry_over(struct adm_limit *limit, struct adm_limit *old,
 			  int64_t now);
-void adm_bucket_set(struct adm_bucket *bucket, double rate, double most,
+void adm_bucket_set(struct adm_bucket *bucket, double rate, double burst,
 		    int64_t now);
 bool adm_bucket_has(struct adm_bucket *bucket, double units, int64_t now);
 void adm_bucket_take(struct adm_bucket *bucket, double units);
--- a/src/adm_limit.c
+++ b/src/adm_limit.c
@@ -2,37 +2,38 @@
 
 #include "adm_int.h"
 
-#define ADM_DEMAND_SPAN_S 1.0  /* over which offers are averaged */
-#define ADM_FIRSTS_SPAN_S 60.0 /* over which first attempts count */
-#define ADM_RETURN_MAX_S  120
-#define ADM_LEAST_SHARE	  1e-6
-#define ADM_RETURN_PART	  0.5 /* of the rate, kept for callers sent away */
+#define ADM_DEMAND_SPAN_S	  1.0  /* decay time of the demand */
+#define ADM_FIRST_ATTEMPTS_SPAN_S 60.0 /* decay time of first attempts */
+#define ADM_RETRY_AFTER_MAX_S	  120
+#define ADM_MIN_SHARE		  1e-6
+/* Part of the service rate that returning clients may use. */
+#define ADM_RETURN_RATE_PART 0.5
 
 static bool adm_limit_covers(const struct adm_limit *limit, int account,
 			     int service);
 static void adm_bucket_fill(struct adm_bucket *bucket, int64_t now);
 static int64_t adm_bucket_wait_us(struct adm_bucket *bucket, int64_t now);
 static double adm_random(struct adm *adm);
-static double adm_part(const struct adm_limit *limit);
-static double adm_some(double share);
-static bool adm_limits_have(struct adm *adm, const struct adm_offer *offer,
-			    int64_t now);
+static double adm_limit_share(const struct adm_limit *limit);
+static double adm_nonzero_share(double share);
+static bool adm_limits_have_room(struct adm *adm, const struct adm_offer *offer,
+				 int64_t now);
 
-/* Sets a bucket's rate and most; what it holds is kept up to the most. */
-void adm_bucket_set(struct adm_bucket *bucket, double rate, double most,
+/* Sets a bucket's rate and burst; its level is retained up to the burst. */
+void adm_bucket_set(struct adm_bucket *bucket, double rate, double burst,
 		    int64_t now)
 {
 	adm_bucket_fill(bucket, now);
 	bucket->rate = rate;
-	bucket->burst = most < 1 ? 1 : most;
+	bucket->burst = burst < 1 ? 1 : burst;
 	bucket->updated_us = now;
 	if (bucket->level > bucket->burst)
 		bucket->level = bucket->burst;
 }
 
 /*
- * Takes over from the bucket of the former set what is left in it and, if this
- * one may hold as much as that one, the part that it had of it.
+ * Carries over the level of the former configuration's bucket, up to the burst
+ * of the new bucket.
  */
 void adm_bucket_carry_over(struct adm_bucket *bucket, struct adm_bucket *old,
 			   int64_t now)
@@ -44,29 +45,30 @@
 }
 
 /*
- * Keeps what is left of a limit, its demand, and this instance's part of it:
- * until the next part is told, the same fraction of what the limit is now.
+ * Carries over the remaining amount of a limit, its demand, and this
+ * instance's share of it.  Until the next adm_set_share, the share is the same
+ * fraction of the new limit.
  */
 void adm_limit_carry_over(struct adm_limit *limit, struct adm_limit *old,
 			  int64_t now)
 {
-	double part = adm_part(old);
+	double share = adm_limit_share(old);
 
 	limit->demand = old->demand;
 	limit->demand_us = old->demand_us;
 	if (limit->requests.rate > 0)
-		adm_bucket_set(&limit->requests, part * limit->fleet_requests,
-			       part * limit->fleet_requests, now);
+		adm_bucket_set(&limit->requests, share * limit->fleet_requests,
+			       share * limit->fleet_requests, now);
 	if (limit->tokens.rate > 0)
-		adm_bucket_set(&limit->tokens, part * limit->fleet_tokens,
-			       part * limit->fleet_tokens, now);
-	limit->concurrent = part * limit->fleet_concurrent;
+		adm_bucket_set(&limit->tokens, share * limit->fleet_tokens,
+			       share * limit->fleet_tokens, now);
+	limit->concurrent = share * limit->fleet_concurrent;
 	adm_bucket_carry_over(&limit->requests, &old->requests, now);
 	adm_bucket_carry_over(&limit->tokens, &old->tokens, now);
 }
 
-/* The fraction of a limit that this instance was given last. */
-static double adm_part(const struct adm_limit *limit)
+/* Returns the fraction of a limit that this instance received last. */
+static double adm_limit_share(const struct adm_limit *limit)
 {
 	if (limit->fleet_requests > 0)
 		return limit->requests.rate / limit->fleet_requests;
@@ -78,8 +80,8 @@
 }
 
 /*
- * Tells whether a bucket has units; one not in use always has.  A request
- * larger than the bucket passes when the bucket is full.
+ * Tells whether a bucket holds enough units; one not in use always does.  A
+ * request larger than the bucket passes when the bucket is full.
  */
 bool adm_bucket_has(struct adm_bucket *bucket, double units, int64_t now)
 {
@@ -89,16 +91,15 @@
 	return bucket->level >= units || bucket->level >= bucket->burst;
 }
 
-/* Takes units out of a bucket. */
+/* Removes units from a bucket. */
 void adm_bucket_take(struct adm_bucket *bucket, double units)
 {
 	bucket->level -= units;
 }
 
 /*
- * Sets what this instance may admit of a fleet-wide limit now.  The units
- * are those of the limit object; a value is used only where the object has
- * one.
+ * Sets this instance's share of a fleet-wide limit.  The units are those of
+ * the limit object; a value is used only if the object defines it.
  */
 void adm_set_share(struct adm *adm, int limit, double requests_per_s,
 		   double tokens_per_s, double concurrent)
@@ -109,18 +110,18 @@
 		return;
 	l = &adm->limits[limit];
 	if (l->requests.rate > 0)
-		adm_bucket_set(&l->requests, adm_some(requests_per_s),
+		adm_bucket_set(&l->requests, adm_nonzero_share(requests_per_s),
 			       requests_per_s, l->requests.updated_us);
 	if (l->tokens.rate > 0)
-		adm_bucket_set(&l->tokens, adm_some(tokens_per_s), tokens_per_s,
-			       l->tokens.updated_us);
+		adm_bucket_set(&l->tokens, adm_nonzero_share(tokens_per_s),
+			       tokens_per_s, l->tokens.updated_us);
 	if (l->concurrent > 0)
-		l->concurrent = adm_some(concurrent);
+		l->concurrent = adm_nonzero_share(concurrent);
 }
 
 /*
- * Returns what callers offered of a limit lately, in its own unit: requests
- * a second, tokens a second, or requests at once.
+ * Returns the recent demand for a limit in its own unit: requests per second,
+ * tokens per second, or concurrent requests.
  */
 double adm_demand(const struct adm *adm, int limit, int64_t now)
 {
@@ -135,7 +136,7 @@
 	       ADM_DEMAND_SPAN_S;
 }
 
-/* Counts an offer in the demand of each limit that covers it. */
+/* Adds an offer to the demand of each limit that covers it. */
 void adm_limits_count_demand(struct adm *adm, const struct adm_offer *offer,
 			     int64_t now)
 {
@@ -153,13 +154,13 @@
 	}
 }
 
-/* Tells whether every limit lets a request in, and takes what it costs. */
+/* Tells whether every limit admits a request, and if so deducts its cost. */
 bool adm_limits_take(struct adm *adm, const struct adm_offer *offer,
 		     int64_t now)
 {
 	int i;
 
-	if (!adm_limits_have(adm, offer, now))
+	if (!adm_limits_have_room(adm, offer, now))
 		return false;
 	for (i = 0; i < adm->limit_count; i++) {
 		struct adm_limit *l = &adm->limits[i];
@@ -172,9 +173,9 @@
 	return true;
 }
 
-/* Tells whether every limit would let a request in. */
-static bool adm_limits_have(struct adm *adm, const struct adm_offer *offer,
-			    int64_t now)
+/* Tells whether every limit would admit a request. */
+static bool adm_limits_have_room(struct adm *adm, const struct adm_offer *offer,
+				 int64_t now)
 {
 	int i;
 
@@ -192,7 +193,7 @@
 	return true;
 }
 
-/* Counts a request that waits or runs. */
+/* Counts a request as waiting or running. */
 void adm_limits_enter(struct adm *adm, const struct adm_offer *offer)
 {
 	int i;
@@ -204,7 +205,7 @@
 	}
 }
 
-/* Counts a request off. */
+/* Removes a request from the counts. */
 void adm_limits_leave(struct adm *adm, const struct adm_request *request)
 {
 	int i;
@@ -216,11 +217,11 @@
 	}
 }
 
-/* Returns how long until the limits let an account in again. */
+/* Returns how long until the limits admit requests of an account again. */
 int64_t adm_limits_wait_us(struct adm *adm, int account, int service,
 			   int64_t now)
 {
-	int64_t most = 0;
+	int64_t longest_us = 0;
 	int i;
 
 	for (i = 0; i < adm->limit_count; i++) {
@@ -230,40 +231,40 @@
 		if (!adm_limit_covers(l, account, service))
 			continue;
 		wait = adm_bucket_wait_us(&l->requests, now);
-		if (wait > most)
-			most = wait;
+		if (wait > longest_us)
+			longest_us = wait;
 		wait = adm_bucket_wait_us(&l->tokens, now);
-		if (wait > most)
-			most = wait;
+		if (wait > longest_us)
+			longest_us = wait;
 	}
-	return most;
+	return longest_us;
 }
 
-/* Earns the part of a retry that a first attempt is worth. */
+/* Credits the fraction of a retry that a first attempt earns. */
 void adm_earn_retry(struct adm *adm, struct adm_queue *queue, int64_t now)
 {
-	double part = adm->services[queue->service].retry_percent / 100.0;
-	double most;
+	double earned = adm->services[queue->service].retry_percent / 100.0;
+	double max_balance;
 
 	queue->first_attempts =
 		adm_decay(queue->first_attempts, queue->first_attempts_us, now,
-			  ADM_FIRSTS_SPAN_S);
+			  ADM_FIRST_ATTEMPTS_SPAN_S);
 	queue->first_attempts += 1;
 	queue->first_attempts_us = now;
-	most = part * queue->first_attempts;
-	if (most < ADM_RETRY_BURST)
-		most = ADM_RETRY_BURST;
-	queue->retry_balance += part;
-	if (queue->retry_balance > most)
-		queue->retry_balance = most;
+	max_balance = earned * queue->first_attempts;
+	if (max_balance < ADM_RETRY_BURST)
+		max_balance = ADM_RETRY_BURST;
+	queue->retry_balance += earned;
+	if (queue->retry_balance > max_balance)
+		queue->retry_balance = max_balance;
 }
 
 /*
  * Spends a retry of an account at a service after an endpoint failed (-1 if
- * none did).  False says that the budget is used up: the request ends.
- * Without budgets, retries multiply the work just when there is too much of
- * it, and the overload outlasts its cause; one would notice that the
- * endpoints stay busy and the goodput stays low after the load has gone.
+ * none did).  Returns false if the budget is exhausted: the request then ends.
+ * Without budgets, retries multiply the work exactly when there is too much of
+ * it, and the overload outlasts its cause: the endpoints stay busy and goodput
+ * stays low after the load has gone.
  */
 bool adm_may_retry(struct adm *adm, int account, int service, int endpoint,
 		   int64_t now)
@@ -288,18 +289,18 @@
 }
 
 /*
- * Returns when a refused caller should come back, in seconds from now.  Each
- * gets a place of its own after the wait that the queue has now, spaced as
- * the account's share of the service will let them in; so callers that were
- * refused together don't return together.
+ * Returns when a refused client should retry, in seconds from now.  Each
+ * client gets its own time after the current wait of the queue, spaced at the
+ * rate at which the account's share of the service can admit them, so that
+ * clients refused together do not return together.
  */
 uint32_t adm_retry_after_s(struct adm *adm, int account, int service,
 			   int64_t now)
 {
 	struct adm_queue *queue;
 	int64_t earliest;
-	double space;
-	double s;
+	double interval_s;
+	double seconds;
 
 	if (account < 0 || account >= adm->account_count || service < 0 ||
 	    service >= adm->service_count)
@@ -311,20 +312,20 @@
 	earliest += now;
 	if (queue->return_us < earliest)
 		queue->return_us = earliest;
-	space = adm->services[service].mean_cost /
-		(adm_service_rate(&adm->services[service]) *
-		 adm_share(adm, queue) * ADM_RETURN_PART);
-	queue->return_us += (int64_t)(space * (double)MAG_US_PER_S);
-	s = (double)(queue->return_us - now) / (double)MAG_US_PER_S;
-	if (s > ADM_RETURN_MAX_S) {
-		/* Too many to give each a place: spread them evenly. */
-		queue->return_us = now + ADM_RETURN_MAX_S * MAG_US_PER_S;
-		s = ADM_RETURN_MAX_S * (0.5 + adm_random(adm) / 2);
+	interval_s = adm->services[service].mean_cost /
+		     (adm_service_rate(&adm->services[service]) *
+		      adm_share(adm, queue) * ADM_RETURN_RATE_PART);
+	queue->return_us += (int64_t)(interval_s * (double)MAG_US_PER_S);
+	seconds = (double)(queue->return_us - now) / (double)MAG_US_PER_S;
+	if (seconds > ADM_RETRY_AFTER_MAX_S) {
+		/* Too many clients for separate times: spread them evenly. */
+		queue->return_us = now + ADM_RETRY_AFTER_MAX_S * MAG_US_PER_S;
+		seconds = ADM_RETRY_AFTER_MAX_S * (0.5 + adm_random(adm) / 2);
 	}
-	return s < 1 ? 1 : (uint32_t)ceil(s);
+	return seconds < 1 ? 1 : (uint32_t)ceil(seconds);
 }
 
-/* Tells whether a limit counts requests of an account at a service. */
+/* Tells whether a limit applies to requests of an account at a service. */
 static bool adm_limit_covers(const struct adm_limit *limit, int account,
 			     int service)
 {
@@ -332,7 +333,7 @@
 	       (limit->service < 0 || limit->service == service);
 }
 
-/* Adds what came since the level was last right. */
+/* Adds the units that accrued since the last update. */
 static void adm_bucket_fill(struct adm_bucket *bucket, int64_t now)
 {
 	if (now <= bucket->updated_us)
@@ -344,7 +345,7 @@
 	bucket->updated_us = now;
 }
 
-/* Returns how long until a bucket has one unit. */
+/* Returns how long until a bucket holds one unit. */
 static int64_t adm_bucket_wait_us(struct adm_bucket *bucket, int64_t now)
 {
 	if (bucket->rate <= 0)
@@ -356,22 +357,22 @@
 			 (double)MAG_US_PER_S);
 }
 
-/* Returns what is left of a decaying sum. */
+/* Returns the current value of a decaying sum. */
 double adm_decay(double value, int64_t since_us, int64_t now, double span_s)
 {
-	double s = (double)(now - since_us) / (double)MAG_US_PER_S;
+	double seconds = (double)(now - since_us) / (double)MAG_US_PER_S;
 
-	return s <= 0 ? value : value * exp(-s / span_s);
+	return seconds <= 0 ? value : value * exp(-seconds / span_s);
 }
 
-/* Returns a random number in 0 .. 1, the next of the seeded sequence. */
+/* Returns the next number in 0 .. 1 of the seeded random sequence. */
 static double adm_random(struct adm *adm)
 {
 	return mag_random_unit(&adm->random);
 }
 
-/* A share of nothing is not the same as no limit, which zero stands for. */
-static double adm_some(double share)
+/* Returns a share that is never zero, because zero would mean no limit. */
+static double adm_nonzero_share(double share)
 {
-	return share > ADM_LEAST_SHARE ? share : ADM_LEAST_SHARE;
+	return share > ADM_MIN_SHARE ? share : ADM_MIN_SHARE;
 }
--- a/src/adm_queue.c
+++ b/src/adm_queue.c
@@ -2,27 +2,27 @@
 
 #include "adm_int.h"
 
-/* Tokens that an account of weight 1 may start each time it comes round. */
+/* Tokens that an account of weight 1 may start per round. */
 #define ADM_QUANTUM 64
-/* Requests of one queue that may be passed over in a round. */
-#define ADM_PASS_MAX  4
-#define ADM_HEAP_ROOM 256
+/* Requests of one queue that may be skipped in a round. */
+#define ADM_SKIP_MAX	 4
+#define ADM_HEAP_INITIAL 256
 
 static struct adm_request *adm_candidate(const struct adm_queue *queue);
-static struct adm_request *adm_turn(struct adm *adm,
-				    struct adm_service *service);
-static void adm_round_ends(struct adm_service *service);
+static struct adm_request *adm_select_next(struct adm *adm,
+					   struct adm_service *service);
+static void adm_reset_skips(struct adm_service *service);
 static void adm_insert(struct adm_queue *queue, struct adm_request *request);
-static bool adm_before(const struct adm_request *a,
-		       const struct adm_request *b);
-static void adm_heap_put(struct adm *adm, struct adm_request *request, int at);
+static bool adm_starts_before(const struct adm_request *a,
+			      const struct adm_request *b);
+static void adm_heap_set(struct adm *adm, struct adm_request *request, int at);
 static void adm_heap_up(struct adm *adm, int at);
 static void adm_heap_down(struct adm *adm, int at);
 static void adm_heap_remove(struct adm *adm, struct adm_request *request);
 
 /*
- * Names the request whose turn it is at a service; false if none waits or
- * all were passed over, which ends the round.  It stays the same until
+ * Returns the next request of a service.  Returns false if none waits or all
+ * were skipped; this ends the round.  The result stays the same until
  * adm_start, adm_skip or adm_drop.
  */
 bool adm_peek(struct adm *adm, int service, uint64_t *req)
@@ -33,9 +33,9 @@
 		return false;
 	s = &adm->services[service];
 	if (!s->peeked)
-		s->peeked = adm_turn(adm, s);
+		s->peeked = adm_select_next(adm, s);
 	if (!s->peeked) {
-		adm_round_ends(s);
+		adm_reset_skips(s);
 		return false;
 	}
 	*req = s->peeked->id;
@@ -43,8 +43,8 @@
 }
 
 /*
- * Passes over the request that adm_peek named, as no endpoint can take it
- * now.  It keeps its place, and adm_peek names another one for the rest of
+ * Skips the request returned by adm_peek, because no endpoint can run it now.
+ * It retains its position, and adm_peek returns other requests for the rest of
  * this round.
  */
 void adm_skip(struct adm *adm, int service)
@@ -58,8 +58,8 @@
 }
 
 /*
- * Names a request that waited too long to be answered by its deadline; the
- * caller answers and drops it.  Returns false if there is none.
+ * Returns a request that has waited too long to be answered by its deadline.
+ * The calling code must answer and drop it.  Returns false if there is none.
  */
 bool adm_next_expired(struct adm *adm, int64_t now, uint64_t *req)
 {
@@ -75,13 +75,13 @@
 	return adm->heap_count ? adm->heap[0]->latest_start_us : MAG_NEVER;
 }
 
-/* Puts a request into its account's queue; the heap has room for it. */
+/* Adds a request to its account's queue.  The heap must have space for it. */
 void adm_enqueue(struct adm *adm, struct adm_request *request)
 {
 	struct adm_service *service;
 	struct adm_queue *queue;
 
-	adm_heap_put(adm, request, adm->heap_count++);
+	adm_heap_set(adm, request, adm->heap_count++);
 	adm_heap_up(adm, request->heap_index);
 	if (request->service < 0)
 		return;
@@ -96,7 +96,7 @@
 	service->waiting_tokens += request->run_tokens;
 }
 
-/* Takes a request out of its queue. */
+/* Removes a request from its queue. */
 void adm_dequeue(struct adm *adm, struct adm_request *request)
 {
 	struct adm_service *service;
@@ -120,29 +120,31 @@
 	cds_list_del(&queue->active);
 }
 
-/* Makes room in the heap for one request more. */
+/* Ensures that the heap has space for one more request. */
 int adm_heap_reserve(struct adm *adm)
 {
-	int room = adm->heap_capacity ? 2 * adm->heap_capacity : ADM_HEAP_ROOM;
+	int capacity =
+		adm->heap_capacity ? 2 * adm->heap_capacity : ADM_HEAP_INITIAL;
 	struct adm_request **heap;
 
 	if (adm->heap_count < adm->heap_capacity)
 		return 0;
-	heap = realloc(adm->heap, (size_t)room * sizeof(struct adm_request *));
+	heap = realloc(adm->heap,
+		       (size_t)capacity * sizeof(struct adm_request *));
 	if (!heap)
 		return -1;
 	adm->heap = heap;
-	adm->heap_capacity = room;
+	adm->heap_capacity = capacity;
 	return 0;
 }
 
-/* Returns the first request of a queue that was not passed over, or NULL. */
+/* Returns the first request of a queue that was not skipped, or NULL. */
 static struct adm_request *adm_candidate(const struct adm_queue *queue)
 {
 	struct adm_request *request;
 	uint32_t at = 0;
 
-	if (queue->skipped >= ADM_PASS_MAX)
+	if (queue->skipped >= ADM_SKIP_MAX)
 		return NULL;
 	cds_list_for_each_entry (request, &queue->waiting, queue_node) {
 		if (at++ == queue->skipped)
@@ -152,14 +154,14 @@
 }
 
 /*
- * Deficit round robin: the queue at the head starts requests while its
- * deficit covers them, then earns a quantum by weight and goes to the tail.
- * A queue whose requests were all passed over earns nothing.
+ * Deficit round robin.  The first queue starts requests while its deficit
+ * covers their cost, then earns a quantum by its weight and moves to the end.
+ * A queue whose requests were all skipped earns nothing.
  */
-static struct adm_request *adm_turn(struct adm *adm,
-				    struct adm_service *service)
+static struct adm_request *adm_select_next(struct adm *adm,
+					   struct adm_service *service)
 {
-	struct adm_queue *first_passed = NULL;
+	struct adm_queue *first_skipped = NULL;
 
 	while (!cds_list_empty(&service->active)) {
 		struct adm_queue *queue = cds_list_first_entry(
@@ -168,14 +170,14 @@
 
 		if (request && queue->deficit >= request->cost_tokens)
 			return request;
-		if (!request && queue == first_passed)
+		if (!request && queue == first_skipped)
 			return NULL;
 		if (request) {
-			first_passed = NULL;
+			first_skipped = NULL;
 			queue->deficit += ADM_QUANTUM *
 					  adm->accounts[queue->account].weight;
-		} else if (!first_passed) {
-			first_passed = queue;
+		} else if (!first_skipped) {
+			first_skipped = queue;
 		}
 		cds_list_del(&queue->active);
 		cds_list_add_tail(&queue->active, &service->active);
@@ -183,8 +185,8 @@
 	return NULL;
 }
 
-/* Forgets who was passed over. */
-static void adm_round_ends(struct adm_service *service)
+/* Starts a new round: no request counts as skipped. */
+static void adm_reset_skips(struct adm_service *service)
 {
 	struct adm_queue *queue;
 
@@ -192,28 +194,29 @@
 		queue->skipped = 0;
 }
 
-/* Inserts by priority, those of one priority in the order of arrival. */
+/* Inserts by priority, and in order of arrival within a priority. */
 static void adm_insert(struct adm_queue *queue, struct adm_request *request)
 {
 	struct cds_list_head *at = queue->waiting.prev;
 
 	while (at != &queue->waiting &&
-	       adm_before(request,
-			  cds_list_entry(at, struct adm_request, queue_node)))
+	       adm_starts_before(request, cds_list_entry(at, struct adm_request,
+							 queue_node)))
 		at = at->prev;
 	cds_list_add(&request->queue_node, at);
 }
 
-/* Tells whether a request starts before another one of its account. */
-static bool adm_before(const struct adm_request *a, const struct adm_request *b)
+/* Tells whether request a starts before request b of the same account. */
+static bool adm_starts_before(const struct adm_request *a,
+			      const struct adm_request *b)
 {
 	if (a->priority != b->priority)
 		return a->priority < b->priority;
 	return (int32_t)(a->seq - b->seq) < 0;
 }
 
-/* Stores a request at a place of the heap. */
-static void adm_heap_put(struct adm *adm, struct adm_request *request, int at)
+/* Stores a request at an index of the heap. */
+static void adm_heap_set(struct adm *adm, struct adm_request *request, int at)
 {
 	adm->heap[at] = request;
 	request->heap_index = at;
@@ -230,10 +233,10 @@
 		if (adm->heap[parent]->latest_start_us <=
 		    request->latest_start_us)
 			break;
-		adm_heap_put(adm, adm->heap[parent], at);
+		adm_heap_set(adm, adm->heap[parent], at);
 		at = parent;
 	}
-	adm_heap_put(adm, request, at);
+	adm_heap_set(adm, request, at);
 }
 
 /* Moves a request towards the leaves while a child expires before it. */
@@ -253,13 +256,13 @@
 		if (request->latest_start_us <=
 		    adm->heap[child]->latest_start_us)
 			break;
-		adm_heap_put(adm, adm->heap[child], at);
+		adm_heap_set(adm, adm->heap[child], at);
 		at = child;
 	}
-	adm_heap_put(adm, request, at);
+	adm_heap_set(adm, request, at);
 }
 
-/* Takes a request out of the heap. */
+/* Removes a request from the heap. */
 static void adm_heap_remove(struct adm *adm, struct adm_request *request)
 {
 	struct adm_request *last = adm->heap[--adm->heap_count];
@@ -267,7 +270,7 @@
 
 	if (last == request)
 		return;
-	adm_heap_put(adm, last, at);
+	adm_heap_set(adm, last, at);
 	adm_heap_down(adm, at);
 	adm_heap_up(adm, last->heap_index);
 }
