--- a/bench/sim_cache.c
+++ b/bench/sim_cache.c
@@ -41,7 +41,7 @@
 	int r;
 
 	event.cache.sequence = ++sim->stages[stage].cache_sequence;
-	event.cache.prefix = prefix & ~SIM_CACHE_DROPPED;
+	event.cache.prefix_hash = prefix & ~SIM_CACHE_DROPPED;
 	event.cache.stored = !(prefix & SIM_CACHE_DROPPED);
 	mag_copy_name(event.cache.endpoint, sizeof(event.cache.endpoint),
 		      sim->stages[stage].name);
--- a/bench/sim_caller.c
+++ b/bench/sim_caller.c
@@ -123,7 +123,7 @@
 	if (call->prefix)
 		arrival->prompt_tokens = SIM_PROMPT_LONG;
 	if (!sim->settings.no_affinity)
-		arrival->prefix = call->prefix;
+		arrival->prefix_hash = call->prefix;
 	arrival->max_tokens = call->tokens;
 	arrival->timeout_ms = call->allowance_ms;
 	if (sim_counts(sim, call)) {
--- a/bench/sim_stage.c
+++ b/bench/sim_stage.c
@@ -37,8 +37,8 @@
 	s->call = (int)(call - sim->calls);
 	s->attempt = dispatch->attempt;
 	s->count = dispatch->stage_count;
-	s->next = dispatch->resume;
-	s->rebuild = dispatch->attempt > 1 ? dispatch->resume : 0;
+	s->next = dispatch->resume_token;
+	s->rebuild = dispatch->attempt > 1 ? dispatch->resume_token : 0;
 	for (i = 0; i < s->count; i++) {
 		const struct core_stage *from = &dispatch->stages[i];
 		struct sim_stage *stage;
--- a/regress/check_matrix.c
+++ b/regress/check_matrix.c
@@ -575,7 +575,7 @@
 	att->ask = (int)d->req - 1;
 	att->open = true;
 	att->d = *d;
-	att->tokens = d->resume;
+	att->tokens = d->resume_token;
 	att->at_us = now + MX_MS;
 	for (i = 0; i < d->stage_count; i++)
 		att->eps[i] = d->stages[i].endpoint[1] - '0';
--- a/src/core.c
+++ b/src/core.c
@@ -74,7 +74,7 @@
 	CDS_INIT_LIST_HEAD(&core->ready);
 	CDS_INIT_LIST_HEAD(&core->events);
 	CDS_INIT_LIST_HEAD(&core->actions);
-	core->due_us = MAG_NEVER;
+	core->next_deadline_us = MAG_NEVER;
 	if (!core->pick || !core->adm || !core->quar || !core->ldg ||
 	    !core->shr) {
 		core_free(core);
@@ -163,7 +163,7 @@
 /* Returns the latest time for the next tick, MAG_NEVER if none is needed. */
 int64_t core_next_deadline(const struct core *core)
 {
-	int64_t due = core->due_us;
+	int64_t due = core->next_deadline_us;
 	int64_t module_due = pick_next_deadline(core->pick);
 
 	if (module_due < due)
@@ -248,8 +248,8 @@
 /* Ensures that the next tick is not later than a request's deadline. */
 void core_schedule_tick(struct core *core, int64_t deadline_us)
 {
-	if (deadline_us < core->due_us)
-		core->due_us = deadline_us;
+	if (deadline_us < core->next_deadline_us)
+		core->next_deadline_us = deadline_us;
 }
 
 /*
@@ -388,7 +388,7 @@
 	endpoint = cfg_find_endpoint(core->set, cache->endpoint);
 	if (endpoint >= 0)
 		pick_cache_event(core->pick, endpoint, cache->sequence,
-				 cache->prefix, cache->stored, core->now);
+				 cache->prefix_hash, cache->stored, core->now);
 }
 
 static void on_stop(struct core *core, struct core_event *event)
--- a/src/core.h
+++ b/src/core.h
@@ -50,7 +50,7 @@
 	uint8_t fingerprint[MAG_DIGEST_BYTES];
 	uint32_t prompt_tokens;
 	uint32_t max_tokens;
-	uint64_t prefix;
+	uint64_t prefix_hash;
 	uint32_t timeout_ms; /* stated by the client, 0 if it stated none */
 	int64_t wall_ms;
 };
@@ -117,7 +117,7 @@
 struct core_cache {
 	char endpoint[MAG_NAME_MAX];
 	uint64_t sequence; /* increases by 1 per event of the endpoint */
-	uint64_t prefix;
+	uint64_t prefix_hash;
 	bool stored; /* false: the prefix was evicted */
 };
 
@@ -146,8 +146,8 @@
 
 struct core_dispatch {
 	uint64_t req;
-	uint32_t attempt; /* number of the attempt, from 1 */
-	uint32_t resume;  /* index of the next token to deliver */
+	uint32_t attempt;      /* number of the attempt, from 1 */
+	uint32_t resume_token; /* index of the next token to deliver */
 	enum cfg_service_kind kind;
 	uint32_t layers;
 	uint32_t priority;
--- a/src/core_int.h
+++ b/src/core_int.h
@@ -52,8 +52,9 @@
 	uint8_t intent[MAG_DIGEST_BYTES];
 	int64_t arrived_us;
 	int64_t deadline_us;
-	int64_t stall_us;   /* when the attempt counts as stalled */
-	int64_t give_up_us; /* REQ_READY: when to stop waiting for a chain */
+	int64_t stall_deadline_us; /* when the attempt counts as stalled */
+	int64_t ready_deadline_us; /* REQ_READY: when to stop waiting for a
+				      chain */
 	int64_t dispatched_us;
 	int64_t first_token_us; /* of this attempt, 0 before the first token */
 	uint32_t attempt;	/* number of the attempt, 0 before the first */
@@ -94,7 +95,7 @@
 	struct cds_list_head actions; /* struct core_action_node */
 	uint32_t running;
 	int64_t now;
-	int64_t due_us; /* no request has an earlier deadline */
+	int64_t next_deadline_us; /* no request has an earlier deadline */
 	bool stopping;
 	bool stopped_reported;
 };
@@ -130,11 +131,11 @@
 void req_hold_chain(struct core *core, struct core_req *req,
 		    const struct pick_chain *chain);
 void req_release_chain(struct core *core, struct core_req *req);
-int req_choose(struct core *core, struct core_req *req,
-	       struct pick_chain *chain);
+int req_choose_chain(struct core *core, struct core_req *req,
+		     struct pick_chain *chain);
 void req_end_attempt(struct core *core, struct core_req *req,
 		     enum pick_result_kind kind, int at_stage, uint32_t silent);
-void req_avoid(struct core_req *req, int endpoint);
+void req_avoid_endpoint(struct core_req *req, int endpoint);
 void req_cancel(struct core *core, struct core_req *req, bool probe);
 bool req_may_retry(struct core *core, struct core_req *req, int endpoint);
 bool req_may_redispatch(struct core *core, struct core_req *req, int endpoint);
--- a/src/ep.c
+++ b/src/ep.c
@@ -74,7 +74,7 @@
 	call->request = request;
 	call->sink = sink;
 	call->answer = answer;
-	call->next = request->dispatch->resume;
+	call->next = request->dispatch->resume_token;
 	call->protocol = ep_protocols[request->dispatch->kind];
 	call->easy = curl_easy_init();
 	if (call->easy && prepare(call) == EP_OK) {
--- a/src/ep_engine.c
+++ b/src/ep_engine.c
@@ -60,7 +60,7 @@
 	body = json_pack(
 		"{s:s, s:i, s:i, s:o, s:i, s:i, s:I, s:s, s:i, s:o}", "request",
 		request->id, "attempt", (int)dispatch->attempt, "from",
-		(int)dispatch->resume, "given", engine_given(request),
+		(int)dispatch->resume_token, "given", engine_given(request),
 		"max_tokens", (int)request->max_tokens, "priority",
 		(int)dispatch->priority, "deadline_ms", (json_int_t)left_ms,
 		"prompt", request->prompt, "layers", (int)dispatch->layers,
@@ -96,7 +96,7 @@
 	json_t *given = json_array();
 	uint32_t i;
 
-	for (i = 0; i < request->dispatch->resume; i++)
+	for (i = 0; i < request->dispatch->resume_token; i++)
 		json_array_append_new(given, json_string(request->given[i]));
 	return given;
 }
--- a/src/front_in.c
+++ b/src/front_in.c
@@ -295,7 +295,8 @@
 		len = FRONT_PREFIX_BYTES;
 	crypto_generichash(hash, sizeof(hash), (const uint8_t *)prompt, len,
 			   NULL, 0);
-	memcpy(&req->arrival.prefix, hash, sizeof(req->arrival.prefix));
+	memcpy(&req->arrival.prefix_hash, hash,
+	       sizeof(req->arrival.prefix_hash));
 }
 
 /* Looks the route up in the published set. */
--- a/src/req.c
+++ b/src/req.c
@@ -143,7 +143,7 @@
 	int rc;
 
 	cds_list_for_each_entry_safe (req, next, &core->ready, ready_node) {
-		rc = req_choose(core, req, &chain);
+		rc = req_choose_chain(core, req, &chain);
 		if (rc == PICK_OK)
 			req_dispatch(core, req, &chain);
 		else if (rc == PICK_E_NONE && req->attempt == 0)
@@ -171,7 +171,7 @@
 				adm_drop(core->adm, id, core->now);
 				continue;
 			}
-			rc = req_choose(core, req, &chain);
+			rc = req_choose_chain(core, req, &chain);
 			if (rc == PICK_E_BUSY) {
 				adm_skip(core->adm, service);
 				skips++;
@@ -197,9 +197,9 @@
 		if (req)
 			req_handle(core, req, REQ_EV_DEADLINE, NULL);
 	}
-	if (core->now < core->due_us)
+	if (core->now < core->next_deadline_us)
 		return;
-	core->due_us = MAG_NEVER;
+	core->next_deadline_us = MAG_NEVER;
 	cds_list_for_each_entry_safe (req, next, &core->all, all_node) {
 		check_deadlines(core, req);
 	}
@@ -212,14 +212,15 @@
 
 	if (req->deadline_us <= core->now)
 		req_handle(core, req, REQ_EV_DEADLINE, NULL);
-	else if (req->stall_us <= core->now || req->give_up_us <= core->now)
+	else if (req->stall_deadline_us <= core->now ||
+		 req->ready_deadline_us <= core->now)
 		req_handle(core, req, REQ_EV_STALL, NULL);
 	req = core_find(core, id);
 	if (!req)
 		return;
 	core_schedule_tick(core, req->deadline_us);
-	core_schedule_tick(core, req->stall_us);
-	core_schedule_tick(core, req->give_up_us);
+	core_schedule_tick(core, req->stall_deadline_us);
+	core_schedule_tick(core, req->ready_deadline_us);
 }
 
 /* Admission selected the request: reserve its record or dispatch it. */
@@ -357,8 +358,8 @@
 		req->first_token_us = core->now;
 	req->tokens = progress->tokens;
 	req->stalls = 0;
-	req->stall_us = core->now + core->settings.progress_timeout_us;
-	core_schedule_tick(core, req->stall_us);
+	req->stall_deadline_us = core->now + core->settings.progress_timeout_us;
+	core_schedule_tick(core, req->stall_deadline_us);
 	memcpy(req->hop_us, progress->hop_us, sizeof(req->hop_us));
 	pick_hops(core->pick, &req->chain, progress->hop_us,
 		  progress->hop_count, core->now);
@@ -485,8 +486,8 @@
 	if (!req->first_token_us)
 		timeout_us = core->settings.first_token_timeout_us;
 	req_enter(req, REQ_RUNNING);
-	req->stall_us = core->now + timeout_us;
-	core_schedule_tick(core, req->stall_us);
+	req->stall_deadline_us = core->now + timeout_us;
+	core_schedule_tick(core, req->stall_deadline_us);
 }
 
 /* The reservation succeeded after the client was answered; nothing was sent. */
@@ -522,15 +523,15 @@
 void req_enter(struct core_req *req, enum req_state state)
 {
 	cds_list_del_init(&req->ready_node);
-	req->stall_us = MAG_NEVER;
-	req->give_up_us = MAG_NEVER;
+	req->stall_deadline_us = MAG_NEVER;
+	req->ready_deadline_us = MAG_NEVER;
 	req->state = state;
 }
 
 void req_enter_ready(struct core *core, struct core_req *req)
 {
 	req_enter(req, REQ_READY);
-	req->give_up_us = core->now + REQ_READY_TIMEOUT_US;
-	core_schedule_tick(core, req->give_up_us);
+	req->ready_deadline_us = core->now + REQ_READY_TIMEOUT_US;
+	core_schedule_tick(core, req->ready_deadline_us);
 	cds_list_add_tail(&req->ready_node, &core->ready);
 }
--- a/src/req_arrive.c
+++ b/src/req_arrive.c
@@ -114,8 +114,8 @@
 	req->arrival = *arrival;
 	req->state = REQ_WAITING;
 	req->arrived_us = core->now;
-	req->stall_us = MAG_NEVER;
-	req->give_up_us = MAG_NEVER;
+	req->stall_deadline_us = MAG_NEVER;
+	req->ready_deadline_us = MAG_NEVER;
 	CDS_INIT_LIST_HEAD(&req->ready_node);
 	cds_list_add_tail(&req->bucket_node,
 			  &core->buckets[arrival->req % CORE_BUCKETS]);
--- a/src/req_run.c
+++ b/src/req_run.c
@@ -14,8 +14,8 @@
  * Chooses a chain for the next attempt of a request.  Returns PICK_OK or the
  * negative error of pick_choose.
  */
-int req_choose(struct core *core, struct core_req *req,
-	       struct pick_chain *chain)
+int req_choose_chain(struct core *core, struct core_req *req,
+		     struct pick_chain *chain)
 {
 	struct pick_want want = {
 		.service = req->service,
@@ -24,7 +24,7 @@
 		.avoid_count = req->avoid_count,
 		.alone = req->alone,
 		.careful = !req->idempotent,
-		.prefix = req->arrival.prefix,
+		.prefix = req->arrival.prefix_hash,
 		.prompt_tokens = req->arrival.prompt_tokens,
 		.pace_us = available_us_per_token(core, req),
 	};
@@ -90,9 +90,10 @@
 	req->first_token_us = 0;
 	memset(req->hop_us, 0, sizeof(req->hop_us));
 	req->tokens_before_attempt = req->tokens;
-	req->give_up_us = MAG_NEVER;
-	req->stall_us = core->now + core->settings.first_token_timeout_us;
-	core_schedule_tick(core, req->stall_us);
+	req->ready_deadline_us = MAG_NEVER;
+	req->stall_deadline_us =
+		core->now + core->settings.first_token_timeout_us;
+	core_schedule_tick(core, req->stall_deadline_us);
 	core_schedule_tick(core, req->deadline_us);
 	req->state = REQ_RUNNING;
 	core->running++;
@@ -104,7 +105,7 @@
 		  (unsigned long long)req->arrival.req, req->attempt,
 		  dispatch->account, core->set->services[req->service].name,
 		  dispatch->stage_count, dispatch->stages[0].endpoint,
-		  dispatch->resume);
+		  dispatch->resume_token);
 }
 
 /* Reports the end of the current attempt to pick and releases its chain. */
@@ -168,7 +169,7 @@
  */
 bool req_may_redispatch(struct core *core, struct core_req *req, int endpoint)
 {
-	req_avoid(req, endpoint);
+	req_avoid_endpoint(req, endpoint);
 	if (req->attempt >= CORE_ATTEMPTS_MAX)
 		return false;
 	if (req->deadline_us <= core->now)
@@ -177,7 +178,7 @@
 	       QUAR_QUARANTINED;
 }
 
-void req_avoid(struct core_req *req, int endpoint)
+void req_avoid_endpoint(struct core_req *req, int endpoint)
 {
 	if (endpoint < 0 || req->avoid_count >= CORE_AVOID_MAX)
 		return;
@@ -192,7 +193,7 @@
 
 	dispatch->req = req->arrival.req;
 	dispatch->attempt = req->attempt;
-	dispatch->resume = core->settings.no_resume ? 0 : req->tokens;
+	dispatch->resume_token = core->settings.no_resume ? 0 : req->tokens;
 	dispatch->kind = service->kind;
 	dispatch->layers = service->layers;
 	dispatch->deadline_us = req->deadline_us;
