--- a/src/adm.c
+++ b/src/adm.c
@@ -74,7 +74,7 @@
 		return;
 	s = &adm->services[service];
 	if (s->capacity > 0 && tokens_per_s > 0)
-		s->measured *= tokens_per_s / s->capacity;
+		s->measured_rate *= tokens_per_s / s->capacity;
 	s->capacity = tokens_per_s;
 }
 
@@ -192,7 +192,7 @@
 		return 0;
 	s = &adm->services[service];
 	ratio = s->answer_ratio - ADM_RATIO_DEVIATIONS * s->ratio_deviation;
-	if (s->answers < ADM_MIN_ANSWERS || ratio < 0)
+	if (s->answer_count < ADM_MIN_ANSWERS || ratio < 0)
 		return 0;
 	return ratio * max_tokens;
 }
--- a/src/adm_config.c
+++ b/src/adm_config.c
@@ -107,13 +107,13 @@
 	if (old_index < 0)
 		return;
 	service->capacity = old[old_index].capacity;
-	service->measured = old[old_index].measured;
+	service->measured_rate = old[old_index].measured_rate;
 	service->us_per_token = old[old_index].us_per_token;
 	service->mean_cost = old[old_index].mean_cost;
 	service->us_deviation = old[old_index].us_deviation;
 	service->answer_ratio = old[old_index].answer_ratio;
 	service->ratio_deviation = old[old_index].ratio_deviation;
-	service->answers = old[old_index].answers;
+	service->answer_count = old[old_index].answer_count;
 }
 
 /* Creates the accounts. */
--- a/src/adm_int.h
+++ b/src/adm_int.h
@@ -67,8 +67,9 @@
 	bool counts_requests;  /* work is counted in requests, not tokens */
 	uint32_t queue_max;
 	uint32_t retry_percent;
-	double capacity; /* tokens per second, from adm_set_capacity */
-	double measured; /* tokens per second, measured while requests wait */
+	double capacity;      /* tokens per second, from adm_set_capacity */
+	double measured_rate; /* tokens per second, measured while requests wait
+			       */
 	double measured_tokens; /* tokens since measure_from_us */
 	int64_t measure_from_us;
 	double us_per_token;
@@ -76,7 +77,7 @@
 	double mean_cost;
 	double answer_ratio;	/* delivered tokens / requested tokens */
 	double ratio_deviation; /* mean absolute deviation of answer_ratio */
-	uint32_t answers;	/* number of answers in the estimates */
+	uint32_t answer_count;	/* number of answers in the estimates */
 };
 
 struct adm_account {
--- a/src/adm_rate.c
+++ b/src/adm_rate.c
@@ -16,8 +16,8 @@
  */
 double adm_service_rate(const struct adm_service *service)
 {
-	if (service->measured > 0)
-		return service->measured;
+	if (service->measured_rate > 0)
+		return service->measured_rate;
 	return service->capacity > 0 ? service->capacity : 1;
 }
 
@@ -137,9 +137,10 @@
 		return;
 	rate = service->measured_tokens * (double)MAG_US_PER_S /
 	       (double)(now - service->measure_from_us);
-	if (service->measured <= 0)
-		service->measured = rate;
-	service->measured += ADM_MEASURE_STEP * (rate - service->measured);
+	if (service->measured_rate <= 0)
+		service->measured_rate = rate;
+	service->measured_rate +=
+		ADM_MEASURE_STEP * (rate - service->measured_rate);
 	service->measure_from_us = now;
 	service->measured_tokens = 0;
 }
@@ -168,7 +169,7 @@
 {
 	struct adm_service *service = &adm->services[request->service];
 	double elapsed_us = (double)(now - request->started_us);
-	double step = 1.0 / (service->answers + 1);
+	double step = 1.0 / (service->answer_count + 1);
 	double difference;
 
 	if (tokens == 0)
@@ -184,5 +185,5 @@
 	service->answer_ratio += step * difference;
 	service->ratio_deviation +=
 		step * (fabs(difference) - service->ratio_deviation);
-	service->answers++;
+	service->answer_count++;
 }
