--- a/regress/check_adm.c
+++ b/regress/check_adm.c
@@ -293,7 +293,7 @@
 		word[2], word[3], allowed, word[1]);
 }
 
-/* come-back COUNT ACCOUNT: prints how many clients return in which second */
+/* come-back COUNT ACCOUNT: prints how many callers return in which second */
 static void do_come_back(char **word)
 {
 	int at[256] = { 0 };
--- a/src/adm.c
+++ b/src/adm.c
@@ -19,7 +19,7 @@
 
 /*
  * Creates an empty admission.  The seed determines how the returns of refused
- * clients are spread.  Without budgets every retry is allowed, which is the
+ * callers are spread.  Without budgets every retry is allowed, which is the
  * baseline of the benchmark.  Returns NULL if out of memory.
  */
 struct adm *adm_new(uint64_t seed, bool budgets)
@@ -126,7 +126,7 @@
 	adm_earn_retry(adm, queue, now);
 }
 
-/* Removes a request that never started, for example when its client is gone. */
+/* Removes a request that never started, for example when its caller is gone. */
 void adm_drop(struct adm *adm, uint64_t req, int64_t now)
 {
 	struct adm_request *request = adm_find(adm, req);
@@ -179,7 +179,7 @@
 
 /*
  * Returns the tokens that almost every answer of at most max_tokens will have
- * at least; 0 until enough answers are known.  Clients often allow far more
+ * at least; 0 until enough answers are known.  Callers often allow far more
  * tokens than they receive.
  */
 double adm_expected_tokens(const struct adm *adm, int service,
--- a/src/adm_int.h
+++ b/src/adm_int.h
@@ -55,7 +55,7 @@
 	double retry_balance;  /* balance of the retry budget */
 	double first_attempts; /* recent first attempts, decayed */
 	int64_t first_attempts_us;
-	int64_t return_us; /* earliest return of the next refused client */
+	int64_t return_us; /* earliest return of the next refused caller */
 };
 
 struct adm_service {
--- a/src/adm_limit.c
+++ b/src/adm_limit.c
@@ -6,7 +6,7 @@
 #define ADM_FIRST_ATTEMPTS_SPAN_S 60.0 /* decay time of first attempts */
 #define ADM_RETRY_AFTER_MAX_S	  120
 #define ADM_MIN_SHARE		  1e-6
-/* Part of the service rate that returning clients may use. */
+/* Part of the service rate that returning callers may use. */
 #define ADM_RETURN_RATE_PART 0.5
 
 static bool adm_limit_covers(const struct adm_limit *limit, int account,
@@ -289,10 +289,10 @@
 }
 
 /*
- * Returns when a refused client should retry, in seconds from now.  Each
- * client gets its own time after the current wait of the queue, spaced at the
+ * Returns when a refused caller should retry, in seconds from now.  Each
+ * caller gets its own time after the current wait of the queue, spaced at the
  * rate at which the account's share of the service can admit them, so that
- * clients refused together do not return together.
+ * callers refused together do not return together.
  */
 uint32_t adm_retry_after_s(struct adm *adm, int account, int service,
 			   int64_t now)
@@ -318,7 +318,7 @@
 	queue->return_us += (int64_t)(interval_s * (double)MAG_US_PER_S);
 	seconds = (double)(queue->return_us - now) / (double)MAG_US_PER_S;
 	if (seconds > ADM_RETRY_AFTER_MAX_S) {
-		/* Too many clients for separate times: spread them evenly. */
+		/* Too many callers for separate times: spread them evenly. */
 		queue->return_us = now + ADM_RETRY_AFTER_MAX_S * MAG_US_PER_S;
 		seconds = ADM_RETRY_AFTER_MAX_S * (0.5 + adm_random(adm) / 2);
 	}
--- a/src/adm_rate.c
+++ b/src/adm_rate.c
@@ -120,7 +120,7 @@
 
 /*
  * Counts completed work.  The rate is measured only over periods in which
- * requests waited throughout; otherwise it would be the clients' rate, not the
+ * requests waited throughout; otherwise it would be the callers' rate, not the
  * service's.
  */
 void adm_measure_rate(struct adm_service *service, double tokens, int64_t now)
@@ -160,7 +160,7 @@
 
 /*
  * Updates the estimates of answer length and time per token from a complete
- * answer.  The first answers have more weight: clients may allow many times
+ * answer.  The first answers have more weight: callers may allow many times
  * the tokens that they receive, and would be refused as too late until that is
  * known.
  */
--- a/src/core.c
+++ b/src/core.c
@@ -253,7 +253,7 @@
 }
 
 /*
- * Appends an empty action.  Without memory for it a client would be cut off,
+ * Appends an empty action.  Without memory for it a caller would be cut off,
  * so the process aborts and the load balancer uses other instances.
  */
 struct core_action *core_add_action(struct core *core,
--- a/src/core.h
+++ b/src/core.h
@@ -3,9 +3,9 @@
 
 /*
  * The deterministic core of a router.  It uses no clock, socket or thread.
- * The surrounding shells post typed events and execute typed actions;
- * core_tick runs the systems over the tables in a fixed order.  A core belongs
- * to one thread.
+ * The code that does input and output around it (the shells) posts typed
+ * events and executes typed actions; core_tick runs the systems over the
+ * tables in a fixed order.  A core belongs to one thread.
  */
 
 #include <stdbool.h>
@@ -39,7 +39,7 @@
 	struct ldg_settings ledger;
 };
 
-/* A client's request as the HTTP front end passes it to the core. */
+/* A caller's request as the HTTP front end passes it to the core. */
 struct core_arrival {
 	uint64_t req; /* chosen by the front end, unique in this incarnation */
 	char account_key_hash[MAG_DIGEST_HEX]; /* "" if it has no bearer */
@@ -51,7 +51,7 @@
 	uint32_t prompt_tokens;
 	uint32_t max_tokens;
 	uint64_t prefix_hash;
-	uint32_t timeout_ms; /* stated by the client, 0 if it stated none */
+	uint32_t timeout_ms; /* stated by the caller, 0 if it stated none */
 	int64_t wall_ms;
 };
 
@@ -75,7 +75,7 @@
 	int stage; /* for CORE_END_STAGE: the failed stage, from 0 */
 	uint32_t silent_stages; /* bits of stages that did not respond */
 	int status;		/* HTTP status of the endpoint, 0 if none */
-	uint32_t tokens; /* delivered to the client so far by all attempts */
+	uint32_t tokens; /* delivered to the caller so far by all attempts */
 	char *answer; /* for the record, NULL if too long; the core frees it */
 	size_t answer_len;
 };
--- a/src/core_int.h
+++ b/src/core_int.h
@@ -25,7 +25,7 @@
 	REQ_READY,	/* may be dispatched, waits for a free chain */
 	REQ_RUNNING,	/* an attempt is at an endpoint */
 	REQ_CANCELLING, /* the attempt is being probed or cancelled */
-	REQ_CLOSING,	/* the client has its answer; the attempt still runs */
+	REQ_CLOSING,	/* the caller has its answer; the attempt still runs */
 	REQ_STATE_COUNT
 };
 
@@ -34,8 +34,8 @@
 	REQ_EV_LEDGER,	 /* the ledger returned a verdict */
 	REQ_EV_PROGRESS, /* tokens arrived, or a stalled chain responded */
 	REQ_EV_ENDED,	 /* the attempt ended */
-	REQ_EV_CALLER_GONE, /* the client disconnected */
-	REQ_EV_DEADLINE,    /* the client's deadline passed */
+	REQ_EV_CALLER_GONE, /* the caller disconnected */
+	REQ_EV_DEADLINE,    /* the caller's deadline passed */
 	REQ_EV_STALL,	    /* no progress in time, or no chain in time */
 	REQ_EV_COUNT
 };
@@ -53,8 +53,7 @@
 	int64_t arrived_us;
 	int64_t deadline_us;
 	int64_t stall_deadline_us; /* when the attempt counts as stalled */
-	int64_t ready_deadline_us; /* REQ_READY: when to stop waiting for a
-				      chain */
+	int64_t ready_deadline_us; /* REQ_READY: end of the wait for a chain */
 	int64_t dispatched_us;
 	int64_t first_token_us; /* of this attempt, 0 before the first token */
 	uint32_t attempt;	/* number of the attempt, 0 before the first */
--- a/src/req.c
+++ b/src/req.c
@@ -10,7 +10,7 @@
 /* Queue heads that one pass may skip per service when no chain can run them. */
 #define REQ_SKIPS_MAX 4
 /*
- * How long an attempt that may not be repeated may continue after its client
+ * How long an attempt that may not be repeated may continue after its caller
  * was answered, so that its outcome is still recorded.
  */
 #define REQ_SETTLE_GRACE_US (30 * MAG_US_PER_S)
@@ -305,7 +305,7 @@
 }
 
 /*
- * The client is answered while the compare-and-swap of the reservation is
+ * The caller is answered while the compare-and-swap of the reservation is
  * pending.  It may still succeed, so not-run cannot be claimed; closing_ledger
  * then releases the reservation.
  */
@@ -421,7 +421,7 @@
 }
 
 /*
- * The deadline passed or the client disconnected.  Repeatable work is
+ * The deadline passed or the caller disconnected.  Repeatable work is
  * cancelled.  A non-idempotent attempt continues for a while, because only its
  * end can change the record from ambiguous to settled.
  */
@@ -490,7 +490,7 @@
 	core_schedule_tick(core, req->stall_deadline_us);
 }
 
-/* The reservation succeeded after the client was answered; nothing was sent. */
+/* The reservation succeeded after the caller was answered; nothing was sent. */
 static void closing_ledger(struct core *core, struct core_req *req, void *data)
 {
 	const struct ldg_result *result = data;
--- a/src/req_answer.c
+++ b/src/req_answer.c
@@ -31,7 +31,7 @@
 	return MAG_NOT_RUN;
 }
 
-/* Returns the seconds after which the client should retry. */
+/* Returns the seconds after which the caller should retry. */
 uint32_t req_retry_after(struct core *core, const struct core_req *req)
 {
 	if (req->account < 0 || req->service < 0)
--- a/src/req_arrive.c
+++ b/src/req_arrive.c
@@ -90,7 +90,7 @@
 	core_req_free(core, req);
 }
 
-/* Converts the client's timeout to a deadline within the service's maximum. */
+/* Converts the caller's timeout to a deadline within the service's maximum. */
 static int64_t arrival_deadline(const struct core *core,
 				const struct core_arrival *arrival, int service)
 {
