--- a/src/ep_engine.c
+++ b/src/ep_engine.c
@@ -60,7 +60,7 @@
 	body = json_pack(
 		"{s:s, s:i, s:i, s:o, s:i, s:i, s:I, s:s, s:i, s:o}", "request",
 		request->id, "attempt", (int)dispatch->attempt, "from",
-		(int)dispatch->resume, "given", engine_given(request),
+		(int)dispatch->resume_token, "given", engine_given(request),
 		"max_tokens", (int)request->max_tokens, "priority",
 		(int)dispatch->priority, "deadline_ms", (json_int_t)left_ms,
 		"prompt", request->prompt, "layers", (int)dispatch->layers,
@@ -96,7 +96,7 @@
 	json_t *given = json_array();
 	uint32_t i;
 
-	for (i = 0; i < request->dispatch->resume; i++)
+	for (i = 0; i < request->dispatch->resume_token; i++)
 		json_array_append_new(given, json_string(request->given[i]));
 	return given;
 }
@@ -175,7 +175,7 @@
 
 	call->ended = true;
 	if (tokens == (json_int_t)call->next)
-		call->answer->end = CORE_END_WHOLE;
+		call->answer->end = CORE_END_COMPLETE;
 	else
 		call->wrong = true;
 }
@@ -209,18 +209,18 @@
 	struct ep_answer *answer = call->answer;
 
 	if (call->wrong)
-		answer->end = CORE_END_WRONG;
+		answer->end = CORE_END_WRONG_IDS;
 	else if (call->ended)
 		return;
 	else if (code != CURLE_OK)
-		answer->end = ep_never_sent(call, code) ? CORE_END_UNSENT
-							: CORE_END_CUT;
+		answer->end = ep_never_sent(call, code) ? CORE_END_NOT_CONNECTED
+							: CORE_END_DISCONNECTED;
 	else if (ep_status_proves_unbegun(call))
 		answer->end = CORE_END_REFUSED;
 	else if (answer->status != 200)
 		answer->end = CORE_END_STATUS;
 	else
-		answer->end = CORE_END_CUT;
+		answer->end = CORE_END_DISCONNECTED;
 }
 
 /*
--- a/src/front_in.c
+++ b/src/front_in.c
@@ -137,7 +137,7 @@
 		*why = "Magnolia-Deadline-Ms must be a number of milliseconds";
 		return 400;
 	}
-	req->arrival.allowance_ms = (uint32_t)value;
+	req->arrival.timeout_ms = (uint32_t)value;
 	return 0;
 }
 
@@ -295,7 +295,8 @@
 		len = FRONT_PREFIX_BYTES;
 	crypto_generichash(hash, sizeof(hash), (const uint8_t *)prompt, len,
 			   NULL, 0);
-	memcpy(&req->arrival.prefix, hash, sizeof(req->arrival.prefix));
+	memcpy(&req->arrival.prefix_hash, hash,
+	       sizeof(req->arrival.prefix_hash));
 }
 
 /* Looks the route up in the published set. */
--- a/src/req_run.c
+++ b/src/req_run.c
@@ -3,7 +3,8 @@
 #include "core_int.h"
 #include "log.h"
 
-static int64_t pace(const struct core *core, const struct core_req *req);
+static int64_t available_us_per_token(const struct core *core,
+				      const struct core_req *req);
 static void fill_dispatch(struct core *core, struct core_req *req,
 			  struct core_dispatch *dispatch);
 static void fill_stage(const struct core *core, const struct pick_stage *from,
@@ -13,8 +14,8 @@
  * Chooses a chain for the next attempt of a request.  Returns PICK_OK or the
  * negative error of pick_choose.
  */
-int req_choose(struct core *core, struct core_req *req,
-	       struct pick_chain *chain)
+int req_choose_chain(struct core *core, struct core_req *req,
+		     struct pick_chain *chain)
 {
 	struct pick_want want = {
 		.service = req->service,
@@ -23,9 +24,9 @@
 		.avoid_count = req->avoid_count,
 		.alone = req->alone,
 		.careful = !req->idempotent,
-		.prefix = req->arrival.prefix,
+		.prefix = req->arrival.prefix_hash,
 		.prompt_tokens = req->arrival.prompt_tokens,
-		.pace_us = pace(core, req),
+		.pace_us = available_us_per_token(core, req),
 	};
 
 	if (req->service < 0)
@@ -38,19 +39,20 @@
 	return pick_choose(core->pick, &want, core->now, chain);
 }
 
-/* Returns how long a token may take for the answer to be in time. */
-static int64_t pace(const struct core *core, const struct core_req *req)
+/* Returns the time available per remaining token until the deadline. */
+static int64_t available_us_per_token(const struct core *core,
+				      const struct core_req *req)
 {
-	int64_t left = req->deadline_us - core->now;
+	int64_t remaining_us = req->deadline_us - core->now;
 
 	if (req->arrival.max_tokens <= req->tokens)
-		return left;
-	return left / (req->arrival.max_tokens - req->tokens);
+		return remaining_us;
+	return remaining_us / (req->arrival.max_tokens - req->tokens);
 }
 
 /*
- * Keeps a chosen chain for a request whose record is being reserved, so that
- * the place is still free once it may go.
+ * Reserves capacity on a chain while the request's record is being reserved,
+ * so that it is still free when the request may run.
  */
 void req_hold_chain(struct core *core, struct core_req *req,
 		    const struct pick_chain *chain)
@@ -60,8 +62,8 @@
 	pick_started(core->pick, chain, core->now);
 }
 
-/* Gives a chain back that nothing was sent to. */
-void req_drop_chain(struct core *core, struct core_req *req)
+/* Releases a held chain to which nothing was sent. */
+void req_release_chain(struct core *core, struct core_req *req)
 {
 	struct pick_result result = {
 		.kind = PICK_ENDED_OTHER,
@@ -87,14 +89,15 @@
 	req->dispatched_us = core->now;
 	req->first_token_us = 0;
 	memset(req->hop_us, 0, sizeof(req->hop_us));
-	req->attempt_from = req->tokens;
-	req->give_up_us = MAG_NEVER;
-	req->stall_us = core->now + core->settings.first_timeout_us;
-	core_due(core, req->stall_us);
-	core_due(core, req->deadline_us);
+	req->tokens_before_attempt = req->tokens;
+	req->ready_deadline_us = MAG_NEVER;
+	req->stall_deadline_us =
+		core->now + core->settings.first_token_timeout_us;
+	core_schedule_tick(core, req->stall_deadline_us);
+	core_schedule_tick(core, req->deadline_us);
 	req->state = REQ_RUNNING;
 	core->running++;
-	dispatch = &core_act(core, CORE_ACT_DISPATCH)->dispatch;
+	dispatch = &core_add_action(core, CORE_ACT_DISPATCH)->dispatch;
 	fill_dispatch(core, req, dispatch);
 	log_event(LOG_REQ_DISPATCHED,
 		  "request=%llu attempt=%u account=%s service=%s stages=%d "
@@ -102,10 +105,10 @@
 		  (unsigned long long)req->arrival.req, req->attempt,
 		  dispatch->account, core->set->services[req->service].name,
 		  dispatch->stage_count, dispatch->stages[0].endpoint,
-		  dispatch->resume);
+		  dispatch->resume_token);
 }
 
-/* Tells pick how the current attempt ended and gives its chain back. */
+/* Reports the end of the current attempt to pick and releases its chain. */
 void req_end_attempt(struct core *core, struct core_req *req,
 		     enum pick_result_kind kind, int at_stage, uint32_t silent)
 {
@@ -113,7 +116,7 @@
 		.kind = kind,
 		.at_stage = at_stage,
 		.silent = silent,
-		.tokens = req->tokens - req->attempt_from,
+		.tokens = req->tokens - req->tokens_before_attempt,
 		.took_us = core->now - req->dispatched_us,
 	};
 
@@ -126,33 +129,33 @@
 	shr_ran(core->shr, req->account, req->service, &req->chain,
 		result.tokens, req->hop_us);
 	req->chain_held = false;
-	if (req->tokens > req->attempt_from) {
-		/* Only a chain that made tokens holds caches worth keeping. */
+	if (req->tokens > req->tokens_before_attempt) {
+		/* Only a chain that produced tokens has useful caches. */
 		req->last_chain = req->chain;
 		req->has_last_chain = true;
 	}
 	core->running--;
 }
 
-/* Asks the shell to stop the current attempt and the endpoint's work. */
+/* Asks the shell to cancel the current attempt and the endpoint's work. */
 void req_cancel(struct core *core, struct core_req *req, bool probe)
 {
 	struct core_cancel *cancel;
 
-	cancel = &core_act(core, CORE_ACT_CANCEL)->cancel;
+	cancel = &core_add_action(core, CORE_ACT_CANCEL)->cancel;
 	cancel->req = req->arrival.req;
 	cancel->attempt = req->attempt;
 	cancel->probe = probe;
 }
 
 /*
- * Tells whether a failed request may be tried once more, elsewhere than at
- * the endpoint that failed it.  Repeats spend a budget, so that an overload
- * is not multiplied by them.
+ * Tells whether a failed request may be retried, and makes it avoid the
+ * endpoint that failed.  Retries spend a budget, so that they do not multiply
+ * an overload.
  */
-bool req_try_again(struct core *core, struct core_req *req, int endpoint)
+bool req_may_retry(struct core *core, struct core_req *req, int endpoint)
 {
-	if (!req_go_elsewhere(core, req, endpoint) ||
+	if (!req_may_redispatch(core, req, endpoint) ||
 	    !adm_may_retry(core->adm, req->account, req->service, endpoint,
 			   core->now))
 		return false;
@@ -160,10 +163,13 @@
 	return true;
 }
 
-/* The same for a request that no endpoint has begun: it spends no budget. */
-bool req_go_elsewhere(struct core *core, struct core_req *req, int endpoint)
+/*
+ * Like req_may_retry, for a request that no endpoint has begun: it spends no
+ * retry budget.
+ */
+bool req_may_redispatch(struct core *core, struct core_req *req, int endpoint)
 {
-	req_avoid(req, endpoint);
+	req_avoid_endpoint(req, endpoint);
 	if (req->attempt >= CORE_ATTEMPTS_MAX)
 		return false;
 	if (req->deadline_us <= core->now)
@@ -172,7 +178,7 @@
 	       QUAR_QUARANTINED;
 }
 
-void req_avoid(struct core_req *req, int endpoint)
+void req_avoid_endpoint(struct core_req *req, int endpoint)
 {
 	if (endpoint < 0 || req->avoid_count >= CORE_AVOID_MAX)
 		return;
@@ -187,11 +193,11 @@
 
 	dispatch->req = req->arrival.req;
 	dispatch->attempt = req->attempt;
-	dispatch->resume = core->settings.no_resume ? 0 : req->tokens;
+	dispatch->resume_token = core->settings.no_resume ? 0 : req->tokens;
 	dispatch->kind = service->kind;
 	dispatch->layers = service->layers;
 	dispatch->deadline_us = req->deadline_us;
-	dispatch->once = !req->idempotent || service->kind == CFG_MODEL;
+	dispatch->at_most_once = !req->idempotent || service->kind == CFG_MODEL;
 	memcpy(dispatch->not_begun_status, service->not_begun_status,
 	       sizeof(dispatch->not_begun_status));
 	if (req->reserved)
