--- a/bench/bench_capacity_core.c
+++ b/bench/bench_capacity_core.c
@@ -285,7 +285,7 @@
 			event.load.report.tokens_per_s =
 				50000u +
 				(uint32_t)((i * 37 + round * 1009) % 20000);
-			event.load.report.taken_at_us = bench->now;
+			event.load.report.measured_at_us = bench->now;
 			core_post(bench->core, &event);
 		}
 		tick(bench);
--- a/bench/bench_decide.c
+++ b/bench/bench_decide.c
@@ -65,8 +65,9 @@
 /* Returns the mean time of a decision in microseconds. */
 static double decide(struct pick *pick, int hold, int *failed)
 {
-	struct pick_want want = { .service = 0, .group = "" };
-	struct pick_result end = { .kind = PICK_ENDED_WELL, .at_stage = -1 };
+	struct pick_request want = { .service = 0, .group = "" };
+	struct pick_result end = { .kind = PICK_ENDED_COMPLETE,
+				   .failed_stage = -1 };
 	struct pick_chain *held = calloc((size_t)hold, sizeof(*held));
 	double from = now_us();
 	double took;
@@ -115,7 +116,7 @@
 	pick_config(pick, &set, 0);
 	pick_tick(pick, 0);
 	solve = now_us();
-	pick_leaving(pick, 0, true, 0);
+	pick_set_leaving(pick, 0, true, 0);
 	pick_tick(pick, 0);
 	solve = now_us() - solve;
 	log_set_sink(NULL, NULL);
--- a/bench/sim_stage.c
+++ b/bench/sim_stage.c
@@ -205,7 +205,7 @@
 			      s->name);
 		event.load.report.tokens_per_s = (uint32_t)s->rate;
 		event.load.report.running = s->running;
-		event.load.report.taken_at_us = sim->now - SIM_REPORT_LAG_US;
+		event.load.report.measured_at_us = sim->now - SIM_REPORT_LAG_US;
 		for (r = 0; r < sim->settings.routers; r++)
 			core_post(sim->cores[r], &event);
 	}
--- a/regress/check_pick.c
+++ b/regress/check_pick.c
@@ -139,7 +139,7 @@
 static void do_choose(struct run *r, char **word, int words)
 {
 	static const char *const errors[] = { "", "busy", "none", "memory" };
-	struct pick_want want = { .service = 0, .group = "" };
+	struct pick_request want = { .service = 0, .group = "" };
 	struct pick_chain *chain = &r->chains[atoi(word[1])];
 	struct pick_chain keep;
 	int avoid[8];
@@ -151,14 +151,14 @@
 		if (strcmp(word[i], "alone") == 0) {
 			want.alone = true;
 		} else if (strcmp(word[i], "careful") == 0) {
-			want.careful = true;
+			want.at_most_once = true;
 		} else if (strcmp(word[i], "keep") == 0) {
 			keep = r->chains[atoi(word[++i])];
-			want.keep = &keep;
+			want.resume_from = &keep;
 		} else if (strcmp(word[i], "avoid") == 0) {
 			avoid[want.avoid_count++] = endpoint(word[++i]);
 		} else if (strcmp(word[i], "prefix") == 0) {
-			want.prefix = (uint64_t)atoll(word[++i]);
+			want.prefix_hash = (uint64_t)atoll(word[++i]);
 		} else if (strcmp(word[i], "tokens") == 0) {
 			want.prompt_tokens = (uint32_t)atoi(word[++i]);
 		} else if (strcmp(word[i], "group") == 0) {
@@ -179,7 +179,7 @@
 {
 	static const char *const kinds[] = { "well", "failed", "slow",
 					     "refused", "other" };
-	struct pick_result result = { .at_stage = -1, .tokens = 10 };
+	struct pick_result result = { .failed_stage = -1, .tokens = 10 };
 	int i;
 
 	for (i = 0; i < 5; i++) {
@@ -187,10 +187,10 @@
 			result.kind = (enum pick_result_kind)i;
 	}
 	if (words > 3)
-		result.at_stage = atoi(word[3]);
+		result.failed_stage = atoi(word[3]);
 	if (words > 4)
 		result.tokens = (uint32_t)atoi(word[4]);
-	result.took_us = words > 5 ? atoll(word[5]) : 1000;
+	result.duration_us = words > 5 ? atoll(word[5]) : 1000;
 	pick_ended(r->pick, &r->chains[atoi(word[1])], &result, r->now);
 }
 
@@ -202,14 +202,16 @@
 
 	for (i = 2; i < words; i++)
 		hops[i - 2] = (uint32_t)atoi(word[i]);
-	pick_hops(r->pick, &r->chains[atoi(word[1])], hops, words - 2, r->now);
+	pick_add_hop_times(r->pick, &r->chains[atoi(word[1])], hops, words - 2,
+			   r->now);
 }
 
 /* repeat N COUNT: N choices, each ended at once; counts the endpoints */
 static void do_repeat(struct run *r, char **word, int words)
 {
-	struct pick_want want = { .service = 0, .group = "" };
-	struct pick_result result = { .kind = PICK_ENDED_WELL, .tokens = 10 };
+	struct pick_request want = { .service = 0, .group = "" };
+	struct pick_result result = { .kind = PICK_ENDED_COMPLETE,
+				      .tokens = 10 };
 	int count[ENDPOINTS_MAX] = { 0 };
 	struct pick_chain chain;
 	size_t e;
@@ -237,7 +239,7 @@
 	struct pick_report report = {
 		.tokens_per_s = (uint32_t)atoi(word[2]),
 		.running = (uint32_t)atoi(word[3]),
-		.taken_at_us = atoll(word[4]) * MAG_US_PER_MS,
+		.measured_at_us = atoll(word[4]) * MAG_US_PER_MS,
 	};
 
 	(void)words;
@@ -248,7 +250,7 @@
 static void do_leaving(struct run *r, char **word, int words)
 {
 	(void)words;
-	pick_leaving(r->pick, endpoint(word[1]), atoi(word[2]), r->now);
+	pick_set_leaving(r->pick, endpoint(word[1]), atoi(word[2]), r->now);
 }
 
 /* cache NAME SEQUENCE PREFIX 0|1 */
@@ -287,18 +289,18 @@
 static void do_proved(struct run *r, char **word, int words)
 {
 	(void)words;
-	pick_proved(r->pick, &r->chains[atoi(word[1])]);
+	pick_release_suspect(r->pick, &r->chains[atoi(word[1])]);
 }
 
 /* explain [GROUP [PREFIX]] */
 static void do_explain(struct run *r, char **word, int words)
 {
-	struct pick_want want = { .service = 0, .group = "" };
+	struct pick_request want = { .service = 0, .group = "" };
 
 	if (words > 1)
 		want.group = word[1];
 	if (words > 2)
-		want.prefix = (uint64_t)atoll(word[2]);
+		want.prefix_hash = (uint64_t)atoll(word[2]);
 	pick_explain_request(r->pick, &want, r->now, r->out);
 }
 
@@ -307,7 +309,7 @@
 {
 	(void)word;
 	(void)words;
-	pick_bound_write(r->pick, 0, r->now, r->out);
+	pick_write_bound(r->pick, 0, r->now, r->out);
 }
 
 static const struct command commands[] = {
--- a/src/core.c
+++ b/src/core.c
@@ -365,8 +365,8 @@
 		return;
 	endpoint = cfg_find_endpoint(core->set, event->leaving.endpoint);
 	if (endpoint >= 0)
-		pick_leaving(core->pick, endpoint, event->leaving.leaving,
-			     core->now);
+		pick_set_leaving(core->pick, endpoint, event->leaving.leaving,
+				 core->now);
 }
 
 static void on_cache(struct core *core, struct core_event *event)
--- a/src/core_show.c
+++ b/src/core_show.c
@@ -61,7 +61,7 @@
 int core_show_explain(struct core *core, const char *service, FILE *out)
 {
 	int index = core->set ? cfg_find_service(core->set, service) : -1;
-	struct pick_want want = { .group = "" };
+	struct pick_request want = { .group = "" };
 
 	if (index < 0)
 		return -1;
@@ -112,7 +112,7 @@
 
 	if (!file)
 		return NULL;
-	pick_bound_write(core->pick, service, core->now, file);
+	pick_write_bound(core->pick, service, core->now, file);
 	fclose(file);
 	bound = json_loadb(text, len, 0, NULL);
 	free(text);
--- a/src/pick.c
+++ b/src/pick.c
@@ -8,7 +8,7 @@
 static bool pick_is_apart(const struct pick *pick,
 			  const struct pick_chain *chain);
 static int pick_decide(struct pick *pick, struct pick_net *net,
-		       const struct pick_want *want, int64_t now,
+		       const struct pick_request *want, int64_t now,
 		       struct pick_chain *chain);
 static bool pick_known(const struct pick *pick, int endpoint);
 
@@ -23,9 +23,9 @@
 	if (!pick)
 		return NULL;
 	pick->policy = policy;
-	pick->random = seed ^ PICK_SEED_MIX;
-	pick->tick_us = MAG_NEVER;
-	pick->probed_us = -MAG_US_PER_S;
+	pick->random_state = seed ^ PICK_SEED_MIX;
+	pick->next_tick_us = MAG_NEVER;
+	pick->last_probe_us = -MAG_US_PER_S;
 	return pick;
 }
 
@@ -36,21 +36,22 @@
 
 	if (!pick)
 		return;
-	pick_drop_nets(pick);
+	pick_free_nets(pick);
 	for (i = 0; i < pick->ep_count; i++)
 		free(pick->eps[i].cache);
 	free(pick->eps);
 	free(pick->services);
-	free(pick->centres);
-	free(pick->joined);
-	free(pick->load);
+	free(pick->data_centres);
+	free(pick->reachable);
+	free(pick->service_load);
 	free(pick->load_tokens);
 	free(pick->remap);
 	free(pick);
 }
 
 /* Notes that an endpoint leaves, so that it gets no new work, or came back. */
-void pick_leaving(struct pick *pick, int endpoint, bool leaving, int64_t now)
+void pick_set_leaving(struct pick *pick, int endpoint, bool leaving,
+		      int64_t now)
 {
 	struct pick_ep *ep;
 
@@ -61,7 +62,7 @@
 	if (ep->leaving == leaving)
 		return;
 	ep->leaving = leaving;
-	pick_dirty(pick, ep->cfg.service, true);
+	pick_mark_dirty(pick, ep->cfg.service, true);
 }
 
 /* Takes a load report; one older than the last is dropped. */
@@ -75,22 +76,23 @@
 	if (!pick_known(pick, endpoint))
 		return;
 	ep = &pick->eps[endpoint];
-	if (ep->reported && report->taken_at_us < ep->report_us)
+	if (ep->has_report && report->measured_at_us < ep->reported_at_us)
 		return;
 	mine = ep->in_flight;
-	ep->others = report->running > mine ? report->running - mine : 0;
-	if (!ep->reported || ep->said != report->tokens_per_s)
-		pick_dirty(pick, ep->cfg.service, false);
-	ep->said = report->tokens_per_s;
-	ep->report_us = report->taken_at_us;
-	ep->reported = true;
+	ep->others_in_flight =
+		report->running > mine ? report->running - mine : 0;
+	if (!ep->has_report || ep->reported_rate != report->tokens_per_s)
+		pick_mark_dirty(pick, ep->cfg.service, false);
+	ep->reported_rate = report->tokens_per_s;
+	ep->reported_at_us = report->measured_at_us;
+	ep->has_report = true;
 }
 
 /*
  * Chooses a chain for an attempt.  Returns 0, PICK_E_BUSY if every chain has
- * a stage at its limit, or PICK_E_NONE if no live chain covers all layers.
+ * a stage at its limit, or PICK_E_NO_CHAIN if no live chain covers all layers.
  */
-int pick_choose(struct pick *pick, const struct pick_want *want, int64_t now,
+int pick_choose(struct pick *pick, const struct pick_request *want, int64_t now,
 		struct pick_chain *chain)
 {
 	const char *group = want->group ? want->group : "";
@@ -99,8 +101,8 @@
 
 	chain->count = 0;
 	if (want->service < 0 || want->service >= pick->service_count)
-		return PICK_E_NONE;
-	net = pick_net_of(pick, want->service, group);
+		return PICK_E_NO_CHAIN;
+	net = pick_get_net(pick, want->service, group);
 	if (!net)
 		return PICK_E_MEMORY;
 	err = pick_net_solve(pick, net, now);
@@ -111,23 +113,23 @@
 
 /* Runs the ways to choose in their order and logs what came of it. */
 static int pick_decide(struct pick *pick, struct pick_net *net,
-		       const struct pick_want *want, int64_t now,
+		       const struct pick_request *want, int64_t now,
 		       struct pick_chain *chain)
 {
 	const char *why = "flow";
 	int err;
 
-	pick->since_probe++;
-	if (want->keep || want->alone) {
+	pick->requests_since_probe++;
+	if (want->resume_from || want->alone) {
 		why = want->alone ? "alone" : "keeps-survivors";
 		err = pick_seek(pick, net, want, now, chain);
-	} else if (pick->closed > 0 &&
+	} else if (pick->unhealthy_count > 0 &&
 		   pick_probe(pick, net, want, now, chain) == PICK_OK) {
 		why = "probe";
 		err = PICK_OK;
 	} else {
 		err = pick_walk(pick, net, want, now, chain);
-		if (err == PICK_E_NONE) {
+		if (err == PICK_E_NO_CHAIN) {
 			why = "no-flow";
 			err = pick_seek(pick, net, want, now, chain);
 		}
@@ -160,7 +162,7 @@
  * Lets the next suspect onto a chain's endpoints, as this one has run there
  * for a while and nothing happened.
  */
-void pick_proved(struct pick *pick, struct pick_chain *chain)
+void pick_release_suspect(struct pick *pick, struct pick_chain *chain)
 {
 	int i;
 
@@ -185,12 +187,12 @@
 		if (!pick_known(pick, e))
 			continue;
 		if (pick->eps[e].in_flight++ == 0)
-			pick->eps[e].progress_us = now;
+			pick->eps[e].last_progress_us = now;
 		pick->eps[e].suspects += chain->alone;
 		pick->in_flight++;
 	}
-	if (pick->tick_us == MAG_NEVER)
-		pick->tick_us = now + PICK_TICK_US;
+	if (pick->next_tick_us == MAG_NEVER)
+		pick->next_tick_us = now + PICK_TICK_US;
 }
 
 /* Takes an attempt off the stages of its chain and learns from its end. */
@@ -220,13 +222,13 @@
 {
 	int i;
 
-	if (now < pick->tick_us && !pick->urgent)
+	if (now < pick->next_tick_us && !pick->urgent)
 		return;
-	if (now >= pick->tick_us) {
+	if (now >= pick->next_tick_us) {
 		pick_health_tick(pick, now);
-		pick->tick_us = MAG_NEVER;
-		if (pick->in_flight > 0 || pick->closed > 0)
-			pick->tick_us = now + PICK_TICK_US;
+		pick->next_tick_us = MAG_NEVER;
+		if (pick->in_flight > 0 || pick->unhealthy_count > 0)
+			pick->next_tick_us = now + PICK_TICK_US;
 	}
 	pick->urgent = false;
 	for (i = 0; i < pick->net_count; i++)
@@ -236,14 +238,14 @@
 /* Returns when pick_tick is due next, MAG_NEVER if nothing is pending. */
 int64_t pick_next_deadline(const struct pick *pick)
 {
-	return pick->urgent ? 0 : pick->tick_us;
+	return pick->urgent ? 0 : pick->next_tick_us;
 }
 
 /* Tells whether an endpoint may get new work. */
-bool pick_usable(const struct pick *pick, int endpoint, int64_t now)
+bool pick_is_usable(const struct pick *pick, int endpoint, int64_t now)
 {
 	return pick_known(pick, endpoint) &&
-	       pick_open(&pick->eps[endpoint], now);
+	       pick_accepts_work(&pick->eps[endpoint], now);
 }
 
 /* Tells whether an index names an endpoint of the present set. */
--- a/src/pick.h
+++ b/src/pick.h
@@ -18,8 +18,8 @@
 
 enum pick_err {
 	PICK_OK = 0,
-	PICK_E_BUSY = -1, /* every chain has a stage at its limit */
-	PICK_E_NONE = -2, /* no live chain covers all layers */
+	PICK_E_BUSY = -1,     /* every chain has a stage at its limit */
+	PICK_E_NO_CHAIN = -2, /* no live chain covers all layers */
 	PICK_E_MEMORY = -3,
 };
 
@@ -44,40 +44,43 @@
 	PICK_POLICY_COUNT
 };
 
-struct pick_want {
+struct pick_request {
 	int service;
-	const char *group;	       /* "" takes any */
-	const struct pick_chain *keep; /* chain to resume from, or NULL */
-	const int *avoid;	       /* endpoints that failed this request */
+	const char *group; /* "" takes any */
+	const struct pick_chain
+		*resume_from; /* chain to resume from, or NULL */
+	const int *avoid;     /* endpoints that failed this request */
 	int avoid_count;
-	bool alone;	 /* a suspect: only endpoints without another one */
-	bool careful;	 /* must not run twice: never used as a probe */
-	uint64_t prefix; /* hash of the prompt's prefix, 0 for none */
+	bool alone;	   /* a suspect: only endpoints without another one */
+	bool at_most_once; /* must not run twice: never used as a probe */
+	uint64_t prefix_hash; /* hash of the prompt's prefix, 0 for none */
 	uint32_t prompt_tokens;
-	int64_t pace_us; /* a token may take so long, or the answer is late */
+	int64_t max_token_us; /* a token may take so long, or the answer is late
+			       */
 };
 
 enum pick_result_kind {
-	PICK_ENDED_WELL,
+	PICK_ENDED_COMPLETE,
 	PICK_ENDED_FAILED,  /* the endpoint died or cut the stream */
-	PICK_ENDED_SLOW,    /* no progress until the deadline for it */
+	PICK_ENDED_STALLED, /* no progress until the deadline for it */
 	PICK_ENDED_REFUSED, /* it answered that it is full */
 	PICK_ENDED_OTHER,   /* cancelled, or not this endpoint's doing */
 };
 
 struct pick_result {
 	enum pick_result_kind kind;
-	int at_stage;	 /* the stage at fault, or -1 */
-	uint32_t silent; /* stages, as bits, that did not answer when asked */
+	int failed_stage;	/* the stage at fault, or -1 */
+	uint32_t silent_stages; /* stages, as bits, that did not answer when
+				   asked */
 	uint32_t tokens;
 	int64_t first_token_us; /* from dispatch, 0 if none came */
-	int64_t took_us;
+	int64_t duration_us;
 };
 
 struct pick_report {
 	uint32_t tokens_per_s; /* what the endpoint says it can do now */
 	uint32_t running;
-	int64_t taken_at_us; /* when it was measured, as far as known */
+	int64_t measured_at_us; /* when it was measured, as far as known */
 };
 
 struct pick *pick_new(enum pick_policy policy, uint64_t seed);
@@ -86,31 +89,33 @@
 /* Takes a new set; what is known of an endpoint is kept by its name. */
 int pick_config(struct pick *pick, const struct cfg_set *set, int64_t now);
 void pick_remap(const struct pick *pick, struct pick_chain *chain);
-void pick_leaving(struct pick *pick, int endpoint, bool leaving, int64_t now);
+void pick_set_leaving(struct pick *pick, int endpoint, bool leaving,
+		      int64_t now);
 void pick_report(struct pick *pick, int endpoint,
 		 const struct pick_report *report, int64_t now);
 void pick_cache_event(struct pick *pick, int endpoint, uint64_t sequence,
 		      uint64_t prefix, bool stored, int64_t now);
 
-int pick_choose(struct pick *pick, const struct pick_want *want, int64_t now,
+int pick_choose(struct pick *pick, const struct pick_request *want, int64_t now,
 		struct pick_chain *chain);
 void pick_started(struct pick *pick, const struct pick_chain *chain,
 		  int64_t now);
-void pick_hops(struct pick *pick, const struct pick_chain *chain,
-	       const uint32_t *hop_us, int count, int64_t now);
-void pick_proved(struct pick *pick, struct pick_chain *chain);
+void pick_add_hop_times(struct pick *pick, const struct pick_chain *chain,
+			const uint32_t *hop_us, int count, int64_t now);
+void pick_release_suspect(struct pick *pick, struct pick_chain *chain);
 void pick_ended(struct pick *pick, const struct pick_chain *chain,
 		const struct pick_result *result, int64_t now);
-int pick_silent(const struct pick *pick, const struct pick_chain *chain,
-		int64_t now);
-int pick_degraded(const struct pick *pick, const struct pick_chain *chain);
+int pick_find_silent_stage(const struct pick *pick,
+			   const struct pick_chain *chain, int64_t now);
+int pick_find_degraded_stage(const struct pick *pick,
+			     const struct pick_chain *chain);
 void pick_tick(struct pick *pick, int64_t now);
 int64_t pick_next_deadline(const struct pick *pick);
 
-bool pick_usable(const struct pick *pick, int endpoint, int64_t now);
+bool pick_is_usable(const struct pick *pick, int endpoint, int64_t now);
 double pick_bound(const struct pick *pick, int service);
-int pick_bound_write(struct pick *pick, int service, int64_t now, FILE *out);
-int pick_explain_request(struct pick *pick, const struct pick_want *want,
+int pick_write_bound(struct pick *pick, int service, int64_t now, FILE *out);
+int pick_explain_request(struct pick *pick, const struct pick_request *want,
 			 int64_t now, FILE *out);
 double pick_bound_without(struct pick *pick, int service, int endpoint);
 
--- a/src/pick_adapt.c
+++ b/src/pick_adapt.c
@@ -34,8 +34,8 @@
 static void pick_adapt_tell(struct pick *pick, struct pick_ep *ep);
 
 /* Learns from the time that tokens took at each stage of a chain. */
-void pick_hops(struct pick *pick, const struct pick_chain *chain,
-	       const uint32_t *hop_us, int count, int64_t now)
+void pick_add_hop_times(struct pick *pick, const struct pick_chain *chain,
+			const uint32_t *hop_us, int count, int64_t now)
 {
 	double whole = 0;
 	int i;
@@ -47,25 +47,25 @@
 
 		if (e < 0 || e >= pick->ep_count)
 			continue;
-		pick_health_alive(pick, e, now);
-		pick_adapt_hop(&pick->eps[e], hop_us[i], whole);
+		pick_health_progress(pick, e, now);
+		pick_adapt_add_hop(&pick->eps[e], hop_us[i], whole);
 	}
 }
 
 /* Takes one measured hop into an endpoint's means. */
-void pick_adapt_hop(struct pick_ep *ep, double hop_us, double chain_us)
+void pick_adapt_add_hop(struct pick_ep *ep, double hop_us, double chain_us)
 {
-	ep->samples++;
-	if (ep->chain_us <= 0) {
-		ep->hop_us = hop_us;
-		ep->base_us = hop_us;
-		ep->chain_us = chain_us;
+	ep->hop_samples++;
+	if (ep->mean_chain_us <= 0) {
+		ep->mean_hop_us = hop_us;
+		ep->min_hop_us = hop_us;
+		ep->mean_chain_us = chain_us;
 		return;
 	}
-	ep->hop_us += PICK_HOP_STEP * (hop_us - ep->hop_us);
-	ep->chain_us += PICK_HOP_STEP * (chain_us - ep->chain_us);
-	if (hop_us < ep->base_us)
-		ep->base_us = hop_us;
+	ep->mean_hop_us += PICK_HOP_EWMA * (hop_us - ep->mean_hop_us);
+	ep->mean_chain_us += PICK_HOP_EWMA * (chain_us - ep->mean_chain_us);
+	if (hop_us < ep->min_hop_us)
+		ep->min_hop_us = hop_us;
 }
 
 /* Adapts one endpoint to what was measured since the last tick. */
@@ -74,12 +74,13 @@
 	double passing;
 	double waiting;
 
-	if (ep->samples < PICK_SAMPLES_LEAST || ep->chain_us <= 0)
+	if (ep->hop_samples < PICK_SAMPLES_LEAST || ep->mean_chain_us <= 0)
 		return;
-	ep->samples = 0;
-	ep->base_us *= PICK_BASE_CREEP;
+	ep->hop_samples = 0;
+	ep->min_hop_us *= PICK_BASE_CREEP;
 	passing = pick_passing(ep);
-	waiting = passing * (ep->hop_us - ep->base_us) / (double)MAG_US_PER_S;
+	waiting = passing * (ep->mean_hop_us - ep->min_hop_us) /
+		  (double)MAG_US_PER_S;
 	pick_adapt_limit(ep, passing, waiting);
 	pick_adapt_scale(ep, passing, waiting);
 	pick_adapt_tell(pick, ep);
@@ -88,8 +89,8 @@
 /* Returns the tokens a second that pass an endpoint, of all instances. */
 static double pick_passing(const struct pick_ep *ep)
 {
-	return (ep->in_flight + ep->others) * (double)MAG_US_PER_S /
-	       ep->chain_us;
+	return (ep->in_flight + ep->others_in_flight) * (double)MAG_US_PER_S /
+	       ep->mean_chain_us;
 }
 
 /*
@@ -114,14 +115,14 @@
  */
 static void pick_adapt_limit(struct pick_ep *ep, double passing, double waiting)
 {
-	double part =
-		(ep->in_flight + 1.0) / (ep->in_flight + ep->others + 1.0);
+	double part = (ep->in_flight + 1.0) /
+		      (ep->in_flight + ep->others_in_flight + 1.0);
 	double step = PICK_LIMIT_STEP * part * (pick_wanted(passing) - waiting);
 
 	if (step > 0 && ep->in_flight + 1 < ep->limit)
 		return;
-	if (step > 0 && ep->refused_at > 0 &&
-	    ep->limit >= PICK_LIMIT_DOWN * ep->refused_at)
+	if (step > 0 && ep->refused_limit > 0 &&
+	    ep->limit >= PICK_REFUSAL_FACTOR * ep->refused_limit)
 		step *= PICK_LIMIT_FULL;
 	if (step < 0 && ep->limit > ep->in_flight)
 		ep->limit = ep->in_flight;
@@ -141,32 +142,35 @@
  */
 static void pick_adapt_scale(struct pick_ep *ep, double passing, double waiting)
 {
-	double rate = pick_rate(ep) / ep->scale;
+	double rate = pick_rate(ep) / ep->rate_scale;
 
 	if (waiting >= PICK_WAIT_LEAST)
-		ep->scale += PICK_SCALE_STEP * (passing / rate - ep->scale);
+		ep->rate_scale +=
+			PICK_SCALE_STEP * (passing / rate - ep->rate_scale);
 	else
-		ep->scale *= PICK_SCALE_UP;
-	if (ep->scale < PICK_SCALE_LEAST)
-		ep->scale = PICK_SCALE_LEAST;
-	if (ep->scale > 1)
-		ep->scale = 1;
+		ep->rate_scale *= PICK_SCALE_UP;
+	if (ep->rate_scale < PICK_SCALE_LEAST)
+		ep->rate_scale = PICK_SCALE_LEAST;
+	if (ep->rate_scale > 1)
+		ep->rate_scale = 1;
 }
 
 /* Has the graph solved again if the rate moved far, and logs it. */
 static void pick_adapt_tell(struct pick *pick, struct pick_ep *ep)
 {
-	double moved = ep->scale / ep->solved_scale - 1;
+	double moved = ep->rate_scale / ep->solved_rate_scale - 1;
 
 	if (moved < PICK_RESOLVE_PART && moved > -PICK_RESOLVE_PART &&
-	    (ep->scale < 1 || ep->solved_scale >= 1))
+	    (ep->rate_scale < 1 || ep->solved_rate_scale >= 1))
 		return;
-	if (ep->scale < PICK_SCALE_TOLD && ep->solved_scale >= PICK_SCALE_TOLD)
+	if (ep->rate_scale < PICK_SCALE_TOLD &&
+	    ep->solved_rate_scale >= PICK_SCALE_TOLD)
 		log_event(LOG_PICK_DEGRADED, "endpoint=%s tokens_per_s=%.0f",
 			  ep->cfg.name, pick_rate(ep));
-	if (ep->scale >= PICK_SCALE_TOLD && ep->solved_scale < PICK_SCALE_TOLD)
+	if (ep->rate_scale >= PICK_SCALE_TOLD &&
+	    ep->solved_rate_scale < PICK_SCALE_TOLD)
 		log_event(LOG_PICK_RESTORED, "endpoint=%s tokens_per_s=%.0f",
 			  ep->cfg.name, pick_rate(ep));
-	ep->solved_scale = ep->scale;
-	pick_dirty(pick, ep->cfg.service, false);
+	ep->solved_rate_scale = ep->rate_scale;
+	pick_mark_dirty(pick, ep->cfg.service, false);
 }
--- a/src/pick_cache.c
+++ b/src/pick_cache.c
@@ -27,7 +27,7 @@
 	if (!cache)
 		return;
 	if (sequence != cache->next_sequence)
-		memset(cache->prefix, 0, sizeof(cache->prefix));
+		memset(cache->prefix_hashes, 0, sizeof(cache->prefix_hashes));
 	cache->next_sequence = sequence + 1;
 	set = pick_cache_set(cache, prefix);
 	for (i = 0; i < PICK_CACHE_WAYS; i++) {
@@ -59,5 +59,6 @@
 /* Returns the places where a prefix may be; it is a hash already. */
 static uint64_t *pick_cache_set(struct pick_cache *cache, uint64_t prefix)
 {
-	return &cache->prefix[(prefix % PICK_CACHE_SETS) * PICK_CACHE_WAYS];
+	return &cache->prefix_hashes[(prefix % PICK_CACHE_SETS) *
+				     PICK_CACHE_WAYS];
 }
--- a/src/pick_config.c
+++ b/src/pick_config.c
@@ -35,7 +35,7 @@
 	int err;
 
 	if (!same)
-		pick_drop_nets(pick);
+		pick_free_nets(pick);
 	err = pick_take_services(pick, set);
 	if (!err)
 		err = pick_take_endpoints(pick, set);
@@ -49,8 +49,8 @@
 	if (!err)
 		err = pick_take_nets(pick, set);
 	if (err)
-		pick_drop_nets(pick);
-	pick->tick_us = now;
+		pick_free_nets(pick);
+	pick->next_tick_us = now;
 	return err;
 }
 
@@ -105,7 +105,7 @@
 	int k;
 
 	for (k = 0; k < pick->net_count; k++)
-		pick->nets[k].wanted = true;
+		pick->nets[k].in_use = true;
 	for (i = 0; i < pick->ep_count; i++) {
 		const struct cfg_endpoint *cfg = &pick->eps[i].cfg;
 		const struct cfg_endpoint *was = &old[i].cfg;
@@ -115,7 +115,7 @@
 		for (k = 0; k < pick->net_count; k++) {
 			if (pick->nets[k].service == cfg->service ||
 			    pick->nets[k].service == was->service)
-				pick->nets[k].wanted = false;
+				pick->nets[k].in_use = false;
 		}
 	}
 	pick_drop_unwanted(pick);
@@ -127,13 +127,13 @@
 	size_t count = set->service_count;
 
 	free(pick->services);
-	free(pick->load);
+	free(pick->service_load);
 	free(pick->load_tokens);
 	pick->service_count = (int)count;
 	pick->services = calloc(count + 1, sizeof(*pick->services));
-	pick->load = calloc(count + 1, sizeof(*pick->load));
+	pick->service_load = calloc(count + 1, sizeof(*pick->service_load));
 	pick->load_tokens = calloc(count + 1, sizeof(*pick->load_tokens));
-	if (!pick->services || !pick->load || !pick->load_tokens)
+	if (!pick->services || !pick->service_load || !pick->load_tokens)
 		return PICK_E_MEMORY;
 	if (count > 0)
 		memcpy(pick->services, set->services,
@@ -147,12 +147,12 @@
 	size_t count = set->endpoint_count;
 	size_t i;
 
-	free(pick->centres);
-	pick->centre_count = 0;
+	free(pick->data_centres);
+	pick->data_centre_count = 0;
 	pick->ep_count = (int)count;
 	pick->eps = calloc(count + 1, sizeof(*pick->eps));
-	pick->centres = calloc(count + 1, sizeof(*pick->centres));
-	if (!pick->eps || !pick->centres)
+	pick->data_centres = calloc(count + 1, sizeof(*pick->data_centres));
+	if (!pick->eps || !pick->data_centres)
 		return PICK_E_MEMORY;
 	for (i = 0; i < count; i++)
 		pick_take_endpoint(pick, &pick->eps[i], &set->endpoints[i]);
@@ -164,23 +164,23 @@
 			       const struct cfg_endpoint *cfg)
 {
 	const struct cfg_service *service = &pick->services[cfg->service];
-	uint32_t layers = pick_layers(pick, cfg->service);
+	uint32_t layers = pick_layer_count(pick, cfg->service);
 
 	ep->cfg = *cfg;
 	if (ep->cfg.concurrency < PICK_MIN_CONCURRENCY)
 		ep->cfg.concurrency = PICK_MIN_CONCURRENCY;
-	ep->centre = pick_take_centre(pick, cfg->data_centre);
-	ep->first = service->kind == CFG_MODEL ? cfg->first_layer : 0;
-	ep->end = service->kind == CFG_MODEL ? cfg->last_layer + 1 : 1;
-	if (ep->end > layers || ep->first >= ep->end) {
+	ep->data_centre = pick_take_centre(pick, cfg->data_centre);
+	ep->first_layer = service->kind == CFG_MODEL ? cfg->first_layer : 0;
+	ep->end_layer = service->kind == CFG_MODEL ? cfg->last_layer + 1 : 1;
+	if (ep->end_layer > layers || ep->first_layer >= ep->end_layer) {
 		/* A range outside the model: the endpoint gets no work. */
-		ep->first = 0;
-		ep->end = layers;
+		ep->first_layer = 0;
+		ep->end_layer = layers;
 		ep->cfg.state = CFG_DRAIN;
 	}
 	ep->limit = ep->cfg.concurrency;
-	ep->scale = 1;
-	ep->solved_scale = 1;
+	ep->rate_scale = 1;
+	ep->solved_rate_scale = 1;
 	ep->health = PICK_HEALTHY;
 }
 
@@ -189,12 +189,13 @@
 {
 	int i;
 
-	for (i = 0; i < pick->centre_count; i++) {
-		if (strcmp(pick->centres[i], name) == 0)
+	for (i = 0; i < pick->data_centre_count; i++) {
+		if (strcmp(pick->data_centres[i], name) == 0)
 			return i;
 	}
-	mag_copy_name(pick->centres[i], sizeof(pick->centres[i]), name);
-	return pick->centre_count++;
+	mag_copy_name(pick->data_centres[i], sizeof(pick->data_centres[i]),
+		      name);
+	return pick->data_centre_count++;
 }
 
 /* Carries over what is known of endpoints that both sets name. */
@@ -219,10 +220,10 @@
 			pick_carry(&pick->eps[pick->remap[i]], &old[i]);
 	}
 	pick->in_flight = 0;
-	pick->closed = 0;
+	pick->unhealthy_count = 0;
 	for (i = 0; i < pick->ep_count; i++) {
 		pick->in_flight += pick->eps[i].in_flight;
-		pick->closed += pick->eps[i].health != PICK_HEALTHY;
+		pick->unhealthy_count += pick->eps[i].health != PICK_HEALTHY;
 	}
 	return PICK_OK;
 }
@@ -259,21 +260,22 @@
 
 	*ep = *old;
 	ep->cfg = fresh.cfg;
-	ep->centre = fresh.centre;
-	ep->first = fresh.first;
-	ep->end = fresh.end;
+	ep->data_centre = fresh.data_centre;
+	ep->first_layer = fresh.first_layer;
+	ep->end_layer = fresh.end_layer;
 	if (ep->limit > fresh.limit ||
 	    old->cfg.concurrency != fresh.cfg.concurrency)
 		ep->limit = fresh.limit;
-	if (old->first == fresh.first && old->end == fresh.end &&
+	if (old->first_layer == fresh.first_layer &&
+	    old->end_layer == fresh.end_layer &&
 	    old->cfg.tokens_per_s == fresh.cfg.tokens_per_s)
 		return;
-	ep->reported = false;
-	ep->scale = 1;
-	ep->solved_scale = 1;
-	ep->hop_us = 0;
-	ep->base_us = 0;
-	ep->chain_us = 0;
+	ep->has_report = false;
+	ep->rate_scale = 1;
+	ep->solved_rate_scale = 1;
+	ep->mean_hop_us = 0;
+	ep->min_hop_us = 0;
+	ep->mean_chain_us = 0;
 }
 
 /* Orders pointers to endpoints by name. */
@@ -297,7 +299,7 @@
 	int k;
 
 	for (k = 0; k < pick->net_count; k++)
-		pick->nets[k].wanted = false;
+		pick->nets[k].in_use = false;
 	for (i = 0; i < set->service_count && !err; i++)
 		err = pick_want_net(pick, (int)i, "");
 	for (i = 0; i < set->route_count && !err; i++) {
@@ -314,11 +316,11 @@
 
 static int pick_want_net(struct pick *pick, int service, const char *group)
 {
-	struct pick_net *net = pick_net_of(pick, service, group);
+	struct pick_net *net = pick_get_net(pick, service, group);
 
 	if (!net)
 		return PICK_E_MEMORY;
-	net->wanted = true;
+	net->in_use = true;
 	return PICK_OK;
 }
 
@@ -329,10 +331,10 @@
 	int i;
 
 	for (i = 0; i < pick->net_count; i++) {
-		if (pick->nets[i].wanted)
+		if (pick->nets[i].in_use)
 			pick->nets[kept++] = pick->nets[i];
 		else
-			pick_net_drop(&pick->nets[i]);
+			pick_net_free(&pick->nets[i]);
 	}
 	pick->net_count = kept;
 }
@@ -340,23 +342,23 @@
 /* Starts with every data centre joined to every other. */
 static int pick_join(struct pick *pick)
 {
-	size_t size = (size_t)pick->centre_count * pick->centre_count;
+	size_t size = (size_t)pick->data_centre_count * pick->data_centre_count;
 
-	free(pick->joined);
-	pick->joined = malloc(size + 1);
-	if (!pick->joined)
+	free(pick->reachable);
+	pick->reachable = malloc(size + 1);
+	if (!pick->reachable)
 		return PICK_E_MEMORY;
-	memset(pick->joined, true, size);
+	memset(pick->reachable, true, size);
 	return PICK_OK;
 }
 
 /* Frees all networks. */
-void pick_drop_nets(struct pick *pick)
+void pick_free_nets(struct pick *pick)
 {
 	int i;
 
 	for (i = 0; i < pick->net_count; i++)
-		pick_net_drop(&pick->nets[i]);
+		pick_net_free(&pick->nets[i]);
 	free(pick->nets);
 	pick->nets = NULL;
 	pick->net_count = 0;
--- a/src/pick_health.c
+++ b/src/pick_health.c
@@ -35,7 +35,7 @@
 static void pick_note_load(struct pick *pick, int service);
 
 /* Tells whether an endpoint may get new work, its limit aside. */
-bool pick_open(const struct pick_ep *ep, int64_t now)
+bool pick_accepts_work(const struct pick_ep *ep, int64_t now)
 {
 	(void)now;
 	return ep->cfg.state == CFG_ACTIVE && !ep->leaving &&
@@ -43,23 +43,23 @@
 }
 
 /* Tells whether an endpoint is under its limit. */
-bool pick_has_room(const struct pick_ep *ep, int64_t now)
+bool pick_below_limit(const struct pick_ep *ep, int64_t now)
 {
 	return now >= ep->full_until_us && ep->in_flight + 1 <= ep->limit &&
-	       ep->in_flight + ep->others < ep->cfg.concurrency;
+	       ep->in_flight + ep->others_in_flight < ep->cfg.concurrency;
 }
 
 /* Returns the work at an endpoint as a part of its limit. */
-double pick_load_of(const struct pick_ep *ep)
+double pick_relative_load(const struct pick_ep *ep)
 {
-	return (ep->in_flight + ep->others) / ep->limit;
+	return (ep->in_flight + ep->others_in_flight) / ep->limit;
 }
 
 /* Learns from the end of an attempt. */
 void pick_health_ended(struct pick *pick, const struct pick_chain *chain,
 		       const struct pick_result *result, int64_t now)
 {
-	int at = result->at_stage;
+	int at = result->failed_stage;
 	int i;
 
 	if (at < 0 && chain->count == 1)
@@ -69,9 +69,9 @@
 
 		if (e < 0 || e >= pick->ep_count)
 			continue;
-		if (result->kind == PICK_ENDED_WELL) {
+		if (result->kind == PICK_ENDED_COMPLETE) {
 			pick_health_well(pick, e, now);
-			pick_took(pick, e, result->took_us);
+			pick_took(pick, e, result->duration_us);
 		}
 		if (result->kind == PICK_ENDED_FAILED && i == at)
 			pick_health_failed(pick, e, true, now);
@@ -81,10 +81,10 @@
 			pick->load_tokens[pick->eps[e].cfg.service] +=
 				result->tokens;
 	}
-	if (result->kind != PICK_ENDED_SLOW)
+	if (result->kind != PICK_ENDED_STALLED)
 		return;
-	if (result->silent)
-		pick_health_silent(pick, chain, result->silent, now);
+	if (result->silent_stages)
+		pick_health_silent(pick, chain, result->silent_stages, now);
 	else
 		pick_health_stalled(pick, chain, now);
 }
@@ -96,14 +96,15 @@
 
 	if (ep->cfg.tokens_per_s > 0 || took_us <= 0)
 		return;
-	if (ep->took_us <= 0)
-		ep->took_us = (double)took_us;
-	ep->took_us += PICK_TOOK_STEP * ((double)took_us - ep->took_us);
-	if (ep->took_us < PICK_TOOK_MOVED * ep->solved_took_us &&
-	    ep->solved_took_us < PICK_TOOK_MOVED * ep->took_us)
+	if (ep->mean_duration_us <= 0)
+		ep->mean_duration_us = (double)took_us;
+	ep->mean_duration_us +=
+		PICK_TOOK_STEP * ((double)took_us - ep->mean_duration_us);
+	if (ep->mean_duration_us < PICK_TOOK_MOVED * ep->solved_duration_us &&
+	    ep->solved_duration_us < PICK_TOOK_MOVED * ep->mean_duration_us)
 		return;
-	ep->solved_took_us = ep->took_us;
-	pick_dirty(pick, ep->cfg.service, false);
+	ep->solved_duration_us = ep->mean_duration_us;
+	pick_mark_dirty(pick, ep->cfg.service, false);
 }
 
 /* Adapts limits, ends probes that hang and notes the load. */
@@ -132,23 +133,23 @@
 {
 	struct pick_ep *ep = &pick->eps[e];
 
-	ep->results++;
-	ep->failed_in_row++;
-	ep->fail_ratio += PICK_RATIO_STEP * (1 - ep->fail_ratio);
+	ep->result_count++;
+	ep->consecutive_failures++;
+	ep->failure_ratio += PICK_RATIO_STEP * (1 - ep->failure_ratio);
 	if (ep->health == PICK_PROBING) {
 		pick_eject(pick, e, "probe-failed", now);
 		return;
 	}
 	if (ep->health != PICK_HEALTHY)
 		return;
-	if (ep->failed_in_row >= PICK_DEAD_AFTER)
+	if (ep->consecutive_failures >= PICK_DEAD_AFTER)
 		pick_eject(pick, e, "dead", now);
-	else if ((ep->failed_in_row >= PICK_EJECT_AFTER ||
+	else if ((ep->consecutive_failures >= PICK_EJECT_AFTER ||
 		  (cut && pick_is_silent(pick, e, now))) &&
 		 pick_spare(pick, e))
 		pick_eject(pick, e, "failed-in-a-row", now);
-	else if (ep->results >= PICK_RATIO_RESULTS &&
-		 ep->fail_ratio > PICK_RATIO_MAX && pick_spare(pick, e))
+	else if (ep->result_count >= PICK_RATIO_RESULTS &&
+		 ep->failure_ratio > PICK_RATIO_MAX && pick_spare(pick, e))
 		pick_eject(pick, e, "fails-often", now);
 }
 
@@ -156,7 +157,7 @@
 static void pick_health_stalled(struct pick *pick,
 				const struct pick_chain *chain, int64_t now)
 {
-	int at = pick_silent(pick, chain, now);
+	int at = pick_find_silent_stage(pick, chain, now);
 
 	if (at >= 0)
 		pick_health_failed(pick, chain->stages[at].endpoint, false,
@@ -185,8 +186,8 @@
  * attempts: each of them would have shown one.  A small endpoint may be
  * silent only because all its streams pass the one that hangs.
  */
-int pick_silent(const struct pick *pick, const struct pick_chain *chain,
-		int64_t now)
+int pick_find_silent_stage(const struct pick *pick,
+			   const struct pick_chain *chain, int64_t now)
 {
 	uint32_t most = 0;
 	int at = -1;
@@ -208,7 +209,8 @@
  * Returns the stage of a chain whose endpoint or link is far below its rate,
  * the worst one, or -1.
  */
-int pick_degraded(const struct pick *pick, const struct pick_chain *chain)
+int pick_find_degraded_stage(const struct pick *pick,
+			     const struct pick_chain *chain)
 {
 	double worst = PICK_DEGRADED_SCALE;
 	int at = -1;
@@ -217,9 +219,10 @@
 	for (i = 0; i < chain->count; i++) {
 		int e = chain->stages[i].endpoint;
 
-		if (e < 0 || e >= pick->ep_count || pick->eps[e].scale >= worst)
+		if (e < 0 || e >= pick->ep_count ||
+		    pick->eps[e].rate_scale >= worst)
 			continue;
-		worst = pick->eps[e].scale;
+		worst = pick->eps[e].rate_scale;
 		at = i;
 	}
 	return at;
@@ -229,7 +232,7 @@
 static bool pick_is_silent(const struct pick *pick, int e, int64_t now)
 {
 	return e >= 0 && e < pick->ep_count &&
-	       now - pick->eps[e].progress_us > PICK_SILENT_US;
+	       now - pick->eps[e].last_progress_us > PICK_SILENT_US;
 }
 
 /* Notes that an endpoint did its part of a whole answer. */
@@ -237,11 +240,11 @@
 {
 	struct pick_ep *ep = &pick->eps[e];
 
-	ep->results++;
-	ep->failed_in_row = 0;
-	ep->fail_ratio -= PICK_RATIO_STEP * ep->fail_ratio;
+	ep->result_count++;
+	ep->consecutive_failures = 0;
+	ep->failure_ratio -= PICK_RATIO_STEP * ep->failure_ratio;
 	ep->backoff_us = 0;
-	pick_health_alive(pick, e, now);
+	pick_health_progress(pick, e, now);
 }
 
 /*
@@ -249,18 +252,18 @@
  * wait for a whole answer would keep it out for seconds after a short
  * slowdown, and many endpoints after one that hit them all.
  */
-void pick_health_alive(struct pick *pick, int e, int64_t now)
+void pick_health_progress(struct pick *pick, int e, int64_t now)
 {
 	struct pick_ep *ep = &pick->eps[e];
 
-	ep->progress_us = now;
+	ep->last_progress_us = now;
 	if (ep->health == PICK_HEALTHY)
 		return;
 	ep->health = PICK_HEALTHY;
-	ep->failed_in_row = 0;
-	pick->closed--;
-	pick_retry_centre(pick, ep->centre, now);
-	pick_dirty(pick, ep->cfg.service, true);
+	ep->consecutive_failures = 0;
+	pick->unhealthy_count--;
+	pick_retry_centre(pick, ep->data_centre, now);
+	pick_mark_dirty(pick, ep->cfg.service, true);
 	log_event(LOG_PICK_RETURNED, "endpoint=%s", ep->cfg.name);
 }
 
@@ -272,7 +275,7 @@
 	for (i = 0; i < pick->ep_count; i++) {
 		struct pick_ep *ep = &pick->eps[i];
 
-		if (ep->centre == centre && ep->health == PICK_EJECTED &&
+		if (ep->data_centre == centre && ep->health == PICK_EJECTED &&
 		    ep->retry_at_us > now)
 			ep->retry_at_us = now;
 	}
@@ -284,14 +287,14 @@
  */
 static void pick_eject(struct pick *pick, int e, const char *why, int64_t now)
 {
-	int centre = pick->eps[e].centre;
+	int centre = pick->eps[e].data_centre;
 	int i;
 
 	pick_eject_one(pick, e, why, now);
 	if (!pick_centre_lost(pick, e, now))
 		return;
 	for (i = 0; i < pick->ep_count; i++) {
-		if (pick->eps[i].centre == centre &&
+		if (pick->eps[i].data_centre == centre &&
 		    pick->eps[i].health == PICK_HEALTHY)
 			pick_eject_one(pick, i, "data-centre-silent", now);
 	}
@@ -305,7 +308,7 @@
  */
 static bool pick_centre_lost(const struct pick *pick, int e, int64_t now)
 {
-	int centre = pick->eps[e].centre;
+	int centre = pick->eps[e].data_centre;
 	int ejected = 0;
 	bool elsewhere = false;
 	int i;
@@ -313,7 +316,7 @@
 	for (i = 0; i < pick->ep_count; i++) {
 		const struct pick_ep *ep = &pick->eps[i];
 
-		if (ep->centre != centre)
+		if (ep->data_centre != centre)
 			elsewhere |= ep->health == PICK_HEALTHY;
 		else if (ep->health != PICK_HEALTHY)
 			ejected++;
@@ -330,13 +333,13 @@
 	struct pick_ep *ep = &pick->eps[e];
 
 	if (ep->health == PICK_HEALTHY)
-		pick->closed++;
+		pick->unhealthy_count++;
 	ep->health = PICK_EJECTED;
 	ep->backoff_us = ep->backoff_us ? 2 * ep->backoff_us : PICK_BACKOFF_US;
 	if (ep->backoff_us > PICK_BACKOFF_MAX_US)
 		ep->backoff_us = PICK_BACKOFF_MAX_US;
 	ep->retry_at_us = now + ep->backoff_us;
-	pick_dirty(pick, ep->cfg.service, true);
+	pick_mark_dirty(pick, ep->cfg.service, true);
 	log_event(LOG_PICK_EJECTED, "endpoint=%s why=%s for_ms=%lld",
 		  ep->cfg.name, why,
 		  (long long)(ep->backoff_us / MAG_US_PER_MS));
@@ -356,11 +359,11 @@
 		const struct pick_net *net = &pick->nets[i];
 		double needed = 0;
 
-		if (net->service != service || net->member_of[e] < 0)
+		if (net->service != service || net->member_index[e] < 0)
 			continue;
 		if (net->group[0] == '\0')
-			needed = pick->load[service];
-		if (pick_net_value(pick, net, e) <= needed)
+			needed = pick->service_load[service];
+		if (pick_net_max_flow(pick, net, e) <= needed)
 			return false;
 	}
 	return true;
@@ -376,8 +379,8 @@
 	ep->full_until_us = now + PICK_FULL_US;
 	if (ep->limit > ep->in_flight)
 		ep->limit = ep->in_flight;
-	ep->refused_at = ep->limit;
-	ep->limit *= PICK_LIMIT_DOWN;
+	ep->refused_limit = ep->limit;
+	ep->limit *= PICK_REFUSAL_FACTOR;
 	if (ep->limit < 1)
 		ep->limit = 1;
 }
@@ -389,5 +392,6 @@
 		      (double)PICK_TICK_US;
 
 	pick->load_tokens[service] = 0;
-	pick->load[service] += PICK_LOAD_STEP * (rate - pick->load[service]);
+	pick->service_load[service] +=
+		PICK_LOAD_STEP * (rate - pick->service_load[service]);
 }
--- a/src/pick_plan.c
+++ b/src/pick_plan.c
@@ -34,7 +34,7 @@
  * Returns the network of a service's endpoints that one group of routes may
  * use, made on first use; NULL if memory is short.
  */
-struct pick_net *pick_net_of(struct pick *pick, int service, const char *group)
+struct pick_net *pick_get_net(struct pick *pick, int service, const char *group)
 {
 	struct pick_net *nets;
 	struct pick_net *net;
@@ -55,7 +55,7 @@
 	net->service = service;
 	mag_copy_name(net->group, sizeof(net->group), group);
 	if (pick_net_fill(pick, net) < 0) {
-		pick_net_drop(net);
+		pick_net_free(net);
 		return NULL;
 	}
 	pick->net_count++;
@@ -69,10 +69,10 @@
 int pick_net_solve(struct pick *pick, struct pick_net *net, int64_t now)
 {
 	struct flow_net_in in = {
-		.layers = pick_layers(pick, net->service),
+		.layers = pick_layer_count(pick, net->service),
 		.count = net->count,
-		.centres = pick->centre_count,
-		.joined = pick->joined,
+		.centres = pick->data_centre_count,
+		.joined = pick->reachable,
 	};
 	struct flow_stage *stages;
 
@@ -88,7 +88,7 @@
 	free(stages);
 	if (!net->flow)
 		return PICK_E_MEMORY;
-	net->value = net->flow->value;
+	net->max_flow = net->flow->value;
 	net->dirty = false;
 	net->urgent = false;
 	net->solved_us = now;
@@ -99,14 +99,14 @@
  * Returns the value of the maximum flow with one endpoint taken out (-1 for
  * none), in tokens a second.
  */
-double pick_net_value(const struct pick *pick, const struct pick_net *net,
-		      int without)
+double pick_net_max_flow(const struct pick *pick, const struct pick_net *net,
+			 int without)
 {
 	struct flow_net_in in = {
-		.layers = pick_layers(pick, net->service),
+		.layers = pick_layer_count(pick, net->service),
 		.count = net->count,
-		.centres = pick->centre_count,
-		.joined = pick->joined,
+		.centres = pick->data_centre_count,
+		.joined = pick->reachable,
 	};
 	struct flow_stage *stages = pick_stages(pick, net, without);
 	double value;
@@ -120,17 +120,17 @@
 }
 
 /* Frees what a network holds. */
-void pick_net_drop(struct pick_net *net)
+void pick_net_free(struct pick_net *net)
 {
 	pick_net_clear(net);
 	free(net->members);
-	free(net->member_of);
+	free(net->member_index);
 	net->members = NULL;
-	net->member_of = NULL;
+	net->member_index = NULL;
 }
 
 /* Marks the networks of a service to be solved again. */
-void pick_dirty(struct pick *pick, int service, bool urgent)
+void pick_mark_dirty(struct pick *pick, int service, bool urgent)
 {
 	int i;
 
@@ -152,16 +152,17 @@
 {
 	double rate = ep->cfg.tokens_per_s;
 
-	if (ep->reported && ep->said > 0)
-		rate = ep->said;
+	if (ep->has_report && ep->reported_rate > 0)
+		rate = ep->reported_rate;
 	if (rate <= 0)
 		rate = ep->cfg.concurrency * (double)MAG_US_PER_S /
-		       (ep->took_us > 0 ? ep->took_us : PICK_TOOK_US);
-	return rate * ep->scale;
+		       (ep->mean_duration_us > 0 ? ep->mean_duration_us
+						 : PICK_TOOK_US);
+	return rate * ep->rate_scale;
 }
 
 /* Returns the layers of a service; a plain one counts as one layer. */
-uint32_t pick_layers(const struct pick *pick, int service)
+uint32_t pick_layer_count(const struct pick *pick, int service)
 {
 	const struct cfg_service *s = &pick->services[service];
 
@@ -184,14 +185,14 @@
 
 	net->members =
 		calloc((size_t)pick->ep_count + 1, sizeof(*net->members));
-	net->member_of = calloc((size_t)pick->ep_count + 1, sizeof(int));
-	if (!net->members || !net->member_of)
+	net->member_index = calloc((size_t)pick->ep_count + 1, sizeof(int));
+	if (!net->members || !net->member_index)
 		return PICK_E_MEMORY;
 	for (e = 0; e < pick->ep_count; e++) {
-		net->member_of[e] = -1;
+		net->member_index[e] = -1;
 		if (!pick_in_group(&pick->eps[e], net->service, net->group))
 			continue;
-		net->member_of[e] = net->count;
+		net->member_index[e] = net->count;
 		net->members[net->count++].ep = e;
 	}
 	net->dirty = true;
@@ -224,9 +225,9 @@
 	const struct cfg_service *s = &pick->services[ep->cfg.service];
 	bool model = s->kind == CFG_MODEL;
 
-	stage->first = ep->first;
-	stage->end = ep->end;
-	stage->centre = ep->centre;
+	stage->first = ep->first_layer;
+	stage->end = ep->end_layer;
+	stage->centre = ep->data_centre;
 	stage->link = PICK_NO_LINK;
 	if (model && ep->cfg.link_bytes_per_s > 0 && s->activation_bytes > 0)
 		stage->link =
@@ -240,7 +241,7 @@
 static int pick_net_options(struct pick *pick, struct pick_net *net)
 {
 	int bounds = net->flow->bounds;
-	int centres = pick->centre_count;
+	int centres = pick->data_centre_count;
 	int k;
 	int c;
 
@@ -261,9 +262,10 @@
 static int pick_node_fill(struct pick *pick, struct pick_net *net, int k,
 			  int centre)
 {
-	struct pick_node *node = &net->nodes[k * pick->centre_count + centre];
+	struct pick_node *node =
+		&net->nodes[k * pick->data_centre_count + centre];
 	double *factor =
-		calloc((size_t)pick->centre_count + 1, sizeof(*factor));
+		calloc((size_t)pick->data_centre_count + 1, sizeof(*factor));
 	int m;
 
 	node->options = calloc((size_t)net->count + 1, sizeof(*node->options));
@@ -294,13 +296,13 @@
 			 int k, int centre, double *factor)
 {
 	const struct flow_net *flow = net->flow;
-	int centres = pick->centre_count;
+	int centres = pick->data_centre_count;
 	const double *cross = &flow->cross[k * centres * centres];
 	int there;
 	int m;
 
 	for (m = 0; m < net->count; m++) {
-		there = pick->eps[net->members[m].ep].centre;
+		there = pick->eps[net->members[m].ep].data_centre;
 		factor[there] += flow->enter[k * flow->count + m];
 	}
 	for (there = 0; there < centres; there++) {
@@ -331,7 +333,7 @@
 
 	if (pick->policy == PICK_FLOW)
 		return net->flow->enter[k * net->count + m] *
-		       factor[ep->centre];
+		       factor[ep->data_centre];
 	if (!pick_covers(net, ep, k))
 		return 0;
 	return pick->policy == PICK_STATIC_WEIGHTS ? ep->cfg.tokens_per_s : 1;
@@ -346,7 +348,7 @@
 	if (ep->cfg.state != CFG_ACTIVE || ep->leaving ||
 	    ep->health != PICK_HEALTHY)
 		return false;
-	return ep->first <= layer && layer < ep->end;
+	return ep->first_layer <= layer && layer < ep->end_layer;
 }
 
 /* Lists where each endpoint hands streams on. */
@@ -368,7 +370,7 @@
 
 			if (weight <= 0)
 				continue;
-			member->exits[member->exit_count].bound = k;
+			member->exits[member->exit_count].boundary = k;
 			member->exits[member->exit_count++].weight = weight;
 		}
 	}
@@ -383,7 +385,7 @@
 
 	if (pick->policy == PICK_FLOW)
 		return net->flow->leave[k * net->count + m];
-	return net->flow->bound[k] == ep->end;
+	return net->flow->bound[k] == ep->end_layer;
 }
 
 /* Frees the solved part of a network. */
--- a/src/pick_seek.c
+++ b/src/pick_seek.c
@@ -20,7 +20,7 @@
 struct pick_seek {
 	const struct pick *pick;
 	const struct pick_net *net;
-	const struct pick_want *want;
+	const struct pick_request *want;
 	int64_t now;
 	int via;    /* endpoint that the chain should pass, or -1 */
 	bool crowd; /* endpoints at their limit may be used */
@@ -54,10 +54,10 @@
 /*
  * Chooses a chain by its own worth instead of the flow: one that keeps as
  * much as it can of a broken chain, or runs alone, or is the last resort.
- * Returns 0, PICK_E_BUSY, PICK_E_NONE or PICK_E_MEMORY.
+ * Returns 0, PICK_E_BUSY, PICK_E_NO_CHAIN or PICK_E_MEMORY.
  */
 int pick_seek(struct pick *pick, struct pick_net *net,
-	      const struct pick_want *want, int64_t now,
+	      const struct pick_request *want, int64_t now,
 	      struct pick_chain *chain)
 {
 	struct pick_seek seek = {
@@ -71,10 +71,10 @@
 
 	if (!err)
 		err = pick_seek_run(&seek, chain);
-	if (err == PICK_E_NONE) {
+	if (err == PICK_E_NO_CHAIN) {
 		seek.crowd = true;
 		err = pick_seek_run(&seek, chain);
-		if (!err && (!want->keep || want->alone))
+		if (!err && (!want->resume_from || want->alone))
 			err = PICK_E_BUSY;
 	}
 	pick_seek_close(&seek);
@@ -83,11 +83,11 @@
 
 /*
  * Chooses the best chain that passes one endpoint, in whatever state that
- * is.  Returns 0, PICK_E_NONE or PICK_E_MEMORY.
+ * is.  Returns 0, PICK_E_NO_CHAIN or PICK_E_MEMORY.
  */
-int pick_through(struct pick *pick, struct pick_net *net,
-		 const struct pick_want *want, int via, int64_t now,
-		 struct pick_chain *chain)
+int pick_choose_through(struct pick *pick, struct pick_net *net,
+			const struct pick_request *want, int via, int64_t now,
+			struct pick_chain *chain)
 {
 	struct pick_seek seek = {
 		.pick = pick,
@@ -101,7 +101,7 @@
 	if (!err)
 		err = pick_seek_run(&seek, chain);
 	if (!err && seek.worth[0] < PICK_WORTH_VIA / 2)
-		err = PICK_E_NONE;
+		err = PICK_E_NO_CHAIN;
 	pick_seek_close(&seek);
 	return err;
 }
@@ -111,22 +111,22 @@
  * to learn whether it works again.  Returns 0 if the chain is such a probe.
  */
 int pick_probe(struct pick *pick, struct pick_net *net,
-	       const struct pick_want *want, int64_t now,
+	       const struct pick_request *want, int64_t now,
 	       struct pick_chain *chain)
 {
 	int via = pick_due(pick, net, now);
 	int err;
 
-	if (via < 0 || want->careful || want->avoid_count > 0 ||
+	if (via < 0 || want->at_most_once || want->avoid_count > 0 ||
 	    !pick_probe_allowed(pick, now))
-		return PICK_E_NONE;
-	err = pick_through(pick, net, want, via, now, chain);
+		return PICK_E_NO_CHAIN;
+	err = pick_choose_through(pick, net, want, via, now, chain);
 	if (err)
 		return err;
 	pick->eps[via].health = PICK_PROBING;
 	pick->eps[via].retry_at_us = now + PICK_PROBE_US;
-	pick->probed_us = now;
-	pick->since_probe = 0;
+	pick->last_probe_us = now;
+	pick->requests_since_probe = 0;
 	return PICK_OK;
 }
 
@@ -138,10 +138,10 @@
  */
 static bool pick_probe_allowed(const struct pick *pick, int64_t now)
 {
-	if (now - pick->probed_us < PICK_PROBE_EVERY_US)
+	if (now - pick->last_probe_us < PICK_PROBE_EVERY_US)
 		return false;
-	return pick->since_probe >= PICK_PROBE_ONE_IN ||
-	       now - pick->probed_us >= PICK_PROBE_US;
+	return pick->requests_since_probe >= PICK_PROBE_ONE_IN ||
+	       now - pick->last_probe_us >= PICK_PROBE_US;
 }
 
 /* Takes the memory of a search. */
@@ -149,7 +149,7 @@
 {
 	size_t size;
 
-	seek->layers = pick_layers(seek->pick, seek->net->service);
+	seek->layers = pick_layer_count(seek->pick, seek->net->service);
 	size = (size_t)seek->layers + 1;
 	seek->mark = calloc(size, sizeof(*seek->mark));
 	seek->worth = calloc(size, sizeof(*seek->worth));
@@ -176,7 +176,7 @@
 /* Marks the boundaries at which a stage may start or end. */
 static void pick_seek_mark(struct pick_seek *seek)
 {
-	const struct pick_chain *keep = seek->want->keep;
+	const struct pick_chain *keep = seek->want->resume_from;
 	int i;
 
 	for (i = 0; i < seek->net->flow->bounds; i++)
@@ -189,12 +189,12 @@
 	}
 }
 
-/* Searches once; PICK_E_NONE if no chain covers all layers. */
+/* Searches once; PICK_E_NO_CHAIN if no chain covers all layers. */
 static int pick_seek_run(struct pick_seek *seek, struct pick_chain *chain)
 {
 	pick_seek_solve(seek);
 	if (seek->worth[0] <= PICK_NO_CHAIN)
-		return PICK_E_NONE;
+		return PICK_E_NO_CHAIN;
 	pick_seek_read(seek, chain);
 	return PICK_OK;
 }
@@ -223,9 +223,10 @@
 	const struct pick_ep *ep = &seek->pick->eps[e];
 	uint32_t end;
 
-	if (ep->first > from || ep->end <= from || !pick_seek_takes(seek, e))
+	if (ep->first_layer > from || ep->end_layer <= from ||
+	    !pick_seek_takes(seek, e))
 		return;
-	for (end = from + 1; end <= ep->end; end++) {
+	for (end = from + 1; end <= ep->end_layer; end++) {
 		double worth;
 
 		if (!seek->mark[end] || seek->worth[end] <= PICK_NO_CHAIN ||
@@ -269,15 +270,15 @@
 		return false;
 	if (pick_kept(seek, e))
 		return ep->health == PICK_HEALTHY;
-	if (!pick_open(ep, seek->now))
+	if (!pick_accepts_work(ep, seek->now))
 		return false;
-	return seek->crowd || pick_has_room(ep, seek->now);
+	return seek->crowd || pick_below_limit(ep, seek->now);
 }
 
 /* Returns the stage that an endpoint had in the chain to keep, or NULL. */
 static const struct pick_stage *pick_kept(const struct pick_seek *seek, int e)
 {
-	const struct pick_chain *keep = seek->want->keep;
+	const struct pick_chain *keep = seek->want->resume_from;
 	int i;
 
 	for (i = 0; keep && i < keep->count; i++) {
@@ -292,7 +293,8 @@
 			 uint32_t end)
 {
 	const struct pick_stage *kept = pick_kept(seek, e);
-	double worth = -PICK_COST_STAGE - pick_load_of(&seek->pick->eps[e]);
+	double worth =
+		-PICK_COST_STAGE - pick_relative_load(&seek->pick->eps[e]);
 
 	if (e == seek->via)
 		worth += PICK_WORTH_VIA;
@@ -340,7 +342,7 @@
 
 		if (ep->health != PICK_EJECTED || ep->retry_at_us > since ||
 		    ep->cfg.state != CFG_ACTIVE || ep->leaving ||
-		    pick_centre_probed(pick, ep->centre))
+		    pick_centre_probed(pick, ep->data_centre))
 			continue;
 		since = ep->retry_at_us;
 		due = net->members[m].ep;
@@ -354,7 +356,7 @@
 	int i;
 
 	for (i = 0; i < pick->ep_count; i++) {
-		if (pick->eps[i].centre == centre &&
+		if (pick->eps[i].data_centre == centre &&
 		    pick->eps[i].health == PICK_PROBING)
 			return true;
 	}
--- a/src/pick_show.c
+++ b/src/pick_show.c
@@ -6,10 +6,11 @@
 #define PICK_CHAIN_TEXT 512
 
 static void pick_explain_endpoint(struct pick *pick, struct pick_net *net,
-				  int m, const struct pick_want *want,
+				  int m, const struct pick_request *want,
 				  int64_t now, FILE *out);
 static const char *pick_state(const struct pick_ep *ep,
-			      const struct pick_want *want, int e, int64_t now);
+			      const struct pick_request *want, int e,
+			      int64_t now);
 
 /* Writes a chain as name[first-last] > name[first-last]. */
 static void pick_chain_text(const struct pick *pick,
@@ -54,8 +55,8 @@
 
 		if (net->service == service && net->group[0] == '\0')
 			return net->dirty || !net->flow
-				       ? pick_net_value(pick, net, -1)
-				       : net->value;
+				       ? pick_net_max_flow(pick, net, -1)
+				       : net->max_flow;
 	}
 	return 0;
 }
@@ -67,17 +68,17 @@
 
 	if (service < 0 || service >= pick->service_count)
 		return 0;
-	net = pick_net_of(pick, service, "");
-	return net ? pick_net_value(pick, net, endpoint) : 0;
+	net = pick_get_net(pick, service, "");
+	return net ? pick_net_max_flow(pick, net, endpoint) : 0;
 }
 
 /*
  * Writes why a request would go where it goes, as JSON: each endpoint of its
  * network with its state and its part of the flow, and the chain that each
- * open one would lead to.  Changes nothing.  Returns 0, PICK_E_NONE if there
- * is no such service, or PICK_E_MEMORY.
+ * open one would lead to.  Changes nothing.  Returns 0, PICK_E_NO_CHAIN if
+ * there is no such service, or PICK_E_MEMORY.
  */
-int pick_explain_request(struct pick *pick, const struct pick_want *want,
+int pick_explain_request(struct pick *pick, const struct pick_request *want,
 			 int64_t now, FILE *out)
 {
 	struct pick_net *net;
@@ -85,8 +86,8 @@
 	int m;
 
 	if (want->service < 0 || want->service >= pick->service_count)
-		return PICK_E_NONE;
-	net = pick_net_of(pick, want->service, want->group ? want->group : "");
+		return PICK_E_NO_CHAIN;
+	net = pick_get_net(pick, want->service, want->group ? want->group : "");
 	if (!net)
 		return PICK_E_MEMORY;
 	err = pick_net_solve(pick, net, now);
@@ -94,7 +95,8 @@
 		return err;
 	fprintf(out, "{\"service\":\"%s\",\"group\":\"%s\",",
 		pick->services[net->service].name, net->group);
-	fprintf(out, "\"bound_tokens_per_s\":%.1f,\"endpoints\":[", net->value);
+	fprintf(out, "\"bound_tokens_per_s\":%.1f,\"endpoints\":[",
+		net->max_flow);
 	for (m = 0; m < net->count; m++)
 		pick_explain_endpoint(pick, net, m, want, now, out);
 	fprintf(out, "]}\n");
@@ -103,7 +105,7 @@
 
 /* Writes one endpoint of a network. */
 static void pick_explain_endpoint(struct pick *pick, struct pick_net *net,
-				  int m, const struct pick_want *want,
+				  int m, const struct pick_request *want,
 				  int64_t now, FILE *out)
 {
 	const struct pick_ep *ep = &pick->eps[net->members[m].ep];
@@ -119,14 +121,15 @@
 		"\"last_layer\":%u,\"state\":\"%s\",\"in_flight\":%u,"
 		"\"of_others\":%u,\"limit\":%.1f,\"tokens_per_s\":%.1f,"
 		"\"flow_tokens_per_s\":%.1f",
-		m ? "," : "", ep->cfg.name, ep->first, ep->end - 1,
+		m ? "," : "", ep->cfg.name, ep->first_layer, ep->end_layer - 1,
 		pick_state(ep, want, net->members[m].ep, now), ep->in_flight,
-		ep->others, ep->limit, pick_rate(ep), flow);
-	if (want->prefix)
+		ep->others_in_flight, ep->limit, pick_rate(ep), flow);
+	if (want->prefix_hash)
 		fprintf(out, ",\"holds_prefix\":%s",
-			pick_cache_holds(ep, want->prefix) ? "true" : "false");
-	if (pick_through(pick, net, want, net->members[m].ep, now, &chain) ==
-	    PICK_OK) {
+			pick_cache_holds(ep, want->prefix_hash) ? "true"
+								: "false");
+	if (pick_choose_through(pick, net, want, net->members[m].ep, now,
+				&chain) == PICK_OK) {
 		pick_chain_text(pick, &chain, text, sizeof(text));
 		fprintf(out, ",\"chain\":\"%s\"", text);
 	}
@@ -135,7 +138,8 @@
 
 /* Returns the word for what an endpoint is to a request now. */
 static const char *pick_state(const struct pick_ep *ep,
-			      const struct pick_want *want, int e, int64_t now)
+			      const struct pick_request *want, int e,
+			      int64_t now)
 {
 	int i;
 
@@ -151,16 +155,16 @@
 		return "ejected";
 	if (ep->health == PICK_PROBING)
 		return "probing";
-	if (!pick_has_room(ep, now))
+	if (!pick_below_limit(ep, now))
 		return "at-limit";
-	return ep->scale < 1 ? "degraded" : "open";
+	return ep->rate_scale < 1 ? "degraded" : "open";
 }
 
 /*
  * Writes the bound of a service as JSON: what binds it, and the bound with
- * each single endpoint lost.  Returns 0, PICK_E_NONE or PICK_E_MEMORY.
+ * each single endpoint lost.  Returns 0, PICK_E_NO_CHAIN or PICK_E_MEMORY.
  */
-int pick_bound_write(struct pick *pick, int service, int64_t now, FILE *out)
+int pick_write_bound(struct pick *pick, int service, int64_t now, FILE *out)
 {
 	static const char *const kinds[] = {
 		[FLOW_LIMIT_WORK] = "work",
@@ -171,15 +175,15 @@
 	int i;
 
 	if (service < 0 || service >= pick->service_count)
-		return PICK_E_NONE;
-	net = pick_net_of(pick, service, "");
+		return PICK_E_NO_CHAIN;
+	net = pick_get_net(pick, service, "");
 	if (!net)
 		return PICK_E_MEMORY;
 	err = pick_net_solve(pick, net, now);
 	if (err)
 		return err;
 	fprintf(out, "{\"service\":\"%s\",\"tokens_per_s\":%.1f,\"binds\":[",
-		pick->services[service].name, net->value);
+		pick->services[service].name, net->max_flow);
 	for (i = 0; i < net->flow->limit_count; i++) {
 		const struct flow_limit *limit = &net->flow->limits[i];
 
@@ -196,7 +200,7 @@
 	for (i = 0; i < net->count; i++)
 		fprintf(out, "%s\n{\"endpoint\":\"%s\",\"tokens_per_s\":%.1f}",
 			i ? "," : "", pick->eps[net->members[i].ep].cfg.name,
-			pick_net_value(pick, net, net->members[i].ep));
+			pick_net_max_flow(pick, net, net->members[i].ep));
 	fprintf(out, "]}\n");
 	return PICK_OK;
 }
--- a/src/pick_walk.c
+++ b/src/pick_walk.c
@@ -17,7 +17,7 @@
 struct pick_walk {
 	struct pick *pick;
 	struct pick_net *net;
-	const struct pick_want *want;
+	const struct pick_request *want;
 	int64_t now;
 	int tries;
 	bool busy; /* some usable endpoint was at its limit */
@@ -49,10 +49,10 @@
 /*
  * Chooses a chain along the flow, boundary by boundary: smooth weighted
  * round robin ranks the endpoints, and of the first two the less loaded one
- * goes first.  Returns 0, PICK_E_BUSY or PICK_E_NONE.
+ * goes first.  Returns 0, PICK_E_BUSY or PICK_E_NO_CHAIN.
  */
 int pick_walk(struct pick *pick, struct pick_net *net,
-	      const struct pick_want *want, int64_t now,
+	      const struct pick_request *want, int64_t now,
 	      struct pick_chain *chain)
 {
 	struct pick_walk walk = {
@@ -65,7 +65,7 @@
 	int i;
 
 	if (!pick_walk_from(&walk, 0, 0))
-		return walk.busy ? PICK_E_BUSY : PICK_E_NONE;
+		return walk.busy ? PICK_E_BUSY : PICK_E_NO_CHAIN;
 	pick_charge(&walk);
 	chain->count = walk.count;
 	for (i = 0; i < walk.count; i++) {
@@ -90,7 +90,7 @@
 	if (walk->count == MAG_CHAIN_MAX)
 		return false;
 	walk->node[walk->count] =
-		&net->nodes[k * walk->pick->centre_count + centre];
+		&net->nodes[k * walk->pick->data_centre_count + centre];
 	pick_two(walk, walk->node[walk->count], two);
 	for (i = 0; i < 2 && two[i] >= 0; i++) {
 		if (walk->tries-- <= 0)
@@ -106,7 +106,7 @@
 {
 	int e = walk->node[walk->count]->options[option].ep;
 	struct pick_member *member =
-		&walk->net->members[walk->net->member_of[e]];
+		&walk->net->members[walk->net->member_index[e]];
 	int best = pick_best_exit(member, k);
 	int i;
 
@@ -114,12 +114,12 @@
 	walk->from[walk->count] = k;
 	if (best < 0)
 		return false;
-	if (pick_walk_out(walk, member->exits[best].bound))
+	if (pick_walk_out(walk, member->exits[best].boundary))
 		return true;
 	for (i = 0; i < member->exit_count; i++) {
-		if (i == best || member->exits[i].bound <= k)
+		if (i == best || member->exits[i].boundary <= k)
 			continue;
-		if (pick_walk_out(walk, member->exits[i].bound))
+		if (pick_walk_out(walk, member->exits[i].boundary))
 			return true;
 	}
 	return false;
@@ -133,7 +133,7 @@
 
 	walk->to[stage] = exit;
 	walk->count++;
-	if (pick_walk_from(walk, exit, walk->pick->eps[e].centre))
+	if (pick_walk_from(walk, exit, walk->pick->eps[e].data_centre))
 		return true;
 	walk->count = stage;
 	return false;
@@ -148,7 +148,7 @@
 	for (i = 0; i < member->exit_count; i++) {
 		const struct pick_exit *exit = &member->exits[i];
 
-		if (exit->bound <= k)
+		if (exit->boundary <= k)
 			continue;
 		if (best < 0 || exit->credit + exit->weight >
 					member->exits[best].credit +
@@ -165,10 +165,10 @@
 static void pick_two(struct pick_walk *walk, const struct pick_node *node,
 		     int two[2])
 {
-	pick_two_of(walk, node, two, walk->want->pace_us);
+	pick_two_of(walk, node, two, walk->want->max_token_us);
 	if (two[0] < 0)
 		pick_two_of(walk, node, two, 0);
-	if (two[0] >= 0 && walk->want->prefix)
+	if (two[0] >= 0 && walk->want->prefix_hash)
 		pick_prefer_holder(walk, node, two);
 }
 
@@ -188,14 +188,14 @@
 
 	if (saved > PICK_PREFIX_WORTH_MOST)
 		saved = PICK_PREFIX_WORTH_MOST;
-	most = pick_load_of(&eps[node->options[two[0]].ep]) + saved;
+	most = pick_relative_load(&eps[node->options[two[0]].ep]) + saved;
 	for (i = 0; i < node->count; i++) {
 		int e = node->options[i].ep;
 
-		if (!pick_cache_holds(&eps[e], walk->want->prefix) ||
-		    !pick_takes(walk, e) || pick_load_of(&eps[e]) > most)
+		if (!pick_cache_holds(&eps[e], walk->want->prefix_hash) ||
+		    !pick_takes(walk, e) || pick_relative_load(&eps[e]) > most)
 			continue;
-		most = pick_load_of(&eps[e]);
+		most = pick_relative_load(&eps[e]);
 		best = i;
 	}
 	if (best < 0 || best == two[0])
@@ -233,7 +233,8 @@
 		const struct pick_ep *a = &eps[node->options[two[0]].ep];
 		const struct pick_ep *b = &eps[node->options[two[1]].ep];
 
-		if (pick_load_of(b) + PICK_LOAD_MARGIN < pick_load_of(a)) {
+		if (pick_relative_load(b) + PICK_LOAD_MARGIN <
+		    pick_relative_load(a)) {
 			int first = two[0];
 
 			two[0] = two[1];
@@ -247,7 +248,7 @@
 			    int64_t pace_us)
 {
 	return pace_us <= 0 || walk->pick->policy != PICK_FLOW ||
-	       walk->pick->eps[e].chain_us * PICK_PACE_MARGIN <=
+	       walk->pick->eps[e].mean_chain_us * PICK_PACE_MARGIN <=
 		       (double)pace_us;
 }
 
@@ -257,7 +258,7 @@
 	const struct pick_ep *ep = &walk->pick->eps[e];
 	int i;
 
-	if (!pick_open(ep, walk->now))
+	if (!pick_accepts_work(ep, walk->now))
 		return false;
 	for (i = 0; i < walk->want->avoid_count; i++) {
 		if (walk->want->avoid[i] == e)
@@ -265,7 +266,7 @@
 	}
 	if (pick_in_walk(walk, e))
 		return false;
-	if (pick_has_room(ep, walk->now))
+	if (pick_below_limit(ep, walk->now))
 		return true;
 	walk->busy = true;
 	return false;
@@ -316,15 +317,15 @@
 			struct pick_option *option = &node->options[i];
 			const struct pick_ep *ep = &walk->pick->eps[option->ep];
 
-			if (!pick_open(ep, walk->now) ||
-			    !pick_has_room(ep, walk->now))
+			if (!pick_accepts_work(ep, walk->now) ||
+			    !pick_below_limit(ep, walk->now))
 				continue;
 			option->credit += option->weight;
 			sum += option->weight;
 		}
 		node->options[walk->option[s]].credit -= sum;
 		pick_charge_exits(
-			&walk->net->members[walk->net->member_of[chosen]],
+			&walk->net->members[walk->net->member_index[chosen]],
 			walk->from[s], walk->to[s]);
 	}
 }
@@ -336,13 +337,13 @@
 	int i;
 
 	for (i = 0; i < member->exit_count; i++) {
-		if (member->exits[i].bound <= from)
+		if (member->exits[i].boundary <= from)
 			continue;
 		member->exits[i].credit += member->exits[i].weight;
 		sum += member->exits[i].weight;
 	}
 	for (i = 0; i < member->exit_count; i++) {
-		if (member->exits[i].bound == to)
+		if (member->exits[i].boundary == to)
 			member->exits[i].credit -= sum;
 	}
 }
@@ -350,5 +351,5 @@
 /* Returns a random number in 0 .. 1, the next of the seeded sequence. */
 double pick_random(struct pick *pick)
 {
-	return mag_random_unit(&pick->random);
+	return mag_random_unit(&pick->random_state);
 }
--- a/src/req.c
+++ b/src/req.c
@@ -135,7 +135,7 @@
 		rc = req_choose(core, req, &chain);
 		if (rc == PICK_OK)
 			req_dispatch(core, req, &chain);
-		else if (rc == PICK_E_NONE && req->attempt == 0)
+		else if (rc == PICK_E_NO_CHAIN && req->attempt == 0)
 			req_handle(core, req, REQ_EV_STALL, NULL);
 	}
 }
@@ -312,8 +312,8 @@
 	int i;
 
 	for (i = 0; i < req->chain.count; i++) {
-		if (!pick_usable(core->pick, req->chain.stages[i].endpoint,
-				 core->now)) {
+		if (!pick_is_usable(core->pick, req->chain.stages[i].endpoint,
+				    core->now)) {
 			/* It died or started to leave in between. */
 			req_drop_chain(core, req);
 			req_enter_ready(core, req);
@@ -346,11 +346,11 @@
 	req->stall_us = core->now + core->settings.progress_timeout_us;
 	core_due(core, req->stall_us);
 	memcpy(req->hop_us, progress->hop_us, sizeof(req->hop_us));
-	pick_hops(core->pick, &req->chain, progress->hop_us,
-		  progress->hop_count, core->now);
+	pick_add_hop_times(core->pick, &req->chain, progress->hop_us,
+			   progress->hop_count, core->now);
 	if (req->chain.alone &&
 	    req->tokens - req->attempt_from >= REQ_PROOF_TOKENS)
-		pick_proved(core->pick, &req->chain);
+		pick_release_suspect(core->pick, &req->chain);
 	if (!req->idempotent)
 		return;
 	if (slowed_down(core, req))
@@ -385,7 +385,7 @@
 	int i;
 
 	if (req->attempt >= CORE_ATTEMPTS_MAX ||
-	    pick_degraded(core->pick, &req->chain) < 0)
+	    pick_find_degraded_stage(core->pick, &req->chain) < 0)
 		return false;
 	for (i = 0; i < req->chain.count; i++)
 		pace += req->hop_us[i];
--- a/src/req_end.c
+++ b/src/req_end.c
@@ -42,7 +42,7 @@
 	if (ended->end == CORE_END_WHOLE)
 		whole(core, req, ended);
 	else
-		failed(core, req, ended, PICK_ENDED_SLOW);
+		failed(core, req, ended, PICK_ENDED_STALLED);
 }
 
 /* A late end still settles the record, so that a repeat gets the answer. */
@@ -77,7 +77,7 @@
 		.answer_len = ended->answer_len,
 	};
 
-	req_end_attempt(core, req, PICK_ENDED_WELL, -1, 0);
+	req_end_attempt(core, req, PICK_ENDED_COMPLETE, -1, 0);
 	quar_ended_well(core->quar, req->arrival.fingerprint, core->now);
 	if (req->reserved)
 		ldg_settle(core->ldg, req->arrival.req, &outcome, core->now);
@@ -124,7 +124,7 @@
 	int endpoint;
 
 	req->may_have_run = true;
-	if (kind == PICK_ENDED_SLOW)
+	if (kind == PICK_ENDED_STALLED)
 		stage = stalled_at(core, req, ended->silent);
 	endpoint = failed_endpoint(req, stage);
 	log_attempt(core, req, ended, endpoint);
@@ -173,12 +173,12 @@
  */
 static int stalled_again(const struct core *core, struct core_req *req)
 {
-	int stage = pick_silent(core->pick, &req->chain, core->now);
+	int stage = pick_find_silent_stage(core->pick, &req->chain, core->now);
 	int i;
 	int j;
 
 	if (stage < 0)
-		stage = pick_degraded(core->pick, &req->chain);
+		stage = pick_find_degraded_stage(core->pick, &req->chain);
 	for (i = 0; i < req->chain.count; i++) {
 		for (j = 0; j < req->stalled_count; j++) {
 			if (req->stalled[j] >= 0 &&
--- a/src/req_run.c
+++ b/src/req_run.c
@@ -16,25 +16,25 @@
 int req_choose(struct core *core, struct core_req *req,
 	       struct pick_chain *chain)
 {
-	struct pick_want want = {
+	struct pick_request want = {
 		.service = req->service,
 		.group = "",
 		.avoid = req->avoid,
 		.avoid_count = req->avoid_count,
 		.alone = req->alone,
-		.careful = !req->idempotent,
-		.prefix = req->arrival.prefix,
+		.at_most_once = !req->idempotent,
+		.prefix_hash = req->arrival.prefix,
 		.prompt_tokens = req->arrival.prompt_tokens,
-		.pace_us = pace(core, req),
+		.max_token_us = pace(core, req),
 	};
 
 	if (req->service < 0)
-		return PICK_E_NONE;
+		return PICK_E_NO_CHAIN;
 	if (req->route >= 0 && req->account >= 0)
 		want.group =
 			cfg_route_group(core->set, req->route, req->account);
 	if (req->has_last_chain && !core->settings.no_resume)
-		want.keep = &req->last_chain;
+		want.resume_from = &req->last_chain;
 	return pick_choose(core->pick, &want, core->now, chain);
 }
 
@@ -65,7 +65,7 @@
 {
 	struct pick_result result = {
 		.kind = PICK_ENDED_OTHER,
-		.at_stage = -1,
+		.failed_stage = -1,
 	};
 
 	if (!req->chain_held)
@@ -111,10 +111,10 @@
 {
 	struct pick_result result = {
 		.kind = kind,
-		.at_stage = at_stage,
-		.silent = silent,
+		.failed_stage = at_stage,
+		.silent_stages = silent,
 		.tokens = req->tokens - req->attempt_from,
-		.took_us = core->now - req->dispatched_us,
+		.duration_us = core->now - req->dispatched_us,
 	};
 
 	if (!req->chain_held)
--- a/src/watch.c
+++ b/src/watch.c
@@ -377,7 +377,7 @@
 		json_object_get(load, "tokens_per_s"));
 	event.load.report.running =
 		(uint32_t)json_integer_value(json_object_get(load, "running"));
-	event.load.report.taken_at_us = clk_now_us() - age_us;
+	event.load.report.measured_at_us = clk_now_us() - age_us;
 	loop_post(watch->loop, &event);
 }
 
