--- a/regress/check_pick.c
+++ b/regress/check_pick.c
@@ -9,7 +9,9 @@
 #define CHAINS_MAX    256
 #define TEXT_MAX      256
 
-/* A run: the set being built, the picker, and the chains by their name. */
+/*
+ * State of one script: the set being built, the picker, and the chains by id.
+ */
 struct run {
 	FILE *out;
 	struct cfg_service services[4];
@@ -29,14 +31,14 @@
 
 static struct run run;
 
-/* Log lines are part of the output. */
+/* Prints log lines as part of the output. */
 static void log_line(void *ctx, enum log_prio prio, const char *line)
 {
 	(void)prio;
 	fprintf(((struct run *)ctx)->out, "  log %s\n", line);
 }
 
-/* Finds an endpoint by name; -1 if there is none. */
+/* Returns the index of an endpoint by name, or -1. */
 static int endpoint(const char *name)
 {
 	size_t i;
@@ -64,7 +66,7 @@
 	fprintf(run.out, "\n");
 }
 
-/* service NAME LAYERS ACTIVATION; 0 layers make a plain one */
+/* service NAME LAYERS ACTIVATION: adds a service; 0 layers make it plain */
 static void do_service(struct run *r, char **word, int words)
 {
 	struct cfg_service *s = &r->services[r->set.service_count++];
@@ -94,7 +96,7 @@
 		mag_copy_name(e->group, sizeof(e->group), word[9]);
 }
 
-/* remove NAME: takes an endpoint out of the set to come */
+/* remove NAME: removes an endpoint from the next set */
 static void do_remove(struct run *r, char **word, int words)
 {
 	int e = endpoint(word[1]);
@@ -105,7 +107,7 @@
 		(r->set.endpoint_count - (size_t)e) * sizeof(*r->endpoints));
 }
 
-/* rate NAME RATE: in the set to come; 0 drains it */
+/* rate NAME RATE: changes the rate in the next set; 0 drains the endpoint */
 static void do_rate(struct run *r, char **word, int words)
 {
 	struct cfg_endpoint *e = &r->endpoints[endpoint(word[1])];
@@ -115,7 +117,7 @@
 	e->state = e->tokens_per_s ? CFG_ACTIVE : CFG_DRAIN;
 }
 
-/* config */
+/* config: applies the set and translates all chains to it */
 static void do_config(struct run *r, char **word, int words)
 {
 	int i;
@@ -127,7 +129,7 @@
 		pick_remap(r->pick, &r->chains[i]);
 }
 
-/* policy N: starts anew under another policy */
+/* policy N: starts again with an empty picker and another policy */
 static void do_policy(struct run *r, char **word, int words)
 {
 	(void)words;
@@ -135,39 +137,42 @@
 	r->pick = pick_new((enum pick_policy)atoi(word[1]), 1);
 }
 
-/* choose ID [keep ID] [avoid NAME]... [alone] [prefix N] [group G] */
+/*
+ * choose ID [keep ID] [avoid NAME]... [alone] [careful] [prefix N] [tokens N]
+ * [group G] [service N]: chooses a chain and starts an attempt on it
+ */
 static void do_choose(struct run *r, char **word, int words)
 {
 	static const char *const errors[] = { "", "busy", "none", "memory" };
-	struct pick_request want = { .service = 0, .group = "" };
+	struct pick_request request = { .service = 0, .group = "" };
 	struct pick_chain *chain = &r->chains[atoi(word[1])];
 	struct pick_chain keep;
 	int avoid[8];
 	int err;
 	int i;
 
-	want.avoid = avoid;
+	request.avoid = avoid;
 	for (i = 2; i < words; i++) {
 		if (strcmp(word[i], "alone") == 0) {
-			want.alone = true;
+			request.alone = true;
 		} else if (strcmp(word[i], "careful") == 0) {
-			want.at_most_once = true;
+			request.at_most_once = true;
 		} else if (strcmp(word[i], "keep") == 0) {
 			keep = r->chains[atoi(word[++i])];
-			want.resume_from = &keep;
+			request.resume_from = &keep;
 		} else if (strcmp(word[i], "avoid") == 0) {
-			avoid[want.avoid_count++] = endpoint(word[++i]);
+			avoid[request.avoid_count++] = endpoint(word[++i]);
 		} else if (strcmp(word[i], "prefix") == 0) {
-			want.prefix_hash = (uint64_t)atoll(word[++i]);
+			request.prefix_hash = (uint64_t)atoll(word[++i]);
 		} else if (strcmp(word[i], "tokens") == 0) {
-			want.prompt_tokens = (uint32_t)atoi(word[++i]);
+			request.prompt_tokens = (uint32_t)atoi(word[++i]);
 		} else if (strcmp(word[i], "group") == 0) {
-			want.group = word[++i];
+			request.group = word[++i];
 		} else if (strcmp(word[i], "service") == 0) {
-			want.service = atoi(word[++i]);
+			request.service = atoi(word[++i]);
 		}
 	}
-	err = pick_choose(r->pick, &want, r->now, chain);
+	err = pick_choose(r->pick, &request, r->now, chain);
 	fprintf(r->out, "choose %s: %s", word[1], errors[-err]);
 	print_chain(chain);
 	if (err == PICK_OK)
@@ -194,7 +199,7 @@
 	pick_ended(r->pick, &r->chains[atoi(word[1])], &result, r->now);
 }
 
-/* hops ID US... */
+/* hops ID US...: reports the hop times of a chain */
 static void do_hops(struct run *r, char **word, int words)
 {
 	uint32_t hops[MAG_CHAIN_MAX];
@@ -206,10 +211,13 @@
 			   r->now);
 }
 
-/* repeat N COUNT: N choices, each ended at once; counts the endpoints */
+/*
+ * repeat N: makes N choices, each ended at once, and counts how often each
+ * endpoint was chosen
+ */
 static void do_repeat(struct run *r, char **word, int words)
 {
-	struct pick_request want = { .service = 0, .group = "" };
+	struct pick_request request = { .service = 0, .group = "" };
 	struct pick_result result = { .kind = PICK_ENDED_COMPLETE,
 				      .tokens = 10 };
 	int count[ENDPOINTS_MAX] = { 0 };
@@ -221,7 +229,7 @@
 	(void)words;
 	log_set_sink(NULL, NULL);
 	for (i = 0; i < atoi(word[1]); i++) {
-		if (pick_choose(r->pick, &want, r->now, &chain) < 0)
+		if (pick_choose(r->pick, &request, r->now, &chain) < 0)
 			continue;
 		pick_started(r->pick, &chain, r->now);
 		for (s = 0; s < chain.count; s++)
@@ -233,7 +241,7 @@
 		fprintf(r->out, "%s got %d\n", r->endpoints[e].name, count[e]);
 }
 
-/* report NAME RATE RUNNING TAKEN_MS */
+/* report NAME RATE RUNNING MEASURED_MS */
 static void do_report(struct run *r, char **word, int words)
 {
 	struct pick_report report = {
@@ -253,7 +261,7 @@
 	pick_set_leaving(r->pick, endpoint(word[1]), atoi(word[2]), r->now);
 }
 
-/* cache NAME SEQUENCE PREFIX 0|1 */
+/* cache NAME SEQUENCE PREFIX 0|1: a cache event; 1 means stored */
 static void do_cache(struct run *r, char **word, int words)
 {
 	(void)words;
@@ -261,7 +269,7 @@
 			 (uint64_t)atoll(word[3]), atoi(word[4]), r->now);
 }
 
-/* at MS: the time; every tick due until then runs */
+/* at MS: advances the time, running every tick that is due until then */
 static void do_at(struct run *r, char **word, int words)
 {
 	int64_t to = atoll(word[1]) * MAG_US_PER_MS;
@@ -285,7 +293,7 @@
 		fprintf(r->out, "bound %.1f\n", pick_bound(r->pick, 0));
 }
 
-/* proved ID: a suspect has run long enough */
+/* proved ID: a suspect has run long enough without a crash */
 static void do_proved(struct run *r, char **word, int words)
 {
 	(void)words;
@@ -295,16 +303,18 @@
 /* explain [GROUP [PREFIX]] */
 static void do_explain(struct run *r, char **word, int words)
 {
-	struct pick_request want = { .service = 0, .group = "" };
+	struct pick_request request = { .service = 0, .group = "" };
 
 	if (words > 1)
-		want.group = word[1];
+		request.group = word[1];
 	if (words > 2)
-		want.prefix_hash = (uint64_t)atoll(word[2]);
-	pick_explain_request(r->pick, &want, r->now, r->out);
+		request.prefix_hash = (uint64_t)atoll(word[2]);
+	pick_explain_request(r->pick, &request, r->now, r->out);
 }
 
-/* bounds: the bound, what binds it, and without each endpoint */
+/*
+ * bounds: prints the bound, what limits it, and the bound without each endpoint
+ */
 static void do_bounds(struct run *r, char **word, int words)
 {
 	(void)word;
@@ -334,7 +344,7 @@
 };
 
 /* Splits a line into words and runs its command. */
-static void run_line(char *line)
+static void run_command(char *line)
 {
 	char *word[16];
 	char *save = NULL;
@@ -351,7 +361,7 @@
 	}
 }
 
-/* Runs one script; see regress/pick. */
+/* Runs one script of regress/pick. */
 static void driver(FILE *in, FILE *out)
 {
 	char line[TEXT_MAX];
@@ -366,7 +376,7 @@
 		if (line[0] == '#')
 			fputs(line, out);
 		else
-			run_line(line);
+			run_command(line);
 	}
 	pick_free(run.pick);
 }
--- a/src/pick.h
+++ b/src/pick.h
@@ -2,9 +2,10 @@
 #define PICK_H
 
 /*
- * Chooses the chain of endpoints for an attempt: a list of stages whose used
- * ranges tile all layers once and in order, in proportion to a maximum flow
- * over stages and links, corrected by work in flight and late load reports.
+ * Chooses the chain of endpoints for an attempt.  A chain is a list of stages
+ * whose layer ranges cover every layer of the model exactly once and in order.
+ * Chains are chosen in proportion to a maximum flow over stages and links,
+ * corrected by the work in flight and by load reports, which arrive late.
  */
 
 #include <stdbool.h>
@@ -32,10 +33,13 @@
 struct pick_chain {
 	struct pick_stage stages[MAG_CHAIN_MAX];
 	int count;
-	bool alone; /* a suspect: no other one runs on its endpoints */
+	bool alone; /* a suspect, and the only one on its endpoints */
 };
 
-/* The ways to choose; the later ones are baselines for the bench. */
+/*
+ * How chains are chosen.  PICK_FLOW is the production policy; the others are
+ * baselines that the benchmarks compare it with.
+ */
 enum pick_policy {
 	PICK_FLOW,
 	PICK_LEAST_IN_FLIGHT,
@@ -46,47 +50,46 @@
 
 struct pick_request {
 	int service;
-	const char *group; /* "" takes any */
-	const struct pick_chain
-		*resume_from; /* chain to resume from, or NULL */
-	const int *avoid;     /* endpoints that failed this request */
+	const char *group; /* "" allows any group */
+	/* The broken chain whose stages are to be reused, or NULL. */
+	const struct pick_chain *resume_from;
+	const int *avoid; /* endpoints that failed this request */
 	int avoid_count;
-	bool alone;	   /* a suspect: only endpoints without another one */
-	bool at_most_once; /* must not run twice: never used as a probe */
-	uint64_t prefix_hash; /* hash of the prompt's prefix, 0 for none */
+	bool alone;	      /* a suspect: avoid endpoints with another one */
+	bool at_most_once;    /* must not run twice, so never used as a probe */
+	uint64_t prefix_hash; /* of the prompt's prefix, 0 for none */
 	uint32_t prompt_tokens;
-	int64_t max_token_us; /* a token may take so long, or the answer is late
-			       */
+	/* Slowest time per token that still meets the deadline, 0: no limit. */
+	int64_t max_token_us;
 };
 
 enum pick_result_kind {
 	PICK_ENDED_COMPLETE,
-	PICK_ENDED_FAILED,  /* the endpoint died or cut the stream */
-	PICK_ENDED_STALLED, /* no progress until the deadline for it */
-	PICK_ENDED_REFUSED, /* it answered that it is full */
-	PICK_ENDED_OTHER,   /* cancelled, or not this endpoint's doing */
+	PICK_ENDED_FAILED,  /* the endpoint died or broke off the stream */
+	PICK_ENDED_STALLED, /* no progress within the time limit for it */
+	PICK_ENDED_REFUSED, /* the endpoint answered that it is full */
+	PICK_ENDED_OTHER,   /* cancelled, or not caused by an endpoint */
 };
 
 struct pick_result {
 	enum pick_result_kind kind;
 	int failed_stage;	/* the stage at fault, or -1 */
-	uint32_t silent_stages; /* stages, as bits, that did not answer when
-				   asked */
+	uint32_t silent_stages; /* bit set: did not answer when queried */
 	uint32_t tokens;
-	int64_t first_token_us; /* from dispatch, 0 if none came */
+	int64_t first_token_us; /* from dispatch, 0 without a token */
 	int64_t duration_us;
 };
 
 struct pick_report {
-	uint32_t tokens_per_s; /* what the endpoint says it can do now */
+	uint32_t tokens_per_s; /* what the endpoint states it can do now */
 	uint32_t running;
-	int64_t measured_at_us; /* when it was measured, as far as known */
+	int64_t measured_at_us; /* as far as known */
 };
 
 struct pick *pick_new(enum pick_policy policy, uint64_t seed);
 void pick_free(struct pick *pick);
 
-/* Takes a new set; what is known of an endpoint is kept by its name. */
+/* Applies a new set; the state of an endpoint is carried over by its name. */
 int pick_config(struct pick *pick, const struct cfg_set *set, int64_t now);
 void pick_remap(const struct pick *pick, struct pick_chain *chain);
 void pick_set_leaving(struct pick *pick, int endpoint, bool leaving,
@@ -96,8 +99,8 @@
 void pick_cache_event(struct pick *pick, int endpoint, uint64_t sequence,
 		      uint64_t prefix, bool stored, int64_t now);
 
-int pick_choose(struct pick *pick, const struct pick_request *want, int64_t now,
-		struct pick_chain *chain);
+int pick_choose(struct pick *pick, const struct pick_request *request,
+		int64_t now, struct pick_chain *chain);
 void pick_started(struct pick *pick, const struct pick_chain *chain,
 		  int64_t now);
 void pick_add_hop_times(struct pick *pick, const struct pick_chain *chain,
@@ -115,7 +118,7 @@
 bool pick_is_usable(const struct pick *pick, int endpoint, int64_t now);
 double pick_bound(const struct pick *pick, int service);
 int pick_write_bound(struct pick *pick, int service, int64_t now, FILE *out);
-int pick_explain_request(struct pick *pick, const struct pick_request *want,
+int pick_explain_request(struct pick *pick, const struct pick_request *request,
 			 int64_t now, FILE *out);
 double pick_bound_without(struct pick *pick, int service, int endpoint);
 
--- a/src/pick_adapt.c
+++ b/src/pick_adapt.c
@@ -2,57 +2,59 @@
 #include "pick_int.h"
 
 /*
- * Adapts an endpoint's limit and its estimated rate to what its streams
- * show.  By Little's law the tokens that pass it a second are its attempts
- * over the time that a token takes around the whole chain, and the tokens
- * that wait at it are these times the time spent there beyond the shortest
- * seen.  A few that wait keep it busy; more only make every stream slower,
- * so that answers miss their deadlines while the throughput stays the same.
+ * Adapts the limit of an endpoint and the estimate of its rate to the token
+ * times of its streams.  By Little's law, the throughput of an endpoint in
+ * tokens per second is the number of its attempts divided by the time that a
+ * token takes through the whole chain.  The number of tokens that wait at the
+ * endpoint is this throughput times the part of the hop time that exceeds the
+ * shortest one measured.  A few waiting tokens keep the endpoint busy.  More of
+ * them only slow down every stream, so that answers miss their deadlines, while
+ * the throughput stays the same.
  */
-#define PICK_WAIT_LEAST	   1.0	 /* tokens waiting: the endpoint is busy */
-#define PICK_WAIT_S	   0.015 /* that a token should wait */
-#define PICK_WANTED_LEAST  1.0	 /* tokens waiting */
-#define PICK_WANTED_MOST   10.0
-#define PICK_LIMIT_STEP	   0.5 /* of what is missing, a tick */
-#define PICK_LIMIT_FALL	   0.1 /* of a limit, the most a tick */
-#define PICK_LIMIT_FULL	   0.1 /* of a step near the last refusal */
-#define PICK_LIMIT_LEAST   1.0
-#define PICK_SAMPLES_LEAST 3
-#define PICK_SCALE_STEP	   0.2
-#define PICK_SCALE_UP	   1.05 /* a tick without anything waiting */
-#define PICK_SCALE_LEAST   0.01
-#define PICK_SCALE_TOLD	   0.9 /* a drop below this counts as degraded */
-#define PICK_RESOLVE_PART  0.1 /* a change of the rate worth a new solve */
-#define PICK_BASE_CREEP	   1.0005
-
-static double pick_passing(const struct pick_ep *ep);
-static double pick_wanted(double passing);
-static void pick_adapt_limit(struct pick_ep *ep, double passing,
+#define PICK_BUSY_WAITING	1.0   /* waiting tokens at a busy endpoint */
+#define PICK_TARGET_WAIT_S	0.015 /* target waiting time of a token */
+#define PICK_TARGET_WAITING_MIN 1.0   /* waiting tokens */
+#define PICK_TARGET_WAITING_MAX 10.0
+#define PICK_LIMIT_GAIN		0.5 /* of the missing tokens, per tick */
+#define PICK_LIMIT_MAX_DECREASE 0.1 /* of the limit, per tick */
+#define PICK_LIMIT_REFUSED_GAIN 0.1 /* of a step near the last refusal */
+#define PICK_LIMIT_MIN		1.0
+#define PICK_SAMPLES_MIN	3
+#define PICK_SCALE_EWMA		0.2
+#define PICK_SCALE_RECOVERY	1.05 /* growth per tick without a queue */
+#define PICK_SCALE_MIN		0.01
+#define PICK_SCALE_LOGGED	0.9 /* below this it is logged as degraded */
+#define PICK_RESOLVE_CHANGE	0.1 /* relative rate change for a new solve */
+#define PICK_MIN_HOP_GROWTH	1.0005 /* of the shortest hop time, per tick */
+
+static double pick_throughput(const struct pick_ep *ep);
+static double pick_target_waiting(double throughput);
+static void pick_adapt_limit(struct pick_ep *ep, double throughput,
 			     double waiting);
-static void pick_adapt_scale(struct pick_ep *ep, double passing,
+static void pick_adapt_scale(struct pick_ep *ep, double throughput,
 			     double waiting);
-static void pick_adapt_tell(struct pick *pick, struct pick_ep *ep);
+static void pick_adapt_check_rate(struct pick *pick, struct pick_ep *ep);
 
-/* Learns from the time that tokens took at each stage of a chain. */
+/* Applies the times that a token took at each stage of a chain. */
 void pick_add_hop_times(struct pick *pick, const struct pick_chain *chain,
 			const uint32_t *hop_us, int count, int64_t now)
 {
-	double whole = 0;
+	double chain_us = 0;
 	int i;
 
 	for (i = 0; i < count; i++)
-		whole += hop_us[i];
+		chain_us += hop_us[i];
 	for (i = 0; i < count && i < chain->count; i++) {
 		int e = chain->stages[i].endpoint;
 
 		if (e < 0 || e >= pick->ep_count)
 			continue;
 		pick_health_progress(pick, e, now);
-		pick_adapt_add_hop(&pick->eps[e], hop_us[i], whole);
+		pick_adapt_add_hop(&pick->eps[e], hop_us[i], chain_us);
 	}
 }
 
-/* Takes one measured hop into an endpoint's means. */
+/* Adds one measured hop time to the means of an endpoint. */
 void pick_adapt_add_hop(struct pick_ep *ep, double hop_us, double chain_us)
 {
 	ep->hop_samples++;
@@ -68,107 +70,119 @@
 		ep->min_hop_us = hop_us;
 }
 
-/* Adapts one endpoint to what was measured since the last tick. */
+/* Adapts one endpoint to the hop times measured since the last tick. */
 void pick_adapt(struct pick *pick, struct pick_ep *ep)
 {
-	double passing;
+	double throughput;
 	double waiting;
 
-	if (ep->hop_samples < PICK_SAMPLES_LEAST || ep->mean_chain_us <= 0)
+	if (ep->hop_samples < PICK_SAMPLES_MIN || ep->mean_chain_us <= 0)
 		return;
 	ep->hop_samples = 0;
-	ep->min_hop_us *= PICK_BASE_CREEP;
-	passing = pick_passing(ep);
-	waiting = passing * (ep->mean_hop_us - ep->min_hop_us) /
+	ep->min_hop_us *= PICK_MIN_HOP_GROWTH;
+	throughput = pick_throughput(ep);
+	waiting = throughput * (ep->mean_hop_us - ep->min_hop_us) /
 		  (double)MAG_US_PER_S;
-	pick_adapt_limit(ep, passing, waiting);
-	pick_adapt_scale(ep, passing, waiting);
-	pick_adapt_tell(pick, ep);
+	pick_adapt_limit(ep, throughput, waiting);
+	pick_adapt_scale(ep, throughput, waiting);
+	pick_adapt_check_rate(pick, ep);
 }
 
-/* Returns the tokens a second that pass an endpoint, of all instances. */
-static double pick_passing(const struct pick_ep *ep)
+/*
+ * Returns the throughput of an endpoint in tokens per second, over the attempts
+ * of all instances.
+ */
+static double pick_throughput(const struct pick_ep *ep)
 {
 	return (ep->in_flight + ep->others_in_flight) * (double)MAG_US_PER_S /
 	       ep->mean_chain_us;
 }
 
 /*
- * Returns how many tokens should wait: enough to keep the endpoint busy
- * while streams come and go, and fewer at a slow one, where each that waits
- * costs every stream a long time.
+ * Returns how many tokens should wait at an endpoint.  The queue must be long
+ * enough to keep the endpoint busy while streams start and end.  It is shorter
+ * at a slow endpoint, where each waiting token delays every stream for longer.
  */
-static double pick_wanted(double passing)
+static double pick_target_waiting(double throughput)
 {
-	double wanted = passing * PICK_WAIT_S;
+	double target = throughput * PICK_TARGET_WAIT_S;
 
-	if (wanted < PICK_WANTED_LEAST)
-		return PICK_WANTED_LEAST;
-	return wanted < PICK_WANTED_MOST ? wanted : PICK_WANTED_MOST;
+	if (target < PICK_TARGET_WAITING_MIN)
+		return PICK_TARGET_WAITING_MIN;
+	return target < PICK_TARGET_WAITING_MAX ? target
+						: PICK_TARGET_WAITING_MAX;
 }
 
 /*
- * Moves a limit towards the one at which as many tokens wait as should: a
- * limit that is used goes up while fewer do, and down while more do.  The
- * other instances see the same queue and move theirs too, so each makes only
- * its part of the step.
+ * Moves the limit towards the value at which the target number of tokens wait.
+ * The limit rises if fewer tokens wait and it is fully used, and falls if more
+ * wait.  The other instances observe the same queue and adapt their limits too,
+ * so each instance makes only its fraction of the step.
  */
-static void pick_adapt_limit(struct pick_ep *ep, double passing, double waiting)
+static void pick_adapt_limit(struct pick_ep *ep, double throughput,
+			     double waiting)
 {
-	double part = (ep->in_flight + 1.0) /
-		      (ep->in_flight + ep->others_in_flight + 1.0);
-	double step = PICK_LIMIT_STEP * part * (pick_wanted(passing) - waiting);
+	double fraction = (ep->in_flight + 1.0) /
+			  (ep->in_flight + ep->others_in_flight + 1.0);
+	double step = PICK_LIMIT_GAIN * fraction *
+		      (pick_target_waiting(throughput) - waiting);
 
 	if (step > 0 && ep->in_flight + 1 < ep->limit)
 		return;
 	if (step > 0 && ep->refused_limit > 0 &&
 	    ep->limit >= PICK_REFUSAL_FACTOR * ep->refused_limit)
-		step *= PICK_LIMIT_FULL;
+		step *= PICK_LIMIT_REFUSED_GAIN;
 	if (step < 0 && ep->limit > ep->in_flight)
 		ep->limit = ep->in_flight;
-	if (step < -PICK_LIMIT_FALL * ep->limit)
-		step = -PICK_LIMIT_FALL * ep->limit;
+	if (step < -PICK_LIMIT_MAX_DECREASE * ep->limit)
+		step = -PICK_LIMIT_MAX_DECREASE * ep->limit;
 	ep->limit += step;
-	if (ep->limit < PICK_LIMIT_LEAST)
-		ep->limit = PICK_LIMIT_LEAST;
+	if (ep->limit < PICK_LIMIT_MIN)
+		ep->limit = PICK_LIMIT_MIN;
 	if (ep->limit > ep->cfg.concurrency)
 		ep->limit = ep->cfg.concurrency;
 }
 
 /*
- * While tokens wait, what passes is all that the endpoint and its link can
- * do; less than its rate means that one of them is degraded.  Without a
- * queue it may be able to do more again, which more work will show.
+ * Updates the estimate of the endpoint's rate.  While tokens wait, the
+ * throughput is all that the endpoint and its link can deliver; if it is below
+ * the configured or reported rate, one of them is degraded.  Without a queue
+ * the endpoint may have recovered, so the estimate rises slowly; the work that
+ * this attracts shows what the endpoint can do.
  */
-static void pick_adapt_scale(struct pick_ep *ep, double passing, double waiting)
+static void pick_adapt_scale(struct pick_ep *ep, double throughput,
+			     double waiting)
 {
 	double rate = pick_rate(ep) / ep->rate_scale;
 
-	if (waiting >= PICK_WAIT_LEAST)
+	if (waiting >= PICK_BUSY_WAITING)
 		ep->rate_scale +=
-			PICK_SCALE_STEP * (passing / rate - ep->rate_scale);
+			PICK_SCALE_EWMA * (throughput / rate - ep->rate_scale);
 	else
-		ep->rate_scale *= PICK_SCALE_UP;
-	if (ep->rate_scale < PICK_SCALE_LEAST)
-		ep->rate_scale = PICK_SCALE_LEAST;
+		ep->rate_scale *= PICK_SCALE_RECOVERY;
+	if (ep->rate_scale < PICK_SCALE_MIN)
+		ep->rate_scale = PICK_SCALE_MIN;
 	if (ep->rate_scale > 1)
 		ep->rate_scale = 1;
 }
 
-/* Has the graph solved again if the rate moved far, and logs it. */
-static void pick_adapt_tell(struct pick *pick, struct pick_ep *ep)
+/*
+ * Requests a new solve if the rate has changed much since the last one, and
+ * logs when the endpoint becomes degraded or recovers.
+ */
+static void pick_adapt_check_rate(struct pick *pick, struct pick_ep *ep)
 {
-	double moved = ep->rate_scale / ep->solved_rate_scale - 1;
+	double change = ep->rate_scale / ep->solved_rate_scale - 1;
 
-	if (moved < PICK_RESOLVE_PART && moved > -PICK_RESOLVE_PART &&
+	if (change < PICK_RESOLVE_CHANGE && change > -PICK_RESOLVE_CHANGE &&
 	    (ep->rate_scale < 1 || ep->solved_rate_scale >= 1))
 		return;
-	if (ep->rate_scale < PICK_SCALE_TOLD &&
-	    ep->solved_rate_scale >= PICK_SCALE_TOLD)
+	if (ep->rate_scale < PICK_SCALE_LOGGED &&
+	    ep->solved_rate_scale >= PICK_SCALE_LOGGED)
 		log_event(LOG_PICK_DEGRADED, "endpoint=%s tokens_per_s=%.0f",
 			  ep->cfg.name, pick_rate(ep));
-	if (ep->rate_scale >= PICK_SCALE_TOLD &&
-	    ep->solved_rate_scale < PICK_SCALE_TOLD)
+	if (ep->rate_scale >= PICK_SCALE_LOGGED &&
+	    ep->solved_rate_scale < PICK_SCALE_LOGGED)
 		log_event(LOG_PICK_RESTORED, "endpoint=%s tokens_per_s=%.0f",
 			  ep->cfg.name, pick_rate(ep));
 	ep->solved_rate_scale = ep->rate_scale;
--- a/src/pick_cache.c
+++ b/src/pick_cache.c
@@ -3,18 +3,19 @@
 
 #include "pick_int.h"
 
-static uint64_t *pick_cache_set(struct pick_cache *cache, uint64_t prefix);
+static uint64_t *pick_cache_find_set(struct pick_cache *cache, uint64_t prefix);
 
 /*
- * Takes an event of an endpoint's prefix cache.  Events come late and with
- * gaps: a gap forgets everything, as any prefix may have been dropped in it.
+ * Applies an event of an endpoint's prefix cache.  Events arrive late and some
+ * are lost.  After a gap in the sequence numbers all prefixes are discarded,
+ * because any of them may have been evicted by a lost event.
  */
 void pick_cache_event(struct pick *pick, int endpoint, uint64_t sequence,
 		      uint64_t prefix, bool stored, int64_t now)
 {
 	struct pick_cache *cache;
 	struct pick_ep *ep;
-	uint64_t *set;
+	uint64_t *ways;
 	int i;
 
 	(void)now;
@@ -29,35 +30,38 @@
 	if (sequence != cache->next_sequence)
 		memset(cache->prefix_hashes, 0, sizeof(cache->prefix_hashes));
 	cache->next_sequence = sequence + 1;
-	set = pick_cache_set(cache, prefix);
+	ways = pick_cache_find_set(cache, prefix);
 	for (i = 0; i < PICK_CACHE_WAYS; i++) {
-		if (set[i] == prefix)
-			set[i] = 0;
+		if (ways[i] == prefix)
+			ways[i] = 0;
 	}
 	if (!stored)
 		return;
-	memmove(set + 1, set, (PICK_CACHE_WAYS - 1) * sizeof(*set));
-	set[0] = prefix;
+	memmove(ways + 1, ways, (PICK_CACHE_WAYS - 1) * sizeof(*ways));
+	ways[0] = prefix;
 }
 
-/* Tells whether an endpoint likely holds a prefix. */
+/* Tells whether an endpoint probably caches a prefix. */
 bool pick_cache_holds(const struct pick_ep *ep, uint64_t prefix)
 {
-	const uint64_t *set;
+	const uint64_t *ways;
 	int i;
 
 	if (!ep->cache || prefix == 0)
 		return false;
-	set = pick_cache_set(ep->cache, prefix);
+	ways = pick_cache_find_set(ep->cache, prefix);
 	for (i = 0; i < PICK_CACHE_WAYS; i++) {
-		if (set[i] == prefix)
+		if (ways[i] == prefix)
 			return true;
 	}
 	return false;
 }
 
-/* Returns the places where a prefix may be; it is a hash already. */
-static uint64_t *pick_cache_set(struct pick_cache *cache, uint64_t prefix)
+/*
+ * Returns the set of entries in which a prefix may be stored.  The prefix is
+ * already a hash, so its remainder selects the set.
+ */
+static uint64_t *pick_cache_find_set(struct pick_cache *cache, uint64_t prefix)
 {
 	return &cache->prefix_hashes[(prefix % PICK_CACHE_SETS) *
 				     PICK_CACHE_WAYS];
--- a/src/pick_config.c
+++ b/src/pick_config.c
@@ -5,49 +5,52 @@
 
 #define PICK_MIN_CONCURRENCY 1
 
-static bool pick_same_frame(const struct pick *pick, const struct cfg_set *set);
-static void pick_drop_changed(struct pick *pick, const struct pick_ep *old);
-static int pick_take_services(struct pick *pick, const struct cfg_set *set);
-static int pick_take_endpoints(struct pick *pick, const struct cfg_set *set);
-static void pick_take_endpoint(struct pick *pick, struct pick_ep *ep,
+static bool pick_same_topology(const struct pick *pick,
+			       const struct cfg_set *set);
+static void pick_free_changed_nets(struct pick *pick,
+				   const struct pick_ep *old);
+static int pick_set_services(struct pick *pick, const struct cfg_set *set);
+static int pick_set_endpoints(struct pick *pick, const struct cfg_set *set);
+static void pick_init_endpoint(struct pick *pick, struct pick_ep *ep,
 			       const struct cfg_endpoint *cfg);
-static int pick_take_centre(struct pick *pick, const char *name);
+static int pick_data_centre_index(struct pick *pick, const char *name);
 static int pick_carry_over(struct pick *pick, struct pick_ep *old,
-			   int old_count, bool same);
-static int pick_match(struct pick *pick, struct pick_ep *old, int old_count);
-static void pick_carry(struct pick_ep *ep, struct pick_ep *old);
-static int pick_by_name(const void *a, const void *b);
-static int pick_take_nets(struct pick *pick, const struct cfg_set *set);
-static int pick_want_net(struct pick *pick, int service, const char *group);
-static void pick_drop_unwanted(struct pick *pick);
-static int pick_join(struct pick *pick);
+			   int old_count, bool same_topology);
+static int pick_match_endpoints(struct pick *pick, struct pick_ep *old,
+				int old_count);
+static void pick_carry_over_endpoint(struct pick_ep *ep, struct pick_ep *old);
+static int pick_compare_names(const void *a, const void *b);
+static int pick_build_nets(struct pick *pick, const struct cfg_set *set);
+static int pick_use_net(struct pick *pick, int service, const char *group);
+static void pick_free_unused_nets(struct pick *pick);
+static int pick_connect_data_centres(struct pick *pick);
 
 /*
- * Takes a new set; what is known of an endpoint is kept by its name.  Chains
- * chosen under the former set are to be passed through pick_remap before
- * they are used again.  Returns 0 or PICK_E_MEMORY.
+ * Applies a new set; the state of an endpoint is carried over by its name.
+ * Chains that were chosen under the previous set must be passed to pick_remap
+ * before they are used again.  Returns 0 or PICK_E_MEMORY.
  */
 int pick_config(struct pick *pick, const struct cfg_set *set, int64_t now)
 {
 	struct pick_ep *old = pick->eps;
 	int old_count = pick->ep_count;
-	bool same = pick_same_frame(pick, set);
+	bool same_topology = pick_same_topology(pick, set);
 	int err;
 
-	if (!same)
+	if (!same_topology)
 		pick_free_nets(pick);
-	err = pick_take_services(pick, set);
+	err = pick_set_services(pick, set);
 	if (!err)
-		err = pick_take_endpoints(pick, set);
+		err = pick_set_endpoints(pick, set);
 	if (!err)
-		err = pick_carry_over(pick, old, old_count, same);
-	if (!err && same)
-		pick_drop_changed(pick, old);
+		err = pick_carry_over(pick, old, old_count, same_topology);
+	if (!err && same_topology)
+		pick_free_changed_nets(pick, old);
 	free(old);
-	if (!err && !same)
-		err = pick_join(pick);
+	if (!err && !same_topology)
+		err = pick_connect_data_centres(pick);
 	if (!err)
-		err = pick_take_nets(pick, set);
+		err = pick_build_nets(pick, set);
 	if (err)
 		pick_free_nets(pick);
 	pick->next_tick_us = now;
@@ -55,8 +58,9 @@
 }
 
 /*
- * Translates the endpoints of a chain that was chosen under the former set
- * to this set's; a stage whose endpoint is gone gets -1.
+ * Translates the endpoint indexes of a chain that was chosen under the previous
+ * set to those of the current set.  A stage whose endpoint no longer exists
+ * gets the index -1.
  */
 void pick_remap(const struct pick *pick, struct pick_chain *chain)
 {
@@ -73,12 +77,14 @@
 }
 
 /*
- * Tells whether a set has the same services, and the same endpoints in the
- * same places and data centres, as the one in force.  Then only the networks
- * of services with a changed endpoint are made anew; to solve those of 10,000
- * endpoints for each change of one takes most of what a change costs.
+ * Tells whether a set has the same services as the current one, and the same
+ * endpoints with the same indexes and data centres.  In this case only the
+ * networks of services with a changed endpoint are rebuilt.  Solving all
+ * networks of 10,000 endpoints again is most of the cost of a change to one of
+ * them.
  */
-static bool pick_same_frame(const struct pick *pick, const struct cfg_set *set)
+static bool pick_same_topology(const struct pick *pick,
+			       const struct cfg_set *set)
 {
 	size_t i;
 
@@ -98,8 +104,8 @@
 	return true;
 }
 
-/* Drops the networks of services of which an endpoint changed. */
-static void pick_drop_changed(struct pick *pick, const struct pick_ep *old)
+/* Frees the networks of the services that have a changed endpoint. */
+static void pick_free_changed_nets(struct pick *pick, const struct pick_ep *old)
 {
 	int i;
 	int k;
@@ -108,21 +114,21 @@
 		pick->nets[k].in_use = true;
 	for (i = 0; i < pick->ep_count; i++) {
 		const struct cfg_endpoint *cfg = &pick->eps[i].cfg;
-		const struct cfg_endpoint *was = &old[i].cfg;
+		const struct cfg_endpoint *former = &old[i].cfg;
 
-		if (cfg_same_endpoint(cfg, was))
+		if (cfg_same_endpoint(cfg, former))
 			continue;
 		for (k = 0; k < pick->net_count; k++) {
 			if (pick->nets[k].service == cfg->service ||
-			    pick->nets[k].service == was->service)
+			    pick->nets[k].service == former->service)
 				pick->nets[k].in_use = false;
 		}
 	}
-	pick_drop_unwanted(pick);
+	pick_free_unused_nets(pick);
 }
 
-/* Copies the services that the graphs are made for. */
-static int pick_take_services(struct pick *pick, const struct cfg_set *set)
+/* Stores the services that the networks are built for. */
+static int pick_set_services(struct pick *pick, const struct cfg_set *set)
 {
 	size_t count = set->service_count;
 
@@ -141,8 +147,8 @@
 	return PICK_OK;
 }
 
-/* Makes the table of endpoints anew. */
-static int pick_take_endpoints(struct pick *pick, const struct cfg_set *set)
+/* Builds the table of endpoints from a set. */
+static int pick_set_endpoints(struct pick *pick, const struct cfg_set *set)
 {
 	size_t count = set->endpoint_count;
 	size_t i;
@@ -155,12 +161,12 @@
 	if (!pick->eps || !pick->data_centres)
 		return PICK_E_MEMORY;
 	for (i = 0; i < count; i++)
-		pick_take_endpoint(pick, &pick->eps[i], &set->endpoints[i]);
+		pick_init_endpoint(pick, &pick->eps[i], &set->endpoints[i]);
 	return PICK_OK;
 }
 
-/* Sets one endpoint to what its object says. */
-static void pick_take_endpoint(struct pick *pick, struct pick_ep *ep,
+/* Initialises one endpoint from its configuration. */
+static void pick_init_endpoint(struct pick *pick, struct pick_ep *ep,
 			       const struct cfg_endpoint *cfg)
 {
 	const struct cfg_service *service = &pick->services[cfg->service];
@@ -169,7 +175,7 @@
 	ep->cfg = *cfg;
 	if (ep->cfg.concurrency < PICK_MIN_CONCURRENCY)
 		ep->cfg.concurrency = PICK_MIN_CONCURRENCY;
-	ep->data_centre = pick_take_centre(pick, cfg->data_centre);
+	ep->data_centre = pick_data_centre_index(pick, cfg->data_centre);
 	ep->first_layer = service->kind == CFG_MODEL ? cfg->first_layer : 0;
 	ep->end_layer = service->kind == CFG_MODEL ? cfg->last_layer + 1 : 1;
 	if (ep->end_layer > layers || ep->first_layer >= ep->end_layer) {
@@ -184,8 +190,8 @@
 	ep->health = PICK_HEALTHY;
 }
 
-/* Returns the number of a data centre, a new one on first sight. */
-static int pick_take_centre(struct pick *pick, const char *name)
+/* Returns the index of a data centre, which is added if it is new. */
+static int pick_data_centre_index(struct pick *pick, const char *name)
 {
 	int i;
 
@@ -198,9 +204,9 @@
 	return pick->data_centre_count++;
 }
 
-/* Carries over what is known of endpoints that both sets name. */
+/* Carries over the state of the endpoints that exist in both sets. */
 static int pick_carry_over(struct pick *pick, struct pick_ep *old,
-			   int old_count, bool same)
+			   int old_count, bool same_topology)
 {
 	int i;
 
@@ -211,13 +217,14 @@
 	pick->remap_count = old_count;
 	for (i = 0; i < old_count; i++)
 		pick->remap[i] = i;
-	if (!same && pick_match(pick, old, old_count) < 0)
+	if (!same_topology && pick_match_endpoints(pick, old, old_count) < 0)
 		return PICK_E_MEMORY;
 	for (i = 0; i < old_count; i++) {
 		if (pick->remap[i] < 0)
 			free(old[i].cache);
 		else
-			pick_carry(&pick->eps[pick->remap[i]], &old[i]);
+			pick_carry_over_endpoint(&pick->eps[pick->remap[i]],
+						 &old[i]);
 	}
 	pick->in_flight = 0;
 	pick->unhealthy_count = 0;
@@ -228,8 +235,12 @@
 	return PICK_OK;
 }
 
-/* Finds where each endpoint of the former set stands now, -1 for nowhere. */
-static int pick_match(struct pick *pick, struct pick_ep *old, int old_count)
+/*
+ * Fills the table that maps each endpoint of the previous set to its index in
+ * the current one, or to -1 if it no longer exists.
+ */
+static int pick_match_endpoints(struct pick *pick, struct pick_ep *old,
+				int old_count)
 {
 	struct pick_ep **sorted =
 		calloc((size_t)pick->ep_count + 1, sizeof(struct pick_ep *));
@@ -240,12 +251,12 @@
 	for (i = 0; i < pick->ep_count; i++)
 		sorted[i] = &pick->eps[i];
 	qsort(sorted, (size_t)pick->ep_count, sizeof(struct pick_ep *),
-	      pick_by_name);
+	      pick_compare_names);
 	for (i = 0; i < old_count; i++) {
 		struct pick_ep *key = &old[i];
 		struct pick_ep **found =
 			bsearch(&key, sorted, (size_t)pick->ep_count,
-				sizeof(struct pick_ep *), pick_by_name);
+				sizeof(struct pick_ep *), pick_compare_names);
 
 		pick->remap[i] = found ? (int)(*found - pick->eps) : -1;
 	}
@@ -253,22 +264,25 @@
 	return PICK_OK;
 }
 
-/* Carries over one endpoint; a changed range starts its estimates anew. */
-static void pick_carry(struct pick_ep *ep, struct pick_ep *old)
+/*
+ * Carries over the state of one endpoint.  Its rate estimates are reset if its
+ * layer range or its configured rate has changed.
+ */
+static void pick_carry_over_endpoint(struct pick_ep *ep, struct pick_ep *old)
 {
-	struct pick_ep fresh = *ep;
+	struct pick_ep updated = *ep;
 
 	*ep = *old;
-	ep->cfg = fresh.cfg;
-	ep->data_centre = fresh.data_centre;
-	ep->first_layer = fresh.first_layer;
-	ep->end_layer = fresh.end_layer;
-	if (ep->limit > fresh.limit ||
-	    old->cfg.concurrency != fresh.cfg.concurrency)
-		ep->limit = fresh.limit;
-	if (old->first_layer == fresh.first_layer &&
-	    old->end_layer == fresh.end_layer &&
-	    old->cfg.tokens_per_s == fresh.cfg.tokens_per_s)
+	ep->cfg = updated.cfg;
+	ep->data_centre = updated.data_centre;
+	ep->first_layer = updated.first_layer;
+	ep->end_layer = updated.end_layer;
+	if (ep->limit > updated.limit ||
+	    old->cfg.concurrency != updated.cfg.concurrency)
+		ep->limit = updated.limit;
+	if (old->first_layer == updated.first_layer &&
+	    old->end_layer == updated.end_layer &&
+	    old->cfg.tokens_per_s == updated.cfg.tokens_per_s)
 		return;
 	ep->has_report = false;
 	ep->rate_scale = 1;
@@ -278,8 +292,8 @@
 	ep->mean_chain_us = 0;
 }
 
-/* Orders pointers to endpoints by name. */
-static int pick_by_name(const void *a, const void *b)
+/* Compares pointers to endpoints by the names of the endpoints. */
+static int pick_compare_names(const void *a, const void *b)
 {
 	const struct pick_ep *const *x = a;
 	const struct pick_ep *const *y = b;
@@ -288,10 +302,10 @@
 }
 
 /*
- * Makes the networks that the routes ask for, before a request waits, and
- * drops those of groups that no route names any more.
+ * Builds the networks that the services and routes use, so that no request has
+ * to wait for it, and frees those of groups that no route uses any more.
  */
-static int pick_take_nets(struct pick *pick, const struct cfg_set *set)
+static int pick_build_nets(struct pick *pick, const struct cfg_set *set)
 {
 	int err = PICK_OK;
 	size_t i;
@@ -301,20 +315,20 @@
 	for (k = 0; k < pick->net_count; k++)
 		pick->nets[k].in_use = false;
 	for (i = 0; i < set->service_count && !err; i++)
-		err = pick_want_net(pick, (int)i, "");
+		err = pick_use_net(pick, (int)i, "");
 	for (i = 0; i < set->route_count && !err; i++) {
 		const struct cfg_route *route = &set->routes[i];
 
-		err = pick_want_net(pick, route->service, route->group);
+		err = pick_use_net(pick, route->service, route->group);
 		for (j = 0; j < route->split_count && !err; j++)
-			err = pick_want_net(pick, route->service,
-					    route->splits[j].group);
+			err = pick_use_net(pick, route->service,
+					   route->splits[j].group);
 	}
-	pick_drop_unwanted(pick);
+	pick_free_unused_nets(pick);
 	return err;
 }
 
-static int pick_want_net(struct pick *pick, int service, const char *group)
+static int pick_use_net(struct pick *pick, int service, const char *group)
 {
 	struct pick_net *net = pick_get_net(pick, service, group);
 
@@ -324,8 +338,8 @@
 	return PICK_OK;
 }
 
-/* Drops networks that aren't wanted; the others keep their order. */
-static void pick_drop_unwanted(struct pick *pick)
+/* Frees the networks that are not in use; the others keep their order. */
+static void pick_free_unused_nets(struct pick *pick)
 {
 	int kept = 0;
 	int i;
@@ -339,8 +353,8 @@
 	pick->net_count = kept;
 }
 
-/* Starts with every data centre joined to every other. */
-static int pick_join(struct pick *pick)
+/* Marks every data centre as reachable from every other. */
+static int pick_connect_data_centres(struct pick *pick)
 {
 	size_t size = (size_t)pick->data_centre_count * pick->data_centre_count;
 
--- a/src/pick_health.c
+++ b/src/pick_health.c
@@ -1,40 +1,43 @@
 #include "log.h"
 #include "pick_int.h"
 
-#define PICK_EJECT_AFTER    2	/* failures in a row */
-#define PICK_DEAD_AFTER	    5	/* the same, where the load needs it */
-#define PICK_RATIO_RESULTS  10	/* results before the ratio counts */
-#define PICK_RATIO_MAX	    0.5 /* of failures among recent results */
-#define PICK_RATIO_STEP	    0.1
-#define PICK_BACKOFF_US	    (500 * MAG_US_PER_MS)
-#define PICK_BACKOFF_MAX_US (30 * MAG_US_PER_S)
-#define PICK_TOOK_STEP	    0.1
-#define PICK_TOOK_MOVED	    1.25
-#define PICK_CENTRE_EJECTED 3
-#define PICK_DEGRADED_SCALE 0.6 /* of its rate: streams move off it */
-#define PICK_FULL_US	    (20 * MAG_US_PER_MS)
-#define PICK_SILENT_US	    (200 * MAG_US_PER_MS)
-#define PICK_LOAD_STEP	    0.05
-
-static void pick_took(struct pick *pick, int e, int64_t took_us);
-static void pick_health_failed(struct pick *pick, int e, bool cut, int64_t now);
-static void pick_health_silent(struct pick *pick,
-			       const struct pick_chain *chain, uint32_t silent,
+#define PICK_EJECT_AFTER       2   /* consecutive failures */
+#define PICK_DEAD_AFTER	       5   /* the same, even if needed for the load */
+#define PICK_RATIO_MIN_RESULTS 10  /* results before the ratio counts */
+#define PICK_RATIO_MAX	       0.5 /* failures per recent result */
+#define PICK_RATIO_EWMA	       0.1
+#define PICK_BACKOFF_US	       (500 * MAG_US_PER_MS)
+#define PICK_BACKOFF_MAX_US    (30 * MAG_US_PER_S)
+#define PICK_DURATION_EWMA     0.1
+#define PICK_DURATION_CHANGE   1.25
+#define PICK_LOST_MIN_EJECTED  3
+#define PICK_DEGRADED_SCALE    0.6 /* of its rate: below it, streams move away */
+#define PICK_FULL_PAUSE_US     (20 * MAG_US_PER_MS)
+#define PICK_SILENT_US	       (200 * MAG_US_PER_MS)
+#define PICK_LOAD_EWMA	       0.05
+
+static void pick_add_duration(struct pick *pick, int e, int64_t duration_us);
+static void pick_health_failed(struct pick *pick, int e, bool conclusive,
 			       int64_t now);
+static void pick_health_silent_stages(struct pick *pick,
+				      const struct pick_chain *chain,
+				      uint32_t silent, int64_t now);
 static void pick_health_stalled(struct pick *pick,
 				const struct pick_chain *chain, int64_t now);
 static bool pick_is_silent(const struct pick *pick, int e, int64_t now);
-static void pick_health_well(struct pick *pick, int e, int64_t now);
+static void pick_health_succeeded(struct pick *pick, int e, int64_t now);
 static void pick_eject(struct pick *pick, int e, const char *why, int64_t now);
-static void pick_retry_centre(struct pick *pick, int centre, int64_t now);
-static bool pick_centre_lost(const struct pick *pick, int e, int64_t now);
-static void pick_eject_one(struct pick *pick, int e, const char *why,
-			   int64_t now);
-static bool pick_spare(struct pick *pick, int e);
-static void pick_refused(struct pick_ep *ep, int64_t now);
-static void pick_note_load(struct pick *pick, int service);
-
-/* Tells whether an endpoint may get new work, its limit aside. */
+static void pick_retry_data_centre(struct pick *pick, int data_centre,
+				   int64_t now);
+static bool pick_is_data_centre_lost(const struct pick *pick, int e,
+				     int64_t now);
+static void pick_eject_endpoint(struct pick *pick, int e, const char *why,
+				int64_t now);
+static bool pick_can_spare(struct pick *pick, int e);
+static void pick_lower_limit(struct pick_ep *ep, int64_t now);
+static void pick_update_load(struct pick *pick, int service);
+
+/* Tells whether an endpoint may receive new work, regardless of its limit. */
 bool pick_accepts_work(const struct pick_ep *ep, int64_t now)
 {
 	(void)now;
@@ -42,41 +45,41 @@
 	       ep->health == PICK_HEALTHY;
 }
 
-/* Tells whether an endpoint is under its limit. */
+/* Tells whether an endpoint is below its limit. */
 bool pick_below_limit(const struct pick_ep *ep, int64_t now)
 {
 	return now >= ep->full_until_us && ep->in_flight + 1 <= ep->limit &&
 	       ep->in_flight + ep->others_in_flight < ep->cfg.concurrency;
 }
 
-/* Returns the work at an endpoint as a part of its limit. */
+/* Returns the work in flight at an endpoint as a fraction of its limit. */
 double pick_relative_load(const struct pick_ep *ep)
 {
 	return (ep->in_flight + ep->others_in_flight) / ep->limit;
 }
 
-/* Learns from the end of an attempt. */
+/* Updates the health of a chain's endpoints from the result of an attempt. */
 void pick_health_ended(struct pick *pick, const struct pick_chain *chain,
 		       const struct pick_result *result, int64_t now)
 {
-	int at = result->failed_stage;
+	int stage = result->failed_stage;
 	int i;
 
-	if (at < 0 && chain->count == 1)
-		at = 0;
+	if (stage < 0 && chain->count == 1)
+		stage = 0;
 	for (i = 0; i < chain->count; i++) {
 		int e = chain->stages[i].endpoint;
 
 		if (e < 0 || e >= pick->ep_count)
 			continue;
 		if (result->kind == PICK_ENDED_COMPLETE) {
-			pick_health_well(pick, e, now);
-			pick_took(pick, e, result->duration_us);
+			pick_health_succeeded(pick, e, now);
+			pick_add_duration(pick, e, result->duration_us);
 		}
-		if (result->kind == PICK_ENDED_FAILED && i == at)
+		if (result->kind == PICK_ENDED_FAILED && i == stage)
 			pick_health_failed(pick, e, true, now);
-		else if (result->kind == PICK_ENDED_REFUSED && i == at)
-			pick_refused(&pick->eps[e], now);
+		else if (result->kind == PICK_ENDED_REFUSED && i == stage)
+			pick_lower_limit(&pick->eps[e], now);
 		if (i == 0)
 			pick->load_tokens[pick->eps[e].cfg.service] +=
 				result->tokens;
@@ -84,36 +87,46 @@
 	if (result->kind != PICK_ENDED_STALLED)
 		return;
 	if (result->silent_stages)
-		pick_health_silent(pick, chain, result->silent_stages, now);
+		pick_health_silent_stages(pick, chain, result->silent_stages,
+					  now);
 	else
 		pick_health_stalled(pick, chain, now);
 }
 
-/* Learns how long whole answers take; a large change moves the bound. */
-static void pick_took(struct pick *pick, int e, int64_t took_us)
+/*
+ * Updates the mean time of whole answers of an endpoint without a configured
+ * rate.  A large change requires a new solve, because it changes the bound of
+ * the service.
+ */
+static void pick_add_duration(struct pick *pick, int e, int64_t duration_us)
 {
 	struct pick_ep *ep = &pick->eps[e];
 
-	if (ep->cfg.tokens_per_s > 0 || took_us <= 0)
+	if (ep->cfg.tokens_per_s > 0 || duration_us <= 0)
 		return;
 	if (ep->mean_duration_us <= 0)
-		ep->mean_duration_us = (double)took_us;
-	ep->mean_duration_us +=
-		PICK_TOOK_STEP * ((double)took_us - ep->mean_duration_us);
-	if (ep->mean_duration_us < PICK_TOOK_MOVED * ep->solved_duration_us &&
-	    ep->solved_duration_us < PICK_TOOK_MOVED * ep->mean_duration_us)
+		ep->mean_duration_us = (double)duration_us;
+	ep->mean_duration_us += PICK_DURATION_EWMA *
+				((double)duration_us - ep->mean_duration_us);
+	if (ep->mean_duration_us <
+		    PICK_DURATION_CHANGE * ep->solved_duration_us &&
+	    ep->solved_duration_us <
+		    PICK_DURATION_CHANGE * ep->mean_duration_us)
 		return;
 	ep->solved_duration_us = ep->mean_duration_us;
 	pick_mark_dirty(pick, ep->cfg.service, false);
 }
 
-/* Adapts limits, ends probes that hang and notes the load. */
+/*
+ * Updates the load of each service, ends probes that have expired, and adapts
+ * each endpoint.
+ */
 void pick_health_tick(struct pick *pick, int64_t now)
 {
 	int i;
 
 	for (i = 0; i < pick->service_count; i++)
-		pick_note_load(pick, i);
+		pick_update_load(pick, i);
 	for (i = 0; i < pick->ep_count; i++) {
 		struct pick_ep *ep = &pick->eps[i];
 
@@ -125,17 +138,21 @@
 }
 
 /*
- * Counts a failure against an endpoint, and ejects it if that is enough: one
- * connection that was cut, or could not be made, if it shows no other sign of
- * life.  A stream that only stopped may wait behind a long prompt.
+ * Counts a failure of an endpoint and ejects it after enough of them, if the
+ * load can be served without it.  After PICK_DEAD_AFTER consecutive failures it
+ * is ejected even if not.  One conclusive failure is enough if the endpoint has
+ * shown no progress recently: a connection that was broken or could not be
+ * made, or a query without an answer.  A stream that only stalled is not
+ * conclusive, because it may be waiting behind a long prompt.
  */
-static void pick_health_failed(struct pick *pick, int e, bool cut, int64_t now)
+static void pick_health_failed(struct pick *pick, int e, bool conclusive,
+			       int64_t now)
 {
 	struct pick_ep *ep = &pick->eps[e];
 
 	ep->result_count++;
 	ep->consecutive_failures++;
-	ep->failure_ratio += PICK_RATIO_STEP * (1 - ep->failure_ratio);
+	ep->failure_ratio += PICK_RATIO_EWMA * (1 - ep->failure_ratio);
 	if (ep->health == PICK_PROBING) {
 		pick_eject(pick, e, "probe-failed", now);
 		return;
@@ -145,29 +162,32 @@
 	if (ep->consecutive_failures >= PICK_DEAD_AFTER)
 		pick_eject(pick, e, "dead", now);
 	else if ((ep->consecutive_failures >= PICK_EJECT_AFTER ||
-		  (cut && pick_is_silent(pick, e, now))) &&
-		 pick_spare(pick, e))
+		  (conclusive && pick_is_silent(pick, e, now))) &&
+		 pick_can_spare(pick, e))
 		pick_eject(pick, e, "failed-in-a-row", now);
-	else if (ep->result_count >= PICK_RATIO_RESULTS &&
-		 ep->failure_ratio > PICK_RATIO_MAX && pick_spare(pick, e))
+	else if (ep->result_count >= PICK_RATIO_MIN_RESULTS &&
+		 ep->failure_ratio > PICK_RATIO_MAX && pick_can_spare(pick, e))
 		pick_eject(pick, e, "fails-often", now);
 }
 
-/* Blames the stage at which a stream most likely stopped. */
+/* Counts a failure of the stage at which a stream most probably stalled. */
 static void pick_health_stalled(struct pick *pick,
 				const struct pick_chain *chain, int64_t now)
 {
-	int at = pick_find_silent_stage(pick, chain, now);
+	int stage = pick_find_silent_stage(pick, chain, now);
 
-	if (at >= 0)
-		pick_health_failed(pick, chain->stages[at].endpoint, false,
+	if (stage >= 0)
+		pick_health_failed(pick, chain->stages[stage].endpoint, false,
 				   now);
 }
 
-/* Stages that did not answer when asked hang, each of them for certain. */
-static void pick_health_silent(struct pick *pick,
-			       const struct pick_chain *chain, uint32_t silent,
-			       int64_t now)
+/*
+ * Counts a failure of each stage that did not answer when queried; such a stage
+ * certainly hangs.
+ */
+static void pick_health_silent_stages(struct pick *pick,
+				      const struct pick_chain *chain,
+				      uint32_t silent, int64_t now)
 {
 	int i;
 
@@ -180,40 +200,41 @@
 }
 
 /*
- * Returns the stage of a stalled chain that most likely holds it up, -1 if
- * all of them move other streams.  A stalled stream doesn't say where it
- * stopped.  Of the stages without a sign of life it is the one with the most
- * attempts: each of them would have shown one.  A small endpoint may be
- * silent only because all its streams pass the one that hangs.
+ * Returns the stage that most probably holds up a stalled chain, or -1 if every
+ * stage makes progress on other streams.  A stalled stream doesn't show at
+ * which stage it stopped.  Of the stages without recent progress, the one with
+ * the most attempts is chosen, because each of these attempts would have shown
+ * progress.  A small endpoint may be silent only because all its streams pass
+ * through the endpoint that hangs.
  */
 int pick_find_silent_stage(const struct pick *pick,
 			   const struct pick_chain *chain, int64_t now)
 {
-	uint32_t most = 0;
-	int at = -1;
+	uint32_t max_in_flight = 0;
+	int stage = -1;
 	int i;
 
 	for (i = 0; i < chain->count; i++) {
 		int e = chain->stages[i].endpoint;
 
 		if (!pick_is_silent(pick, e, now) ||
-		    (at >= 0 && pick->eps[e].in_flight <= most))
+		    (stage >= 0 && pick->eps[e].in_flight <= max_in_flight))
 			continue;
-		most = pick->eps[e].in_flight;
-		at = i;
+		max_in_flight = pick->eps[e].in_flight;
+		stage = i;
 	}
-	return at;
+	return stage;
 }
 
 /*
- * Returns the stage of a chain whose endpoint or link is far below its rate,
- * the worst one, or -1.
+ * Returns the stage of a chain whose endpoint or link is furthest below its
+ * rate, among those below PICK_DEGRADED_SCALE, or -1.
  */
 int pick_find_degraded_stage(const struct pick *pick,
 			     const struct pick_chain *chain)
 {
 	double worst = PICK_DEGRADED_SCALE;
-	int at = -1;
+	int stage = -1;
 	int i;
 
 	for (i = 0; i < chain->count; i++) {
@@ -223,34 +244,35 @@
 		    pick->eps[e].rate_scale >= worst)
 			continue;
 		worst = pick->eps[e].rate_scale;
-		at = i;
+		stage = i;
 	}
-	return at;
+	return stage;
 }
 
-/* Tells whether an endpoint has moved no stream lately. */
+/* Tells whether an endpoint has made no progress on any stream recently. */
 static bool pick_is_silent(const struct pick *pick, int e, int64_t now)
 {
 	return e >= 0 && e < pick->ep_count &&
 	       now - pick->eps[e].last_progress_us > PICK_SILENT_US;
 }
 
-/* Notes that an endpoint did its part of a whole answer. */
-static void pick_health_well(struct pick *pick, int e, int64_t now)
+/* Counts a success of an endpoint, after a complete answer. */
+static void pick_health_succeeded(struct pick *pick, int e, int64_t now)
 {
 	struct pick_ep *ep = &pick->eps[e];
 
 	ep->result_count++;
 	ep->consecutive_failures = 0;
-	ep->failure_ratio -= PICK_RATIO_STEP * ep->failure_ratio;
+	ep->failure_ratio -= PICK_RATIO_EWMA * ep->failure_ratio;
 	ep->backoff_us = 0;
 	pick_health_progress(pick, e, now);
 }
 
 /*
- * Notes a sign of life.  An endpoint that was ejected is back with it: to
- * wait for a whole answer would keep it out for seconds after a short
- * slowdown, and many endpoints after one that hit them all.
+ * Records progress at an endpoint, and readmits it if it was ejected.  Waiting
+ * for a complete answer instead would keep it out for seconds after a short
+ * slowdown, and would keep many endpoints out after a slowdown that affected
+ * all of them.
  */
 void pick_health_progress(struct pick *pick, int e, int64_t now)
 {
@@ -262,73 +284,76 @@
 	ep->health = PICK_HEALTHY;
 	ep->consecutive_failures = 0;
 	pick->unhealthy_count--;
-	pick_retry_centre(pick, ep->data_centre, now);
+	pick_retry_data_centre(pick, ep->data_centre, now);
 	pick_mark_dirty(pick, ep->cfg.service, true);
 	log_event(LOG_PICK_RETURNED, "endpoint=%s", ep->cfg.name);
 }
 
-/* Lets the other ejected endpoints of a data centre be probed at once. */
-static void pick_retry_centre(struct pick *pick, int centre, int64_t now)
+/* Allows the other ejected endpoints of a data centre to be probed at once. */
+static void pick_retry_data_centre(struct pick *pick, int data_centre,
+				   int64_t now)
 {
 	int i;
 
 	for (i = 0; i < pick->ep_count; i++) {
 		struct pick_ep *ep = &pick->eps[i];
 
-		if (ep->data_centre == centre && ep->health == PICK_EJECTED &&
-		    ep->retry_at_us > now)
+		if (ep->data_centre == data_centre &&
+		    ep->health == PICK_EJECTED && ep->retry_at_us > now)
 			ep->retry_at_us = now;
 	}
 }
 
 /*
- * Takes an endpoint out until a probe succeeds, and with it the data centre
- * if nothing in it shows a sign of life any more.
+ * Ejects an endpoint until a probe succeeds.  If nothing in its data centre
+ * makes progress any more, the whole data centre is ejected.
  */
 static void pick_eject(struct pick *pick, int e, const char *why, int64_t now)
 {
-	int centre = pick->eps[e].data_centre;
+	int data_centre = pick->eps[e].data_centre;
 	int i;
 
-	pick_eject_one(pick, e, why, now);
-	if (!pick_centre_lost(pick, e, now))
+	pick_eject_endpoint(pick, e, why, now);
+	if (!pick_is_data_centre_lost(pick, e, now))
 		return;
 	for (i = 0; i < pick->ep_count; i++) {
-		if (pick->eps[i].data_centre == centre &&
+		if (pick->eps[i].data_centre == data_centre &&
 		    pick->eps[i].health == PICK_HEALTHY)
-			pick_eject_one(pick, i, "data-centre-silent", now);
+			pick_eject_endpoint(pick, i, "data-centre-silent", now);
 	}
 }
 
 /*
- * Tells whether a data centre seems cut off: several endpoints of it were
- * ejected and no other has moved a stream meanwhile, while other data
- * centres have endpoints left.  Without this, each endpoint of a lost data
- * centre would cost some requests a timeout before it is ejected.
+ * Tells whether a data centre seems to be cut off: at least
+ * PICK_LOST_MIN_EJECTED of its endpoints are ejected or probing, none of the
+ * others has made recent progress, and another data centre has healthy
+ * endpoints.  Without this check, each endpoint of a lost data centre would
+ * cost some requests a timeout before it is ejected.
  */
-static bool pick_centre_lost(const struct pick *pick, int e, int64_t now)
+static bool pick_is_data_centre_lost(const struct pick *pick, int e,
+				     int64_t now)
 {
-	int centre = pick->eps[e].data_centre;
+	int data_centre = pick->eps[e].data_centre;
 	int ejected = 0;
-	bool elsewhere = false;
+	bool others_healthy = false;
 	int i;
 
 	for (i = 0; i < pick->ep_count; i++) {
 		const struct pick_ep *ep = &pick->eps[i];
 
-		if (ep->data_centre != centre)
-			elsewhere |= ep->health == PICK_HEALTHY;
+		if (ep->data_centre != data_centre)
+			others_healthy |= ep->health == PICK_HEALTHY;
 		else if (ep->health != PICK_HEALTHY)
 			ejected++;
 		else if (!pick_is_silent(pick, i, now))
 			return false;
 	}
-	return elsewhere && ejected >= PICK_CENTRE_EJECTED;
+	return others_healthy && ejected >= PICK_LOST_MIN_EJECTED;
 }
 
-/* Takes one endpoint out. */
-static void pick_eject_one(struct pick *pick, int e, const char *why,
-			   int64_t now)
+/* Ejects one endpoint and doubles the time until it may be probed. */
+static void pick_eject_endpoint(struct pick *pick, int e, const char *why,
+				int64_t now)
 {
 	struct pick_ep *ep = &pick->eps[e];
 
@@ -346,11 +371,12 @@
 }
 
 /*
- * Tells whether the load can do without an endpoint.  Ejecting on a mere
- * suspicion while every endpoint is needed would turn one slow endpoint into
- * an outage: the others, overloaded by its work, would be ejected in turn.
+ * Tells whether the current load can be served without an endpoint.  Ejecting
+ * an endpoint on a mere suspicion while all of them are needed would turn one
+ * slow endpoint into an outage: the others would be overloaded by its work and
+ * ejected in turn.
  */
-static bool pick_spare(struct pick *pick, int e)
+static bool pick_can_spare(struct pick *pick, int e)
 {
 	int service = pick->eps[e].cfg.service;
 	int i;
@@ -370,13 +396,14 @@
 }
 
 /*
- * An endpoint that says it is full gets a rest and a lower limit, and the
- * limit goes up slowly where it was refused: other instances send there too,
- * and each would otherwise run into the refusal again and again.
+ * Handles an endpoint's answer that it is full: it gets a pause and a lower
+ * limit, and the limit rises only slowly near the value at which it was
+ * refused.  Other instances send work there too, and without this each of them
+ * would be refused again and again.
  */
-static void pick_refused(struct pick_ep *ep, int64_t now)
+static void pick_lower_limit(struct pick_ep *ep, int64_t now)
 {
-	ep->full_until_us = now + PICK_FULL_US;
+	ep->full_until_us = now + PICK_FULL_PAUSE_US;
 	if (ep->limit > ep->in_flight)
 		ep->limit = ep->in_flight;
 	ep->refused_limit = ep->limit;
@@ -385,13 +412,13 @@
 		ep->limit = 1;
 }
 
-/* Updates the mean of what a service delivers here. */
-static void pick_note_load(struct pick *pick, int service)
+/* Updates the mean rate at which this instance delivers tokens of a service. */
+static void pick_update_load(struct pick *pick, int service)
 {
 	double rate = (double)pick->load_tokens[service] * MAG_US_PER_S /
 		      (double)PICK_TICK_US;
 
 	pick->load_tokens[service] = 0;
 	pick->service_load[service] +=
-		PICK_LOAD_STEP * (rate - pick->service_load[service]);
+		PICK_LOAD_EWMA * (rate - pick->service_load[service]);
 }
--- a/src/pick_plan.c
+++ b/src/pick_plan.c
@@ -3,36 +3,41 @@
 
 #include "pick_int.h"
 
-/* A graph whose estimates moved is solved again no more often than this. */
-#define PICK_SOLVE_EVERY_US (100 * MAG_US_PER_MS)
-#define PICK_TOOK_US	    (50 * MAG_US_PER_MS) /* until some have ended */
-#define PICK_NO_LINK	    1e15 /* tokens a second over a link without limit */
+/* Shortest interval between two solves after changes of estimates only. */
+#define PICK_SOLVE_INTERVAL_US (100 * MAG_US_PER_MS)
+/* Assumed time of a whole answer until one has ended. */
+#define PICK_DEFAULT_DURATION_US (50 * MAG_US_PER_MS)
+/* Tokens per second over a link without a limit. */
+#define PICK_UNLIMITED_LINK 1e15
 
 static bool pick_in_group(const struct pick_ep *ep, int service,
 			  const char *group);
-static int pick_net_fill(struct pick *pick, struct pick_net *net);
-static struct flow_stage *pick_stages(const struct pick *pick,
-				      const struct pick_net *net, int without);
-static void pick_stage_of(const struct pick *pick, const struct pick_ep *ep,
-			  struct flow_stage *stage);
-static int pick_net_options(struct pick *pick, struct pick_net *net);
-static int pick_node_fill(struct pick *pick, struct pick_net *net, int k,
-			  int centre);
-static void pick_factors(const struct pick *pick, const struct pick_net *net,
-			 int k, int centre, double *factor);
+static int pick_net_add_members(struct pick *pick, struct pick_net *net);
+static struct flow_stage *pick_flow_stages(const struct pick *pick,
+					   const struct pick_net *net,
+					   int without);
+static void pick_fill_flow_stage(const struct pick *pick,
+				 const struct pick_ep *ep,
+				 struct flow_stage *stage);
+static int pick_net_add_options(struct pick *pick, struct pick_net *net);
+static int pick_node_add_options(struct pick *pick, struct pick_net *net,
+				 int boundary, int data_centre);
+static void pick_entry_factors(const struct pick *pick,
+			       const struct pick_net *net, int boundary,
+			       int data_centre, double *factor);
 static double pick_option_weight(const struct pick *pick,
-				 const struct pick_net *net, int k, int m,
-				 const double *factor);
-static bool pick_covers(const struct pick_net *net, const struct pick_ep *ep,
-			int k);
-static int pick_net_exits(struct pick *pick, struct pick_net *net);
+				 const struct pick_net *net, int boundary,
+				 int m, const double *factor);
+static bool pick_is_candidate(const struct pick_net *net,
+			      const struct pick_ep *ep, int boundary);
+static int pick_net_add_exits(struct pick *pick, struct pick_net *net);
 static double pick_exit_weight(const struct pick *pick,
-			       const struct pick_net *net, int k, int m);
+			       const struct pick_net *net, int boundary, int m);
 static void pick_net_clear(struct pick_net *net);
 
 /*
- * Returns the network of a service's endpoints that one group of routes may
- * use, made on first use; NULL if memory is short.
+ * Returns the network of a service's endpoints that routes with a group may
+ * use.  It is created on first use.  Returns NULL if out of memory.
  */
 struct pick_net *pick_get_net(struct pick *pick, int service, const char *group)
 {
@@ -54,7 +59,7 @@
 	memset(net, 0, sizeof(*net));
 	net->service = service;
 	mag_copy_name(net->group, sizeof(net->group), group);
-	if (pick_net_fill(pick, net) < 0) {
+	if (pick_net_add_members(pick, net) < 0) {
 		pick_net_free(net);
 		return NULL;
 	}
@@ -63,8 +68,8 @@
 }
 
 /*
- * Solves a network again if anything changed, at once if an endpoint came or
- * went, otherwise no more often than PICK_SOLVE_EVERY_US.
+ * Solves a network again if it has changed: at once if an endpoint was added or
+ * lost, otherwise at most once per PICK_SOLVE_INTERVAL_US.
  */
 int pick_net_solve(struct pick *pick, struct pick_net *net, int64_t now)
 {
@@ -77,9 +82,9 @@
 	struct flow_stage *stages;
 
 	if (!net->dirty ||
-	    (!net->urgent && now < net->solved_us + PICK_SOLVE_EVERY_US))
+	    (!net->urgent && now < net->solved_us + PICK_SOLVE_INTERVAL_US))
 		return PICK_OK;
-	stages = pick_stages(pick, net, -1);
+	stages = pick_flow_stages(pick, net, -1);
 	if (!stages)
 		return PICK_E_MEMORY;
 	in.stages = stages;
@@ -92,12 +97,12 @@
 	net->dirty = false;
 	net->urgent = false;
 	net->solved_us = now;
-	return pick_net_options(pick, net);
+	return pick_net_add_options(pick, net);
 }
 
 /*
- * Returns the value of the maximum flow with one endpoint taken out (-1 for
- * none), in tokens a second.
+ * Returns the maximum flow in tokens per second with one endpoint removed (-1
+ * for none).
  */
 double pick_net_max_flow(const struct pick *pick, const struct pick_net *net,
 			 int without)
@@ -108,7 +113,7 @@
 		.centres = pick->data_centre_count,
 		.joined = pick->reachable,
 	};
-	struct flow_stage *stages = pick_stages(pick, net, without);
+	struct flow_stage *stages = pick_flow_stages(pick, net, without);
 	double value;
 
 	if (!stages)
@@ -119,7 +124,7 @@
 	return value;
 }
 
-/* Frees what a network holds. */
+/* Frees the contents of a network. */
 void pick_net_free(struct pick_net *net)
 {
 	pick_net_clear(net);
@@ -129,7 +134,7 @@
 	net->member_index = NULL;
 }
 
-/* Marks the networks of a service to be solved again. */
+/* Marks the networks of a service for a new solve. */
 void pick_mark_dirty(struct pick *pick, int service, bool urgent)
 {
 	int i;
@@ -144,9 +149,9 @@
 }
 
 /*
- * Returns what an endpoint can do now, in tokens a second.  A plain service
- * gives no rate; it does as many requests as it takes at once in the time
- * that they take, and each counts as one token.
+ * Returns the current capacity of an endpoint in tokens per second.  A plain
+ * service may state no rate.  Its capacity is then its concurrency divided by
+ * the mean time of a request, where each request counts as one token.
  */
 double pick_rate(const struct pick_ep *ep)
 {
@@ -157,11 +162,11 @@
 	if (rate <= 0)
 		rate = ep->cfg.concurrency * (double)MAG_US_PER_S /
 		       (ep->mean_duration_us > 0 ? ep->mean_duration_us
-						 : PICK_TOOK_US);
+						 : PICK_DEFAULT_DURATION_US);
 	return rate * ep->rate_scale;
 }
 
-/* Returns the layers of a service; a plain one counts as one layer. */
+/* Returns the number of layers of a service; a plain service has one. */
 uint32_t pick_layer_count(const struct pick *pick, int service)
 {
 	const struct cfg_service *s = &pick->services[service];
@@ -178,8 +183,8 @@
 	return group[0] == '\0' || strcmp(ep->cfg.group, group) == 0;
 }
 
-/* Collects the endpoints of a network. */
-static int pick_net_fill(struct pick *pick, struct pick_net *net)
+/* Adds the endpoints of its service and group to a network. */
+static int pick_net_add_members(struct pick *pick, struct pick_net *net)
 {
 	int e;
 
@@ -200,9 +205,10 @@
 	return PICK_OK;
 }
 
-/* Describes the endpoints to the graph; NULL if memory is short. */
-static struct flow_stage *pick_stages(const struct pick *pick,
-				      const struct pick_net *net, int without)
+/* Builds the input of the flow solver; NULL if out of memory. */
+static struct flow_stage *pick_flow_stages(const struct pick *pick,
+					   const struct pick_net *net,
+					   int without)
 {
 	struct flow_stage *stages =
 		calloc((size_t)net->count + 1, sizeof(*stages));
@@ -211,16 +217,20 @@
 	for (m = 0; stages && m < net->count; m++) {
 		int e = net->members[m].ep;
 
-		pick_stage_of(pick, &pick->eps[e], &stages[m]);
+		pick_fill_flow_stage(pick, &pick->eps[e], &stages[m]);
 		if (e == without)
 			stages[m].rate = 0;
 	}
 	return stages;
 }
 
-/* Describes one endpoint; one that may get nothing new has no rate. */
-static void pick_stage_of(const struct pick *pick, const struct pick_ep *ep,
-			  struct flow_stage *stage)
+/*
+ * Fills in the solver's input for one endpoint; one that may not receive new
+ * work has the rate 0.
+ */
+static void pick_fill_flow_stage(const struct pick *pick,
+				 const struct pick_ep *ep,
+				 struct flow_stage *stage)
 {
 	const struct cfg_service *s = &pick->services[ep->cfg.service];
 	bool model = s->kind == CFG_MODEL;
@@ -228,7 +238,7 @@
 	stage->first = ep->first_layer;
 	stage->end = ep->end_layer;
 	stage->centre = ep->data_centre;
-	stage->link = PICK_NO_LINK;
+	stage->link = PICK_UNLIMITED_LINK;
 	if (model && ep->cfg.link_bytes_per_s > 0 && s->activation_bytes > 0)
 		stage->link =
 			(double)ep->cfg.link_bytes_per_s / s->activation_bytes;
@@ -237,33 +247,37 @@
 		stage->rate = pick_rate(ep);
 }
 
-/* Lists, for each boundary and data centre, who may take over a stream. */
-static int pick_net_options(struct pick *pick, struct pick_net *net)
+/*
+ * Lists, for each boundary and data centre, the endpoints that may be the next
+ * stage of a stream.
+ */
+static int pick_net_add_options(struct pick *pick, struct pick_net *net)
 {
-	int bounds = net->flow->bounds;
-	int centres = pick->data_centre_count;
-	int k;
+	int boundaries = net->flow->bounds;
+	int data_centre_count = pick->data_centre_count;
+	int boundary;
 	int c;
 
-	net->nodes = calloc((size_t)bounds * centres + 1, sizeof(*net->nodes));
+	net->nodes = calloc((size_t)boundaries * data_centre_count + 1,
+			    sizeof(*net->nodes));
 	if (!net->nodes)
 		return PICK_E_MEMORY;
-	net->node_count = bounds * centres;
-	for (k = 0; k + 1 < bounds; k++) {
-		for (c = 0; c < (k == 0 ? 1 : centres); c++) {
-			if (pick_node_fill(pick, net, k, c) < 0)
+	net->node_count = boundaries * data_centre_count;
+	for (boundary = 0; boundary + 1 < boundaries; boundary++) {
+		for (c = 0; c < (boundary == 0 ? 1 : data_centre_count); c++) {
+			if (pick_node_add_options(pick, net, boundary, c) < 0)
 				return PICK_E_MEMORY;
 		}
 	}
-	return pick_net_exits(pick, net);
+	return pick_net_add_exits(pick, net);
 }
 
-/* Fills one list of options. */
-static int pick_node_fill(struct pick *pick, struct pick_net *net, int k,
-			  int centre)
+/* Fills the list of one boundary and data centre. */
+static int pick_node_add_options(struct pick *pick, struct pick_net *net,
+				 int boundary, int data_centre)
 {
 	struct pick_node *node =
-		&net->nodes[k * pick->data_centre_count + centre];
+		&net->nodes[boundary * pick->data_centre_count + data_centre];
 	double *factor =
 		calloc((size_t)pick->data_centre_count + 1, sizeof(*factor));
 	int m;
@@ -273,9 +287,10 @@
 		free(factor);
 		return PICK_E_MEMORY;
 	}
-	pick_factors(pick, net, k, centre, factor);
+	pick_entry_factors(pick, net, boundary, data_centre, factor);
 	for (m = 0; m < net->count; m++) {
-		double weight = pick_option_weight(pick, net, k, m, factor);
+		double weight =
+			pick_option_weight(pick, net, boundary, m, factor);
 
 		if (weight <= 0)
 			continue;
@@ -287,63 +302,70 @@
 }
 
 /*
- * Computes by data centre which part of an endpoint's entering flow belongs
- * to streams that stand at a boundary in one data centre.  From outside
- * (boundary 0) every data centre is as near as the other; later the flow
- * between data centres decides.
+ * Computes, for each data centre, which fraction of the flow that enters its
+ * endpoints at a boundary comes from streams in one given data centre.  At
+ * boundary 0 streams come from outside and all data centres are equally near.
+ * At later boundaries the fraction follows from the flow between data centres.
  */
-static void pick_factors(const struct pick *pick, const struct pick_net *net,
-			 int k, int centre, double *factor)
+static void pick_entry_factors(const struct pick *pick,
+			       const struct pick_net *net, int boundary,
+			       int data_centre, double *factor)
 {
 	const struct flow_net *flow = net->flow;
-	int centres = pick->data_centre_count;
-	const double *cross = &flow->cross[k * centres * centres];
-	int there;
+	int data_centre_count = pick->data_centre_count;
+	const double *cross =
+		&flow->cross[boundary * data_centre_count * data_centre_count];
+	int entry_centre;
 	int m;
 
 	for (m = 0; m < net->count; m++) {
-		there = pick->eps[net->members[m].ep].data_centre;
-		factor[there] += flow->enter[k * flow->count + m];
+		entry_centre = pick->eps[net->members[m].ep].data_centre;
+		factor[entry_centre] += flow->enter[boundary * flow->count + m];
 	}
-	for (there = 0; there < centres; there++) {
-		double local = factor[there];
-		double into = 0;
+	for (entry_centre = 0; entry_centre < data_centre_count;
+	     entry_centre++) {
+		double local = factor[entry_centre];
+		double crossing = 0;
 		int i;
 
-		for (i = 0; i < centres; i++)
-			into += cross[i * centres + there];
+		for (i = 0; i < data_centre_count; i++)
+			crossing += cross[i * data_centre_count + entry_centre];
 		if (local <= 0)
-			factor[there] = 0;
-		else if (k == 0)
-			factor[there] = 1;
-		else if (there == centre)
-			factor[there] =
-				into < local ? (local - into) / local : 0;
+			factor[entry_centre] = 0;
+		else if (boundary == 0)
+			factor[entry_centre] = 1;
+		else if (entry_centre == data_centre)
+			factor[entry_centre] =
+				crossing < local ? (local - crossing) / local
+						 : 0;
 		else
-			factor[there] = cross[centre * centres + there] / local;
+			factor[entry_centre] =
+				cross[data_centre * data_centre_count +
+				      entry_centre] /
+				local;
 	}
 }
 
-/* Returns the weight of an endpoint at a boundary under the policy in use. */
+/* Returns the weight of an endpoint at a boundary under the current policy. */
 static double pick_option_weight(const struct pick *pick,
-				 const struct pick_net *net, int k, int m,
-				 const double *factor)
+				 const struct pick_net *net, int boundary,
+				 int m, const double *factor)
 {
 	const struct pick_ep *ep = &pick->eps[net->members[m].ep];
 
 	if (pick->policy == PICK_FLOW)
-		return net->flow->enter[k * net->count + m] *
+		return net->flow->enter[boundary * net->count + m] *
 		       factor[ep->data_centre];
-	if (!pick_covers(net, ep, k))
+	if (!pick_is_candidate(net, ep, boundary))
 		return 0;
 	return pick->policy == PICK_STATIC_WEIGHTS ? ep->cfg.tokens_per_s : 1;
 }
 
-/* Tells whether a usable endpoint holds the layers after a boundary. */
-static bool pick_covers(const struct pick_net *net, const struct pick_ep *ep,
-			int k)
+/* Tells whether a usable endpoint holds the layer after a boundary. */
+static bool pick_is_candidate(const struct pick_net *net,
+			      const struct pick_ep *ep, int boundary)
 {
-	uint32_t layer = net->flow->bound[k];
+	uint32_t layer = net->flow->bound[boundary];
 
 	if (ep->cfg.state != CFG_ACTIVE || ep->leaving ||
 	    ep->health != PICK_HEALTHY)
@@ -351,12 +373,12 @@
 	return ep->first_layer <= layer && layer < ep->end_layer;
 }
 
-/* Lists where each endpoint hands streams on. */
-static int pick_net_exits(struct pick *pick, struct pick_net *net)
+/* Lists the boundaries at which each endpoint may end its stage. */
+static int pick_net_add_exits(struct pick *pick, struct pick_net *net)
 {
 	const struct flow_net *flow = net->flow;
 	int m;
-	int k;
+	int boundary;
 
 	for (m = 0; m < net->count; m++) {
 		struct pick_member *member = &net->members[m];
@@ -365,30 +387,34 @@
 			calloc((size_t)flow->bounds, sizeof(*member->exits));
 		if (!member->exits)
 			return PICK_E_MEMORY;
-		for (k = 1; k < flow->bounds; k++) {
-			double weight = pick_exit_weight(pick, net, k, m);
+		for (boundary = 1; boundary < flow->bounds; boundary++) {
+			double weight =
+				pick_exit_weight(pick, net, boundary, m);
 
 			if (weight <= 0)
 				continue;
-			member->exits[member->exit_count].boundary = k;
+			member->exits[member->exit_count].boundary = boundary;
 			member->exits[member->exit_count++].weight = weight;
 		}
 	}
 	return PICK_OK;
 }
 
-/* Returns the weight of handing on at a boundary; baselines use the end. */
+/*
+ * Returns the weight of a boundary as the end of an endpoint's stage.  The
+ * baseline policies always use the end of its layer range.
+ */
 static double pick_exit_weight(const struct pick *pick,
-			       const struct pick_net *net, int k, int m)
+			       const struct pick_net *net, int boundary, int m)
 {
 	const struct pick_ep *ep = &pick->eps[net->members[m].ep];
 
 	if (pick->policy == PICK_FLOW)
-		return net->flow->leave[k * net->count + m];
-	return net->flow->bound[k] == ep->end_layer;
+		return net->flow->leave[boundary * net->count + m];
+	return net->flow->bound[boundary] == ep->end_layer;
 }
 
-/* Frees the solved part of a network. */
+/* Frees the results of the last solve. */
 static void pick_net_clear(struct pick_net *net)
 {
 	int i;
--- a/src/pick_show.c
+++ b/src/pick_show.c
@@ -3,19 +3,19 @@
 #include "log.h"
 #include "pick_int.h"
 
-#define PICK_CHAIN_TEXT 512
+#define PICK_CHAIN_TEXT_MAX 512
 
 static void pick_explain_endpoint(struct pick *pick, struct pick_net *net,
-				  int m, const struct pick_request *want,
+				  int m, const struct pick_request *request,
 				  int64_t now, FILE *out);
-static const char *pick_state(const struct pick_ep *ep,
-			      const struct pick_request *want, int e,
-			      int64_t now);
-
-/* Writes a chain as name[first-last] > name[first-last]. */
-static void pick_chain_text(const struct pick *pick,
-			    const struct pick_chain *chain, char *text,
-			    size_t size)
+static const char *pick_state_name(const struct pick_ep *ep,
+				   const struct pick_request *request, int e,
+				   int64_t now);
+
+/* Formats a chain as name[first-last]>name[first-last]. */
+static void pick_format_chain(const struct pick *pick,
+			      const struct pick_chain *chain, char *text,
+			      size_t size)
 {
 	size_t used = 0;
 	int i;
@@ -31,20 +31,21 @@
 	}
 }
 
-/* Writes the log line of a decision: the chain and why it was taken. */
+/* Logs a chosen chain and the reason for the choice. */
 void pick_log_chain(const struct pick *pick, const struct pick_net *net,
 		    const struct pick_chain *chain, const char *why)
 {
-	char text[PICK_CHAIN_TEXT];
+	char text[PICK_CHAIN_TEXT_MAX];
 
-	pick_chain_text(pick, chain, text, sizeof(text));
+	pick_format_chain(pick, chain, text, sizeof(text));
 	log_event(LOG_PICK_CHAIN, "service=%s group=%s chain=%s why=%s",
 		  pick->services[net->service].name, net->group, text, why);
 }
 
 /*
- * Returns the bound of a service in tokens a second as solved last, with
- * what is ejected or leaving taken out; 0 if no chain covers all layers.
+ * Returns the bound of a service in tokens per second, from the last solve if
+ * that is current.  Ejected and leaving endpoints don't count.  Returns 0 if no
+ * chain covers all layers.
  */
 double pick_bound(const struct pick *pick, int service)
 {
@@ -61,7 +62,7 @@
 	return 0;
 }
 
-/* Returns the bound of a service with one endpoint lost. */
+/* Returns the bound of a service without one of its endpoints. */
 double pick_bound_without(struct pick *pick, int service, int endpoint)
 {
 	struct pick_net *net;
@@ -73,21 +74,23 @@
 }
 
 /*
- * Writes why a request would go where it goes, as JSON: each endpoint of its
- * network with its state and its part of the flow, and the chain that each
- * open one would lead to.  Changes nothing.  Returns 0, PICK_E_NO_CHAIN if
- * there is no such service, or PICK_E_MEMORY.
+ * Explains as JSON how a request would be routed: each endpoint of its network
+ * with its state and its part of the flow, and the best chain through it, if
+ * there is one.  Changes no state other than solving the network if that is
+ * due.  Returns 0, PICK_E_NO_CHAIN if the service doesn't exist, or
+ * PICK_E_MEMORY.
  */
-int pick_explain_request(struct pick *pick, const struct pick_request *want,
+int pick_explain_request(struct pick *pick, const struct pick_request *request,
 			 int64_t now, FILE *out)
 {
 	struct pick_net *net;
 	int err;
 	int m;
 
-	if (want->service < 0 || want->service >= pick->service_count)
+	if (request->service < 0 || request->service >= pick->service_count)
 		return PICK_E_NO_CHAIN;
-	net = pick_get_net(pick, want->service, want->group ? want->group : "");
+	net = pick_get_net(pick, request->service,
+			   request->group ? request->group : "");
 	if (!net)
 		return PICK_E_MEMORY;
 	err = pick_net_solve(pick, net, now);
@@ -98,53 +101,54 @@
 	fprintf(out, "\"bound_tokens_per_s\":%.1f,\"endpoints\":[",
 		net->max_flow);
 	for (m = 0; m < net->count; m++)
-		pick_explain_endpoint(pick, net, m, want, now, out);
+		pick_explain_endpoint(pick, net, m, request, now, out);
 	fprintf(out, "]}\n");
 	return PICK_OK;
 }
 
 /* Writes one endpoint of a network. */
 static void pick_explain_endpoint(struct pick *pick, struct pick_net *net,
-				  int m, const struct pick_request *want,
+				  int m, const struct pick_request *request,
 				  int64_t now, FILE *out)
 {
 	const struct pick_ep *ep = &pick->eps[net->members[m].ep];
-	char text[PICK_CHAIN_TEXT];
+	char text[PICK_CHAIN_TEXT_MAX];
 	struct pick_chain chain;
 	double flow = 0;
-	int k;
+	int boundary;
 
-	for (k = 0; k < net->flow->bounds; k++)
-		flow += net->flow->enter[k * net->count + m];
+	for (boundary = 0; boundary < net->flow->bounds; boundary++)
+		flow += net->flow->enter[boundary * net->count + m];
 	fprintf(out,
 		"%s\n{\"endpoint\":\"%s\",\"first_layer\":%u,"
 		"\"last_layer\":%u,\"state\":\"%s\",\"in_flight\":%u,"
 		"\"of_others\":%u,\"limit\":%.1f,\"tokens_per_s\":%.1f,"
 		"\"flow_tokens_per_s\":%.1f",
 		m ? "," : "", ep->cfg.name, ep->first_layer, ep->end_layer - 1,
-		pick_state(ep, want, net->members[m].ep, now), ep->in_flight,
-		ep->others_in_flight, ep->limit, pick_rate(ep), flow);
-	if (want->prefix_hash)
+		pick_state_name(ep, request, net->members[m].ep, now),
+		ep->in_flight, ep->others_in_flight, ep->limit, pick_rate(ep),
+		flow);
+	if (request->prefix_hash)
 		fprintf(out, ",\"holds_prefix\":%s",
-			pick_cache_holds(ep, want->prefix_hash) ? "true"
-								: "false");
-	if (pick_choose_through(pick, net, want, net->members[m].ep, now,
+			pick_cache_holds(ep, request->prefix_hash) ? "true"
+								   : "false");
+	if (pick_choose_through(pick, net, request, net->members[m].ep, now,
 				&chain) == PICK_OK) {
-		pick_chain_text(pick, &chain, text, sizeof(text));
+		pick_format_chain(pick, &chain, text, sizeof(text));
 		fprintf(out, ",\"chain\":\"%s\"", text);
 	}
 	fprintf(out, "}");
 }
 
-/* Returns the word for what an endpoint is to a request now. */
-static const char *pick_state(const struct pick_ep *ep,
-			      const struct pick_request *want, int e,
-			      int64_t now)
+/* Returns the name of an endpoint's state as seen by a request. */
+static const char *pick_state_name(const struct pick_ep *ep,
+				   const struct pick_request *request, int e,
+				   int64_t now)
 {
 	int i;
 
-	for (i = 0; i < want->avoid_count; i++) {
-		if (want->avoid[i] == e)
+	for (i = 0; i < request->avoid_count; i++) {
+		if (request->avoid[i] == e)
 			return "failed-this-request";
 	}
 	if (ep->cfg.state != CFG_ACTIVE)
@@ -161,8 +165,9 @@
 }
 
 /*
- * Writes the bound of a service as JSON: what binds it, and the bound with
- * each single endpoint lost.  Returns 0, PICK_E_NO_CHAIN or PICK_E_MEMORY.
+ * Writes the bound of a service as JSON: the endpoints and links that limit it,
+ * and the bound without each single endpoint.  Returns 0, PICK_E_NO_CHAIN if
+ * the service doesn't exist, or PICK_E_MEMORY.
  */
 int pick_write_bound(struct pick *pick, int service, int64_t now, FILE *out)
 {
--- a/src/pick_walk.c
+++ b/src/pick_walk.c
@@ -2,22 +2,22 @@
 
 #include "pick_int.h"
 
-/* Options tried for one chain before it counts as busy. */
+/* Options tried for one chain before the search is given up. */
 #define PICK_WALK_TRIES 64
-/* An endpoint less loaded by this part of its limit goes first. */
+/* The second candidate is preferred if its relative load is lower by this. */
 #define PICK_LOAD_MARGIN 0.1
 
-/* Load (as a part of the limit) that a token of a held prefix outweighs. */
-#define PICK_PREFIX_WORTH      0.0005
-#define PICK_PREFIX_WORTH_MOST 0.5
-/* Streams get slower while they run; this much is kept in hand. */
-#define PICK_PACE_MARGIN 1.2
+/* Relative load that is outweighed by each prompt token of a cached prefix. */
+#define PICK_PREFIX_LOAD_PER_TOKEN 0.0005
+#define PICK_PREFIX_LOAD_MAX	   0.5
+/* Streams get slower while they run, so they must be faster by this factor. */
+#define PICK_SLOWDOWN_MARGIN 1.2
 
-/* A chain in the making. */
+/* The state of the search for one chain. */
 struct pick_walk {
 	struct pick *pick;
 	struct pick_net *net;
-	const struct pick_request *want;
+	const struct pick_request *request;
 	int64_t now;
 	int tries;
 	bool busy; /* some usable endpoint was at its limit */
@@ -28,37 +28,42 @@
 	int to[MAG_CHAIN_MAX];
 };
 
-static bool pick_walk_from(struct pick_walk *walk, int k, int centre);
-static bool pick_walk_into(struct pick_walk *walk, int k, int option);
-static bool pick_walk_out(struct pick_walk *walk, int exit);
-static int pick_best_exit(const struct pick_member *member, int k);
-static void pick_two(struct pick_walk *walk, const struct pick_node *node,
-		     int two[2]);
-static void pick_prefer_holder(struct pick_walk *walk,
-			       const struct pick_node *node, int two[2]);
-static void pick_two_of(struct pick_walk *walk, const struct pick_node *node,
-			int two[2], int64_t pace_us);
-static bool pick_keeps_pace(const struct pick_walk *walk, int e,
-			    int64_t pace_us);
-static bool pick_takes(struct pick_walk *walk, int e);
-static bool pick_in_walk(const struct pick_walk *walk, int e);
+static bool pick_walk_from(struct pick_walk *walk, int boundary,
+			   int data_centre);
+static bool pick_walk_through(struct pick_walk *walk, int boundary, int option);
+static bool pick_walk_exit_at(struct pick_walk *walk, int exit);
+static int pick_best_exit(const struct pick_member *member, int boundary);
+static void pick_find_candidates(struct pick_walk *walk,
+				 const struct pick_node *node,
+				 int candidates[2]);
+static void pick_prefer_prefix_holder(struct pick_walk *walk,
+				      const struct pick_node *node,
+				      int candidates[2]);
+static void pick_rank_candidates(struct pick_walk *walk,
+				 const struct pick_node *node,
+				 int candidates[2], int64_t max_token_us);
+static bool pick_is_fast_enough(const struct pick_walk *walk, int e,
+				int64_t max_token_us);
+static bool pick_may_add(struct pick_walk *walk, int e);
+static bool pick_walk_has(const struct pick_walk *walk, int e);
 static double pick_rank(struct pick *pick, const struct pick_option *option);
-static void pick_charge(struct pick_walk *walk);
-static void pick_charge_exits(struct pick_member *member, int from, int to);
+static void pick_update_credits(struct pick_walk *walk);
+static void pick_update_exit_credits(struct pick_member *member, int from,
+				     int to);
 
 /*
- * Chooses a chain along the flow, boundary by boundary: smooth weighted
- * round robin ranks the endpoints, and of the first two the less loaded one
- * goes first.  Returns 0, PICK_E_BUSY or PICK_E_NO_CHAIN.
+ * Chooses a chain along the flow, boundary by boundary.  Smooth weighted round
+ * robin ranks the endpoints; of the first two, the less loaded one is tried
+ * first.  Returns 0, PICK_E_BUSY or PICK_E_NO_CHAIN.
  */
 int pick_walk(struct pick *pick, struct pick_net *net,
-	      const struct pick_request *want, int64_t now,
+	      const struct pick_request *request, int64_t now,
 	      struct pick_chain *chain)
 {
 	struct pick_walk walk = {
 		.pick = pick,
 		.net = net,
-		.want = want,
+		.request = request,
 		.now = now,
 		.tries = PICK_WALK_TRIES,
 	};
@@ -66,7 +71,7 @@
 
 	if (!pick_walk_from(&walk, 0, 0))
 		return walk.busy ? PICK_E_BUSY : PICK_E_NO_CHAIN;
-	pick_charge(&walk);
+	pick_update_credits(&walk);
 	chain->count = walk.count;
 	for (i = 0; i < walk.count; i++) {
 		struct pick_stage *stage = &chain->stages[i];
@@ -78,55 +83,62 @@
 	return PICK_OK;
 }
 
-/* Completes the chain from a boundary on; false if it can't. */
-static bool pick_walk_from(struct pick_walk *walk, int k, int centre)
+/*
+ * Completes the chain from a boundary on; returns false if this is impossible.
+ */
+static bool pick_walk_from(struct pick_walk *walk, int boundary,
+			   int data_centre)
 {
 	struct pick_net *net = walk->net;
-	int two[2] = { -1, -1 };
+	int candidates[2] = { -1, -1 };
 	int i;
 
-	if (k + 1 == net->flow->bounds)
+	if (boundary + 1 == net->flow->bounds)
 		return true;
 	if (walk->count == MAG_CHAIN_MAX)
 		return false;
 	walk->node[walk->count] =
-		&net->nodes[k * walk->pick->data_centre_count + centre];
-	pick_two(walk, walk->node[walk->count], two);
-	for (i = 0; i < 2 && two[i] >= 0; i++) {
+		&net->nodes[boundary * walk->pick->data_centre_count +
+			    data_centre];
+	pick_find_candidates(walk, walk->node[walk->count], candidates);
+	for (i = 0; i < 2 && candidates[i] >= 0; i++) {
 		if (walk->tries-- <= 0)
 			return false;
-		if (pick_walk_into(walk, k, two[i]))
+		if (pick_walk_through(walk, boundary, candidates[i]))
 			return true;
 	}
 	return false;
 }
 
-/* Goes on through one endpoint, out at the exit whose turn it is. */
-static bool pick_walk_into(struct pick_walk *walk, int k, int option)
+/*
+ * Continues the chain through one endpoint.  The exit that is next in the round
+ * robin is tried first, then the others.
+ */
+static bool pick_walk_through(struct pick_walk *walk, int boundary, int option)
 {
 	int e = walk->node[walk->count]->options[option].ep;
 	struct pick_member *member =
 		&walk->net->members[walk->net->member_index[e]];
-	int best = pick_best_exit(member, k);
+	int best = pick_best_exit(member, boundary);
 	int i;
 
 	walk->option[walk->count] = option;
-	walk->from[walk->count] = k;
+	walk->from[walk->count] = boundary;
 	if (best < 0)
 		return false;
-	if (pick_walk_out(walk, member->exits[best].boundary))
+	if (pick_walk_exit_at(walk, member->exits[best].boundary))
 		return true;
 	for (i = 0; i < member->exit_count; i++) {
-		if (i == best || member->exits[i].boundary <= k)
+		if (i == best || member->exits[i].boundary <= boundary)
 			continue;
-		if (pick_walk_out(walk, member->exits[i].boundary))
+		if (pick_walk_exit_at(walk, member->exits[i].boundary))
 			return true;
 	}
 	return false;
 }
 
-/* Leaves the present endpoint at a boundary and goes on from there. */
-static bool pick_walk_out(struct pick_walk *walk, int exit)
+/* Ends the current stage at a boundary and continues from there. */
+static bool pick_walk_exit_at(struct pick_walk *walk, int exit)
 {
 	int stage = walk->count;
 	int e = walk->node[stage]->options[walk->option[stage]].ep;
@@ -139,8 +151,8 @@
 	return false;
 }
 
-/* Returns the exit whose turn it is among those after a boundary, or -1. */
-static int pick_best_exit(const struct pick_member *member, int k)
+/* Returns the exit after a boundary that is next in the round robin, or -1. */
+static int pick_best_exit(const struct pick_member *member, int boundary)
 {
 	int best = -1;
 	int i;
@@ -148,7 +160,7 @@
 	for (i = 0; i < member->exit_count; i++) {
 		const struct pick_exit *exit = &member->exits[i];
 
-		if (exit->boundary <= k)
+		if (exit->boundary <= boundary)
 			continue;
 		if (best < 0 || exit->credit + exit->weight >
 					member->exits[best].credit +
@@ -159,54 +171,64 @@
 }
 
 /*
- * Finds the first two options with room, the better one first.  Those that
- * are too slow for the request's deadline count only if no other is left.
+ * Finds the two best options below their limit, the better one first.  Options
+ * that are too slow for the request's deadline are used only if there is no
+ * other.
  */
-static void pick_two(struct pick_walk *walk, const struct pick_node *node,
-		     int two[2])
+static void pick_find_candidates(struct pick_walk *walk,
+				 const struct pick_node *node,
+				 int candidates[2])
 {
-	pick_two_of(walk, node, two, walk->want->max_token_us);
-	if (two[0] < 0)
-		pick_two_of(walk, node, two, 0);
-	if (two[0] >= 0 && walk->want->prefix_hash)
-		pick_prefer_holder(walk, node, two);
+	pick_rank_candidates(walk, node, candidates,
+			     walk->request->max_token_us);
+	if (candidates[0] < 0)
+		pick_rank_candidates(walk, node, candidates, 0);
+	if (candidates[0] >= 0 && walk->request->prefix_hash)
+		pick_prefer_prefix_holder(walk, node, candidates);
 }
 
 /*
- * Puts an endpoint that likely holds the prompt's prefix first, if its work
- * in flight is not so much larger that the wait would cost more than making
- * the prefix again.  A hint that is stale costs just that time.
+ * Prefers an endpoint that probably caches the prompt's prefix, unless its
+ * relative load is so much higher that waiting would cost more than computing
+ * the prefix again.  If the hint is stale, the only cost is that wait.
  */
-static void pick_prefer_holder(struct pick_walk *walk,
-			       const struct pick_node *node, int two[2])
+static void pick_prefer_prefix_holder(struct pick_walk *walk,
+				      const struct pick_node *node,
+				      int candidates[2])
 {
 	const struct pick_ep *eps = walk->pick->eps;
-	double saved = walk->want->prompt_tokens * PICK_PREFIX_WORTH;
-	double most;
+	double saved_load =
+		walk->request->prompt_tokens * PICK_PREFIX_LOAD_PER_TOKEN;
+	double max_load;
 	int best = -1;
 	int i;
 
-	if (saved > PICK_PREFIX_WORTH_MOST)
-		saved = PICK_PREFIX_WORTH_MOST;
-	most = pick_relative_load(&eps[node->options[two[0]].ep]) + saved;
+	if (saved_load > PICK_PREFIX_LOAD_MAX)
+		saved_load = PICK_PREFIX_LOAD_MAX;
+	max_load = pick_relative_load(&eps[node->options[candidates[0]].ep]) +
+		   saved_load;
 	for (i = 0; i < node->count; i++) {
 		int e = node->options[i].ep;
 
-		if (!pick_cache_holds(&eps[e], walk->want->prefix_hash) ||
-		    !pick_takes(walk, e) || pick_relative_load(&eps[e]) > most)
+		if (!pick_cache_holds(&eps[e], walk->request->prefix_hash) ||
+		    !pick_may_add(walk, e) ||
+		    pick_relative_load(&eps[e]) > max_load)
 			continue;
-		most = pick_relative_load(&eps[e]);
+		max_load = pick_relative_load(&eps[e]);
 		best = i;
 	}
-	if (best < 0 || best == two[0])
+	if (best < 0 || best == candidates[0])
 		return;
-	two[1] = two[0];
-	two[0] = best;
+	candidates[1] = candidates[0];
+	candidates[0] = best;
 }
 
-/* Finds two options whose chains take at most so long for a token. */
-static void pick_two_of(struct pick_walk *walk, const struct pick_node *node,
-			int two[2], int64_t pace_us)
+/*
+ * Finds the two best options whose chains take at most max_token_us per token.
+ */
+static void pick_rank_candidates(struct pick_walk *walk,
+				 const struct pick_node *node,
+				 int candidates[2], int64_t max_token_us)
 {
 	double rank[2] = { 0, 0 };
 	int i;
@@ -214,57 +236,61 @@
 	for (i = 0; i < node->count; i++) {
 		double r;
 
-		if (!pick_takes(walk, node->options[i].ep) ||
-		    !pick_keeps_pace(walk, node->options[i].ep, pace_us))
+		if (!pick_may_add(walk, node->options[i].ep) ||
+		    !pick_is_fast_enough(walk, node->options[i].ep,
+					 max_token_us))
 			continue;
 		r = pick_rank(walk->pick, &node->options[i]);
-		if (two[0] < 0 || r > rank[0]) {
-			two[1] = two[0];
+		if (candidates[0] < 0 || r > rank[0]) {
+			candidates[1] = candidates[0];
 			rank[1] = rank[0];
-			two[0] = i;
+			candidates[0] = i;
 			rank[0] = r;
-		} else if (two[1] < 0 || r > rank[1]) {
-			two[1] = i;
+		} else if (candidates[1] < 0 || r > rank[1]) {
+			candidates[1] = i;
 			rank[1] = r;
 		}
 	}
-	if (two[1] >= 0 && walk->pick->policy == PICK_FLOW) {
+	if (candidates[1] >= 0 && walk->pick->policy == PICK_FLOW) {
 		const struct pick_ep *eps = walk->pick->eps;
-		const struct pick_ep *a = &eps[node->options[two[0]].ep];
-		const struct pick_ep *b = &eps[node->options[two[1]].ep];
+		const struct pick_ep *a = &eps[node->options[candidates[0]].ep];
+		const struct pick_ep *b = &eps[node->options[candidates[1]].ep];
 
 		if (pick_relative_load(b) + PICK_LOAD_MARGIN <
 		    pick_relative_load(a)) {
-			int first = two[0];
+			int first = candidates[0];
 
-			two[0] = two[1];
-			two[1] = first;
+			candidates[0] = candidates[1];
+			candidates[1] = first;
 		}
 	}
 }
 
-/* Tells whether streams through an endpoint are fast enough; 0: always. */
-static bool pick_keeps_pace(const struct pick_walk *walk, int e,
-			    int64_t pace_us)
+/*
+ * Tells whether streams through an endpoint are fast enough for max_token_us; 0
+ * means no limit.
+ */
+static bool pick_is_fast_enough(const struct pick_walk *walk, int e,
+				int64_t max_token_us)
 {
-	return pace_us <= 0 || walk->pick->policy != PICK_FLOW ||
-	       walk->pick->eps[e].mean_chain_us * PICK_PACE_MARGIN <=
-		       (double)pace_us;
+	return max_token_us <= 0 || walk->pick->policy != PICK_FLOW ||
+	       walk->pick->eps[e].mean_chain_us * PICK_SLOWDOWN_MARGIN <=
+		       (double)max_token_us;
 }
 
-/* Tells whether an endpoint may join this chain now. */
-static bool pick_takes(struct pick_walk *walk, int e)
+/* Tells whether an endpoint may be added to this chain now. */
+static bool pick_may_add(struct pick_walk *walk, int e)
 {
 	const struct pick_ep *ep = &walk->pick->eps[e];
 	int i;
 
 	if (!pick_accepts_work(ep, walk->now))
 		return false;
-	for (i = 0; i < walk->want->avoid_count; i++) {
-		if (walk->want->avoid[i] == e)
+	for (i = 0; i < walk->request->avoid_count; i++) {
+		if (walk->request->avoid[i] == e)
 			return false;
 	}
-	if (pick_in_walk(walk, e))
+	if (pick_walk_has(walk, e))
 		return false;
 	if (pick_below_limit(ep, walk->now))
 		return true;
@@ -272,8 +298,8 @@
 	return false;
 }
 
-/* Tells whether an endpoint has a stage of this chain already. */
-static bool pick_in_walk(const struct pick_walk *walk, int e)
+/* Tells whether this chain already has a stage on an endpoint. */
+static bool pick_walk_has(const struct pick_walk *walk, int e)
 {
 	int i;
 
@@ -284,7 +310,10 @@
 	return false;
 }
 
-/* Ranks an option under the policy in use; the highest goes first. */
+/*
+ * Returns the rank of an option under the current policy; the highest is tried
+ * first.
+ */
 static double pick_rank(struct pick *pick, const struct pick_option *option)
 {
 	switch (pick->policy) {
@@ -299,11 +328,12 @@
 }
 
 /*
- * Settles the round robin of each boundary passed: every option with room
- * earns its weight, the chosen one pays the sum.  An option without room
- * earns nothing, or it would get a burst when it has room again.
+ * Updates the round robin of each boundary of the chain: every option below its
+ * limit gains its weight as credit, and the chosen one loses the sum of these
+ * weights.  An option at its limit gains nothing; otherwise it would get a
+ * burst of requests as soon as it is below its limit again.
  */
-static void pick_charge(struct pick_walk *walk)
+static void pick_update_credits(struct pick_walk *walk)
 {
 	int s;
 	int i;
@@ -324,14 +354,15 @@
 			sum += option->weight;
 		}
 		node->options[walk->option[s]].credit -= sum;
-		pick_charge_exits(
+		pick_update_exit_credits(
 			&walk->net->members[walk->net->member_index[chosen]],
 			walk->from[s], walk->to[s]);
 	}
 }
 
-/* Settles the round robin of an endpoint's exits after a boundary. */
-static void pick_charge_exits(struct pick_member *member, int from, int to)
+/* Updates the round robin of an endpoint's exits after a boundary. */
+static void pick_update_exit_credits(struct pick_member *member, int from,
+				     int to)
 {
 	double sum = 0;
 	int i;
@@ -348,7 +379,7 @@
 	}
 }
 
-/* Returns a random number in 0 .. 1, the next of the seeded sequence. */
+/* Returns a random number from 0 to 1, the next of the seeded sequence. */
 double pick_random(struct pick *pick)
 {
 	return mag_random_unit(&pick->random_state);
