--- a/src/pick_config.c
+++ b/src/pick_config.c
@@ -5,58 +5,62 @@
 
 #define PICK_MIN_CONCURRENCY 1
 
-static bool pick_same_frame(const struct pick *pick, const struct cfg_set *set);
-static void pick_drop_changed(struct pick *pick, const struct pick_ep *old);
-static int pick_take_services(struct pick *pick, const struct cfg_set *set);
-static int pick_take_endpoints(struct pick *pick, const struct cfg_set *set);
-static void pick_take_endpoint(struct pick *pick, struct pick_ep *ep,
+static bool pick_same_topology(const struct pick *pick,
+			       const struct cfg_set *set);
+static void pick_free_changed_nets(struct pick *pick,
+				   const struct pick_ep *old);
+static int pick_set_services(struct pick *pick, const struct cfg_set *set);
+static int pick_set_endpoints(struct pick *pick, const struct cfg_set *set);
+static void pick_init_endpoint(struct pick *pick, struct pick_ep *ep,
 			       const struct cfg_endpoint *cfg);
-static int pick_take_centre(struct pick *pick, const char *name);
+static int pick_data_centre_index(struct pick *pick, const char *name);
 static int pick_carry_over(struct pick *pick, struct pick_ep *old,
-			   int old_count, bool same);
-static int pick_match(struct pick *pick, struct pick_ep *old, int old_count);
-static void pick_carry(struct pick_ep *ep, struct pick_ep *old);
-static int pick_by_name(const void *a, const void *b);
-static int pick_take_nets(struct pick *pick, const struct cfg_set *set);
-static int pick_want_net(struct pick *pick, int service, const char *group);
-static void pick_drop_unwanted(struct pick *pick);
-static int pick_join(struct pick *pick);
+			   int old_count, bool same_topology);
+static int pick_match_endpoints(struct pick *pick, struct pick_ep *old,
+				int old_count);
+static void pick_carry_over_endpoint(struct pick_ep *ep, struct pick_ep *old);
+static int pick_compare_names(const void *a, const void *b);
+static int pick_build_nets(struct pick *pick, const struct cfg_set *set);
+static int pick_use_net(struct pick *pick, int service, const char *group);
+static void pick_free_unused_nets(struct pick *pick);
+static int pick_connect_data_centres(struct pick *pick);
 
 /*
- * Takes a new set; what is known of an endpoint is kept by its name.  Chains
- * chosen under the former set are to be passed through pick_remap before
- * they are used again.  Returns 0 or PICK_E_MEMORY.
+ * Applies a new set; the state of an endpoint is carried over by its name.
+ * Chains that were chosen under the previous set must be passed to pick_remap
+ * before they are used again.  Returns 0 or PICK_E_MEMORY.
  */
 int pick_config(struct pick *pick, const struct cfg_set *set, int64_t now)
 {
 	struct pick_ep *old = pick->eps;
 	int old_count = pick->ep_count;
-	bool same = pick_same_frame(pick, set);
+	bool same_topology = pick_same_topology(pick, set);
 	int err;
 
-	if (!same)
-		pick_drop_nets(pick);
-	err = pick_take_services(pick, set);
+	if (!same_topology)
+		pick_free_nets(pick);
+	err = pick_set_services(pick, set);
 	if (!err)
-		err = pick_take_endpoints(pick, set);
+		err = pick_set_endpoints(pick, set);
 	if (!err)
-		err = pick_carry_over(pick, old, old_count, same);
-	if (!err && same)
-		pick_drop_changed(pick, old);
+		err = pick_carry_over(pick, old, old_count, same_topology);
+	if (!err && same_topology)
+		pick_free_changed_nets(pick, old);
 	free(old);
-	if (!err && !same)
-		err = pick_join(pick);
+	if (!err && !same_topology)
+		err = pick_connect_data_centres(pick);
 	if (!err)
-		err = pick_take_nets(pick, set);
+		err = pick_build_nets(pick, set);
 	if (err)
-		pick_drop_nets(pick);
-	pick->tick_us = now;
+		pick_free_nets(pick);
+	pick->next_tick_us = now;
 	return err;
 }
 
 /*
- * Translates the endpoints of a chain that was chosen under the former set
- * to this set's; a stage whose endpoint is gone gets -1.
+ * Translates the endpoint indexes of a chain that was chosen under the previous
+ * set to those of the current set.  A stage whose endpoint no longer exists
+ * gets the index -1.
  */
 void pick_remap(const struct pick *pick, struct pick_chain *chain)
 {
@@ -73,12 +77,14 @@
 }
 
 /*
- * Tells whether a set has the same services, and the same endpoints in the
- * same places and data centres, as the one in force.  Then only the networks
- * of services with a changed endpoint are made anew; to solve those of 10,000
- * endpoints for each change of one takes most of what a change costs.
+ * Tells whether a set has the same services as the current one, and the same
+ * endpoints with the same indexes and data centres.  In this case only the
+ * networks of services with a changed endpoint are rebuilt.  Solving all
+ * networks of 10,000 endpoints again is most of the cost of a change to one of
+ * them.
  */
-static bool pick_same_frame(const struct pick *pick, const struct cfg_set *set)
+static bool pick_same_topology(const struct pick *pick,
+			       const struct cfg_set *set)
 {
 	size_t i;
 
@@ -98,42 +104,42 @@
 	return true;
 }
 
-/* Drops the networks of services of which an endpoint changed. */
-static void pick_drop_changed(struct pick *pick, const struct pick_ep *old)
+/* Frees the networks of the services that have a changed endpoint. */
+static void pick_free_changed_nets(struct pick *pick, const struct pick_ep *old)
 {
 	int i;
 	int k;
 
 	for (k = 0; k < pick->net_count; k++)
-		pick->nets[k].wanted = true;
+		pick->nets[k].in_use = true;
 	for (i = 0; i < pick->ep_count; i++) {
 		const struct cfg_endpoint *cfg = &pick->eps[i].cfg;
-		const struct cfg_endpoint *was = &old[i].cfg;
+		const struct cfg_endpoint *former = &old[i].cfg;
 
-		if (cfg_same_endpoint(cfg, was))
+		if (cfg_same_endpoint(cfg, former))
 			continue;
 		for (k = 0; k < pick->net_count; k++) {
 			if (pick->nets[k].service == cfg->service ||
-			    pick->nets[k].service == was->service)
-				pick->nets[k].wanted = false;
+			    pick->nets[k].service == former->service)
+				pick->nets[k].in_use = false;
 		}
 	}
-	pick_drop_unwanted(pick);
+	pick_free_unused_nets(pick);
 }
 
-/* Copies the services that the graphs are made for. */
-static int pick_take_services(struct pick *pick, const struct cfg_set *set)
+/* Stores the services that the networks are built for. */
+static int pick_set_services(struct pick *pick, const struct cfg_set *set)
 {
 	size_t count = set->service_count;
 
 	free(pick->services);
-	free(pick->load);
+	free(pick->service_load);
 	free(pick->load_tokens);
 	pick->service_count = (int)count;
 	pick->services = calloc(count + 1, sizeof(*pick->services));
-	pick->load = calloc(count + 1, sizeof(*pick->load));
+	pick->service_load = calloc(count + 1, sizeof(*pick->service_load));
 	pick->load_tokens = calloc(count + 1, sizeof(*pick->load_tokens));
-	if (!pick->services || !pick->load || !pick->load_tokens)
+	if (!pick->services || !pick->service_load || !pick->load_tokens)
 		return PICK_E_MEMORY;
 	if (count > 0)
 		memcpy(pick->services, set->services,
@@ -141,65 +147,66 @@
 	return PICK_OK;
 }
 
-/* Makes the table of endpoints anew. */
-static int pick_take_endpoints(struct pick *pick, const struct cfg_set *set)
+/* Builds the table of endpoints from a set. */
+static int pick_set_endpoints(struct pick *pick, const struct cfg_set *set)
 {
 	size_t count = set->endpoint_count;
 	size_t i;
 
-	free(pick->centres);
-	pick->centre_count = 0;
+	free(pick->data_centres);
+	pick->data_centre_count = 0;
 	pick->ep_count = (int)count;
 	pick->eps = calloc(count + 1, sizeof(*pick->eps));
-	pick->centres = calloc(count + 1, sizeof(*pick->centres));
-	if (!pick->eps || !pick->centres)
+	pick->data_centres = calloc(count + 1, sizeof(*pick->data_centres));
+	if (!pick->eps || !pick->data_centres)
 		return PICK_E_MEMORY;
 	for (i = 0; i < count; i++)
-		pick_take_endpoint(pick, &pick->eps[i], &set->endpoints[i]);
+		pick_init_endpoint(pick, &pick->eps[i], &set->endpoints[i]);
 	return PICK_OK;
 }
 
-/* Sets one endpoint to what its object says. */
-static void pick_take_endpoint(struct pick *pick, struct pick_ep *ep,
+/* Initialises one endpoint from its configuration. */
+static void pick_init_endpoint(struct pick *pick, struct pick_ep *ep,
 			       const struct cfg_endpoint *cfg)
 {
 	const struct cfg_service *service = &pick->services[cfg->service];
-	uint32_t layers = pick_layers(pick, cfg->service);
+	uint32_t layers = pick_layer_count(pick, cfg->service);
 
 	ep->cfg = *cfg;
 	if (ep->cfg.concurrency < PICK_MIN_CONCURRENCY)
 		ep->cfg.concurrency = PICK_MIN_CONCURRENCY;
-	ep->centre = pick_take_centre(pick, cfg->data_centre);
-	ep->first = service->kind == CFG_MODEL ? cfg->first_layer : 0;
-	ep->end = service->kind == CFG_MODEL ? cfg->last_layer + 1 : 1;
-	if (ep->end > layers || ep->first >= ep->end) {
+	ep->data_centre = pick_data_centre_index(pick, cfg->data_centre);
+	ep->first_layer = service->kind == CFG_MODEL ? cfg->first_layer : 0;
+	ep->end_layer = service->kind == CFG_MODEL ? cfg->last_layer + 1 : 1;
+	if (ep->end_layer > layers || ep->first_layer >= ep->end_layer) {
 		/* A range outside the model: the endpoint gets no work. */
-		ep->first = 0;
-		ep->end = layers;
+		ep->first_layer = 0;
+		ep->end_layer = layers;
 		ep->cfg.state = CFG_DRAIN;
 	}
 	ep->limit = ep->cfg.concurrency;
-	ep->scale = 1;
-	ep->solved_scale = 1;
+	ep->rate_scale = 1;
+	ep->solved_rate_scale = 1;
 	ep->health = PICK_HEALTHY;
 }
 
-/* Returns the number of a data centre, a new one on first sight. */
-static int pick_take_centre(struct pick *pick, const char *name)
+/* Returns the index of a data centre, which is added if it is new. */
+static int pick_data_centre_index(struct pick *pick, const char *name)
 {
 	int i;
 
-	for (i = 0; i < pick->centre_count; i++) {
-		if (strcmp(pick->centres[i], name) == 0)
+	for (i = 0; i < pick->data_centre_count; i++) {
+		if (strcmp(pick->data_centres[i], name) == 0)
 			return i;
 	}
-	mag_copy_name(pick->centres[i], sizeof(pick->centres[i]), name);
-	return pick->centre_count++;
+	mag_copy_name(pick->data_centres[i], sizeof(pick->data_centres[i]),
+		      name);
+	return pick->data_centre_count++;
 }
 
-/* Carries over what is known of endpoints that both sets name. */
+/* Carries over the state of the endpoints that exist in both sets. */
 static int pick_carry_over(struct pick *pick, struct pick_ep *old,
-			   int old_count, bool same)
+			   int old_count, bool same_topology)
 {
 	int i;
 
@@ -210,25 +217,30 @@
 	pick->remap_count = old_count;
 	for (i = 0; i < old_count; i++)
 		pick->remap[i] = i;
-	if (!same && pick_match(pick, old, old_count) < 0)
+	if (!same_topology && pick_match_endpoints(pick, old, old_count) < 0)
 		return PICK_E_MEMORY;
 	for (i = 0; i < old_count; i++) {
 		if (pick->remap[i] < 0)
 			free(old[i].cache);
 		else
-			pick_carry(&pick->eps[pick->remap[i]], &old[i]);
+			pick_carry_over_endpoint(&pick->eps[pick->remap[i]],
+						 &old[i]);
 	}
 	pick->in_flight = 0;
-	pick->closed = 0;
+	pick->unhealthy_count = 0;
 	for (i = 0; i < pick->ep_count; i++) {
 		pick->in_flight += pick->eps[i].in_flight;
-		pick->closed += pick->eps[i].health != PICK_HEALTHY;
+		pick->unhealthy_count += pick->eps[i].health != PICK_HEALTHY;
 	}
 	return PICK_OK;
 }
 
-/* Finds where each endpoint of the former set stands now, -1 for nowhere. */
-static int pick_match(struct pick *pick, struct pick_ep *old, int old_count)
+/*
+ * Fills the table that maps each endpoint of the previous set to its index in
+ * the current one, or to -1 if it no longer exists.
+ */
+static int pick_match_endpoints(struct pick *pick, struct pick_ep *old,
+				int old_count)
 {
 	struct pick_ep **sorted =
 		calloc((size_t)pick->ep_count + 1, sizeof(struct pick_ep *));
@@ -239,12 +251,12 @@
 	for (i = 0; i < pick->ep_count; i++)
 		sorted[i] = &pick->eps[i];
 	qsort(sorted, (size_t)pick->ep_count, sizeof(struct pick_ep *),
-	      pick_by_name);
+	      pick_compare_names);
 	for (i = 0; i < old_count; i++) {
 		struct pick_ep *key = &old[i];
 		struct pick_ep **found =
 			bsearch(&key, sorted, (size_t)pick->ep_count,
-				sizeof(struct pick_ep *), pick_by_name);
+				sizeof(struct pick_ep *), pick_compare_names);
 
 		pick->remap[i] = found ? (int)(*found - pick->eps) : -1;
 	}
@@ -252,32 +264,36 @@
 	return PICK_OK;
 }
 
-/* Carries over one endpoint; a changed range starts its estimates anew. */
-static void pick_carry(struct pick_ep *ep, struct pick_ep *old)
+/*
+ * Carries over the state of one endpoint.  Its rate estimates are reset if its
+ * layer range or its configured rate has changed.
+ */
+static void pick_carry_over_endpoint(struct pick_ep *ep, struct pick_ep *old)
 {
-	struct pick_ep fresh = *ep;
+	struct pick_ep updated = *ep;
 
 	*ep = *old;
-	ep->cfg = fresh.cfg;
-	ep->centre = fresh.centre;
-	ep->first = fresh.first;
-	ep->end = fresh.end;
-	if (ep->limit > fresh.limit ||
-	    old->cfg.concurrency != fresh.cfg.concurrency)
-		ep->limit = fresh.limit;
-	if (old->first == fresh.first && old->end == fresh.end &&
-	    old->cfg.tokens_per_s == fresh.cfg.tokens_per_s)
+	ep->cfg = updated.cfg;
+	ep->data_centre = updated.data_centre;
+	ep->first_layer = updated.first_layer;
+	ep->end_layer = updated.end_layer;
+	if (ep->limit > updated.limit ||
+	    old->cfg.concurrency != updated.cfg.concurrency)
+		ep->limit = updated.limit;
+	if (old->first_layer == updated.first_layer &&
+	    old->end_layer == updated.end_layer &&
+	    old->cfg.tokens_per_s == updated.cfg.tokens_per_s)
 		return;
-	ep->reported = false;
-	ep->scale = 1;
-	ep->solved_scale = 1;
-	ep->hop_us = 0;
-	ep->base_us = 0;
-	ep->chain_us = 0;
+	ep->has_report = false;
+	ep->rate_scale = 1;
+	ep->solved_rate_scale = 1;
+	ep->mean_hop_us = 0;
+	ep->min_hop_us = 0;
+	ep->mean_chain_us = 0;
 }
 
-/* Orders pointers to endpoints by name. */
-static int pick_by_name(const void *a, const void *b)
+/* Compares pointers to endpoints by the names of the endpoints. */
+static int pick_compare_names(const void *a, const void *b)
 {
 	const struct pick_ep *const *x = a;
 	const struct pick_ep *const *y = b;
@@ -286,10 +302,10 @@
 }
 
 /*
- * Makes the networks that the routes ask for, before a request waits, and
- * drops those of groups that no route names any more.
+ * Builds the networks that the services and routes use, so that no request has
+ * to wait for it, and frees those of groups that no route uses any more.
  */
-static int pick_take_nets(struct pick *pick, const struct cfg_set *set)
+static int pick_build_nets(struct pick *pick, const struct cfg_set *set)
 {
 	int err = PICK_OK;
 	size_t i;
@@ -297,66 +313,66 @@
 	int k;
 
 	for (k = 0; k < pick->net_count; k++)
-		pick->nets[k].wanted = false;
+		pick->nets[k].in_use = false;
 	for (i = 0; i < set->service_count && !err; i++)
-		err = pick_want_net(pick, (int)i, "");
+		err = pick_use_net(pick, (int)i, "");
 	for (i = 0; i < set->route_count && !err; i++) {
 		const struct cfg_route *route = &set->routes[i];
 
-		err = pick_want_net(pick, route->service, route->group);
+		err = pick_use_net(pick, route->service, route->group);
 		for (j = 0; j < route->split_count && !err; j++)
-			err = pick_want_net(pick, route->service,
-					    route->splits[j].group);
+			err = pick_use_net(pick, route->service,
+					   route->splits[j].group);
 	}
-	pick_drop_unwanted(pick);
+	pick_free_unused_nets(pick);
 	return err;
 }
 
-static int pick_want_net(struct pick *pick, int service, const char *group)
+static int pick_use_net(struct pick *pick, int service, const char *group)
 {
-	struct pick_net *net = pick_net_of(pick, service, group);
+	struct pick_net *net = pick_get_net(pick, service, group);
 
 	if (!net)
 		return PICK_E_MEMORY;
-	net->wanted = true;
+	net->in_use = true;
 	return PICK_OK;
 }
 
-/* Drops networks that aren't wanted; the others keep their order. */
-static void pick_drop_unwanted(struct pick *pick)
+/* Frees the networks that are not in use; the others keep their order. */
+static void pick_free_unused_nets(struct pick *pick)
 {
 	int kept = 0;
 	int i;
 
 	for (i = 0; i < pick->net_count; i++) {
-		if (pick->nets[i].wanted)
+		if (pick->nets[i].in_use)
 			pick->nets[kept++] = pick->nets[i];
 		else
-			pick_net_drop(&pick->nets[i]);
+			pick_net_free(&pick->nets[i]);
 	}
 	pick->net_count = kept;
 }
 
-/* Starts with every data centre joined to every other. */
-static int pick_join(struct pick *pick)
+/* Marks every data centre as reachable from every other. */
+static int pick_connect_data_centres(struct pick *pick)
 {
-	size_t size = (size_t)pick->centre_count * pick->centre_count;
+	size_t size = (size_t)pick->data_centre_count * pick->data_centre_count;
 
-	free(pick->joined);
-	pick->joined = malloc(size + 1);
-	if (!pick->joined)
+	free(pick->reachable);
+	pick->reachable = malloc(size + 1);
+	if (!pick->reachable)
 		return PICK_E_MEMORY;
-	memset(pick->joined, true, size);
+	memset(pick->reachable, true, size);
 	return PICK_OK;
 }
 
 /* Frees all networks. */
-void pick_drop_nets(struct pick *pick)
+void pick_free_nets(struct pick *pick)
 {
 	int i;
 
 	for (i = 0; i < pick->net_count; i++)
-		pick_net_drop(&pick->nets[i]);
+		pick_net_free(&pick->nets[i]);
 	free(pick->nets);
 	pick->nets = NULL;
 	pick->net_count = 0;
--- a/src/req_end.c
+++ b/src/req_end.c
@@ -43,7 +43,7 @@
 	if (ended->end == CORE_END_COMPLETE)
 		attempt_completed(core, req, ended);
 	else
-		attempt_failed(core, req, ended, PICK_ENDED_SLOW);
+		attempt_failed(core, req, ended, PICK_ENDED_STALLED);
 }
 
 /*
@@ -81,7 +81,7 @@
 		.answer_len = ended->answer_len,
 	};
 
-	req_end_attempt(core, req, PICK_ENDED_WELL, -1, 0);
+	req_end_attempt(core, req, PICK_ENDED_COMPLETE, -1, 0);
 	quar_ended_well(core->quar, req->arrival.fingerprint, core->now);
 	if (req->reserved)
 		ldg_settle(core->ldg, req->arrival.req, &outcome, core->now);
@@ -132,7 +132,7 @@
 	int endpoint;
 
 	req->may_have_run = true;
-	if (kind == PICK_ENDED_SLOW)
+	if (kind == PICK_ENDED_STALLED)
 		stage = find_stalled_stage(core, req, ended->silent_stages);
 	endpoint = endpoint_at_stage(req, stage);
 	log_attempt(core, req, ended, endpoint);
@@ -181,12 +181,12 @@
  */
 static int guess_stalled_stage(const struct core *core, struct core_req *req)
 {
-	int stage = pick_silent(core->pick, &req->chain, core->now);
+	int stage = pick_find_silent_stage(core->pick, &req->chain, core->now);
 	int i;
 	int j;
 
 	if (stage < 0)
-		stage = pick_degraded(core->pick, &req->chain);
+		stage = pick_find_degraded_stage(core->pick, &req->chain);
 	for (i = 0; i < req->chain.count; i++) {
 		for (j = 0; j < req->stalled_count; j++) {
 			if (req->stalled[j] >= 0 &&
