--- a/regress/check_hint.c
+++ b/regress/check_hint.c
@@ -30,7 +30,8 @@
 	memset(given, 0, sizeof(given));
 	count = n;
 	for (i = 0; i < count; i++) {
-		snprintf(workers[i].is.id, sizeof(workers[i].is.id), "w-%d", i);
+		snprintf(workers[i].entry.id, sizeof(workers[i].entry.id),
+			 "w-%d", i);
 		cds_list_add_tail(&workers[i].node, &table.workers);
 	}
 }
@@ -42,7 +43,7 @@
 
 	for (i = 0; i < count; i++) {
 		workers[i].held = i >= from && i < to ? held : 0;
-		workers[i].firsts = i >= from && i < to ? firsts : 0;
+		workers[i].first_hops = i >= from && i < to ? firsts : 0;
 	}
 	hint_load_collect(&table, 0, &given[peer]);
 }
@@ -115,10 +116,10 @@
 	for (i = 0; i < count; i++) {
 		wk = &workers[i];
 		if (i > 0 && wk->peer_held == wk[-1].peer_held &&
-		    wk->peer_firsts == wk[-1].peer_firsts)
+		    wk->peer_first_hops == wk[-1].peer_first_hops)
 			continue;
 		fprintf(out, "from worker %d: held %.0f firsts %d\n", i,
-			wk->peer_held, wk->peer_firsts);
+			wk->peer_held, wk->peer_first_hops);
 	}
 	hint_load_free(&index);
 }
--- a/regress/check_thr.c
+++ b/regress/check_thr.c
@@ -59,9 +59,9 @@
 		CDS_INIT_LIST_HEAD(&routers[i].table.workers);
 		cds_list_add_tail(&routers[i].wk.node,
 				  &routers[i].table.workers);
-		snprintf(routers[i].wk.is.id, sizeof(routers[i].wk.is.id),
+		snprintf(routers[i].wk.entry.id, sizeof(routers[i].wk.entry.id),
 			 "w-1");
-		strcpy(routers[i].wk.is.data_centre, "a");
+		strcpy(routers[i].wk.entry.data_centre, "a");
 		routers[i].self.id = (uint32_t)(i * 7919 + 1);
 		routers[i].self.centre = hint_load_hash("a");
 		routers[i].hint_us = now + HINT_US * i / count;
@@ -124,8 +124,8 @@
 					     : WIRE_LIMIT_NAMED,
 				   limit };
 
-	if (wk_take_limit(&routers[r].wk, &said, WK_ANSWER_SOUND, sent_us,
-			  now) != THR_SAME)
+	if (wk_apply_limit(&routers[r].wk, &said, WK_ANSWER_SUCCESS, sent_us,
+			   now) != THR_SAME)
 		share(r);
 }
 
@@ -142,7 +142,7 @@
 	for (r = 0; r < count; r++) {
 		if (now >= routers[r].hint_us)
 			hint(r);
-		wk_limit_tick(&routers[r].wk, now);
+		wk_expire_limit(&routers[r].wk, now);
 		wanted = routers[r].rate * STEP_US / MAG_US_PER_S;
 		if (mag_random_unit(&seed) >= wanted ||
 		    !thr_may_send(&routers[r].wk.thr, now) ||
--- a/regress/check_wk.c
+++ b/regress/check_wk.c
@@ -30,7 +30,7 @@
 	struct wk *wk;
 
 	cds_list_for_each_entry (wk, &table.workers, node)
-		fprintf(out, "%s %s\n", wk->is.id,
+		fprintf(out, "%s %s\n", wk->entry.id,
 			wk_usable(wk, now) ? "gets requests" : "gets none");
 }
 
@@ -59,9 +59,9 @@
 		else if (strncmp(line, "end", 3) == 0)
 			wk_list_end(&table, now, now);
 		else if (strncmp(line, "returned", 8) == 0)
-			wk_returned(&table, now);
+			wk_store_restored(&table, now);
 		else if (strncmp(line, "settled", 7) == 0)
-			wk_settled(&table);
+			wk_store_settled(&table);
 		else if (sscanf(line, "layers %63s", text) == 1 &&
 			 (wk = wk_by_id(&table, text)))
 			fprintf(out, "%d-%d\n", wk->layers.from, wk->layers.to);
@@ -69,10 +69,10 @@
 			print(out, now);
 		else if (sscanf(line, "at %47s", text) == 1 &&
 			 (wk = wk_by_address(&table, text)))
-			fprintf(out, "%s\n", wk->is.id);
+			fprintf(out, "%s\n", wk->entry.id);
 	}
 	cds_list_for_each_entry_safe (left, next, &table.workers, node)
-		wk_remove(&table, left->is.id, now, now);
+		wk_remove(&table, left->entry.id, now, now);
 	wk_tick(&table, now);
 	hc_free(hc);
 	event_base_free(base);
--- a/src/edge_follow.c
+++ b/src/edge_follow.c
@@ -228,7 +228,7 @@
 
 	met_add(&edge->met, MET_RETURNS);
 	era_returned(&edge->era, now);
-	wk_returned(&edge->workers, now);
+	wk_store_restored(&edge->workers, now);
 	pres_returned(edge->pres, now);
 	hint_soon(edge->hint, now);
 }
@@ -236,7 +236,7 @@
 /* All have written again by now: the next list is taken as it stands. */
 static void edge_settle(struct edge *edge)
 {
-	wk_settled(&edge->workers);
+	wk_store_settled(&edge->workers);
 	pres_settled(edge->pres);
 	sto_follow_list(edge->follow);
 }
@@ -250,7 +250,7 @@
 	     "\"peers_gone\":%d,\"config\":%lld,\"config_in_store\":%lld",
 	     (long long)sto_era(edge->sto),
 	     (int)((now - edge->era.returned_us) / MAG_US_PER_MS),
-	     wk_missing(&edge->workers), pres_missing(edge->pres),
+	     wk_count_missing(&edge->workers), pres_missing(edge->pres),
 	     edge->rt ? (long long)edge->rt->version : -1LL,
 	     (long long)edge->listed_version);
 }
--- a/src/eq.c
+++ b/src/eq.c
@@ -403,7 +403,7 @@
 	     eq->sends, eq->may_have_run ? "true" : "false",
 	     (long long)eq->rt->version,
 	     (int)((now - eq->edge->attest.fresh_us) / MAG_US_PER_MS),
-	     eq->hop_count > 0 ? eq->hops[0].worker->is.id : "");
+	     eq->hop_count > 0 ? eq->hops[0].worker->entry.id : "");
 }
 
 /* Stops what still works for a request and gives everything back. */
--- a/src/eq_answer.c
+++ b/src/eq_answer.c
@@ -95,8 +95,9 @@
 {
 	bool sound = answer->status / 100 == 2 && eq->says.sealed;
 
-	wkp_take_limit(eq->edge, eq->hops[0].worker, answer,
-		       sound ? WK_ANSWER_SOUND : WK_ANSWER_OTHER, eq->sent_us);
+	wkp_apply_limit(eq->edge, eq->hops[0].worker, answer,
+			sound ? WK_ANSWER_SUCCESS : WK_ANSWER_OTHER,
+			eq->sent_us);
 }
 
 static void eq_on_body(void *user, const void *bytes, size_t len)
@@ -162,9 +163,9 @@
 {
 	int i;
 
-	wk_worked(eq->hops[0].worker);
+	wk_on_success(eq->hops[0].worker);
 	for (i = 0; i < eq->hop_count; i++)
-		wk_began(eq->hops[i].worker);
+		wk_on_start(eq->hops[i].worker);
 }
 
 /* Notes the time between two events. */
@@ -203,9 +204,9 @@
 	}
 	eq->may_have_run = true;
 	eq->runs++;
-	wk_result(wk, good || eq->status / 100 == 4, now - eq->sent_us);
-	wk_clear(wk);
-	wk_worked(wk);
+	wk_add_result(wk, good || eq->status / 100 == 4, now - eq->sent_us);
+	wk_clear_suspicion(wk);
+	wk_on_success(wk);
 	if (good) {
 		quar_ended_well(eq->edge->quar, eq->print, now);
 		if (eq->state == EQ_STREAMS && evs_pending(&eq->events) > 0) {
@@ -263,8 +264,8 @@
 		fault = wk;
 	eq_avoid(eq, fault);
 	if (eq->service->has_engine) {
-		wk_refused(fault, now);
-		wkp_ask(edge, fault, now);
+		wk_on_refusal(fault, now);
+		wkp_probe(edge, fault, now);
 	} else if (eq->status == 421) {
 		wk_suspect(fault, now, "another worker has its address");
 	}
@@ -286,12 +287,12 @@
 	}
 	eq->may_have_run = true;
 	eq->runs++;
-	wk_result(wk, false, 0);
+	wk_add_result(wk, false, 0);
 	if (!eq->answered)
-		wk_broke(wk, now);
+		wk_on_break(wk, now);
 	if (end == HC_BROKEN) {
 		eq_blame(eq, wk, now);
-		wkp_ask(edge, wk, now);
+		wkp_probe(edge, wk, now);
 	}
 	eq_again(eq, eq->garbled || end == HC_GARBLED ? "garbled answer"
 						      : "connection broke");
--- a/src/eq_chain.c
+++ b/src/eq_chain.c
@@ -82,7 +82,7 @@
 	int count;
 
 	first.to = hop->to;
-	first.centre = edge_centre(edge, hop->worker->is.data_centre);
+	first.centre = edge_centre(edge, hop->worker->entry.data_centre);
 	eq_chain_want(eq, &want, now);
 	count = eq_chain_workers(eq, hop, now);
 	if (chn_repair(&want, &first, eq_list, count, &rest) ||
@@ -124,7 +124,7 @@
 
 	for (i = 0; i < eq->hop_count; i++) {
 		mag_copy_name(hops[i].address, sizeof(hops[i].address),
-			      eq->hops[i].worker->is.address);
+			      eq->hops[i].worker->entry.address);
 		hops[i].from = eq->hops[i].from;
 		hops[i].to = eq->hops[i].to;
 	}
@@ -141,7 +141,7 @@
 	for (i = 0; i < eq->hop_count && len < size; i++)
 		len += (size_t)snprintf(
 			dst + len, size - len, "%s%s@%d", i > 0 ? " " : "",
-			eq->hops[i].worker->is.id, eq->hops[i].from);
+			eq->hops[i].worker->entry.id, eq->hops[i].from);
 	return dst;
 }
 
@@ -151,14 +151,14 @@
 	struct room_request request = eq_room(eq);
 	struct eq_hop *hop = &eq->hops[eq->hop_count];
 
-	hop->worker = wk_hold(wk);
+	hop->worker = wk_ref(wk);
 	hop->from = from;
 	hop->to = to;
 	hop->held = to > from ? room_tokens(&request) * (to - from) : 0;
 	wk->held += hop->held;
 	wk->recent_held += hop->held;
 	if (eq->hop_count == 0)
-		wk->firsts++;
+		wk->first_hops++;
 	eq->hop_count++;
 }
 
@@ -173,7 +173,7 @@
 		if (count == CHN_WORKERS_MAX)
 			break;
 		if (!wk_usable(wk, now) ||
-		    strcmp(wk->is.service, service->name) != 0)
+		    strcmp(wk->entry.service, service->name) != 0)
 			continue;
 		eq_list[count].from = wk->layers.from;
 		eq_list[count++].to = wk->layers.to;
@@ -230,19 +230,19 @@
 			break;
 		keeps = first ? eq_hop_of(eq, wk) : NULL;
 		if (held <= 0 || eq_avoids(eq, wk) ||
-		    !(keeps ? wk_alive(wk, now) && !wk->on_trial
+		    !(keeps ? wk_alive(wk, now) && !wk->suspected
 			    : wk_usable(wk, now)) ||
-		    strcmp(wk->is.service, eq->service->name) != 0)
+		    strcmp(wk->entry.service, eq->service->name) != 0)
 			continue;
 		if (first && wk == first->worker)
 			continue;
-		kind = rt_kind_named(engine, wk->is.kind);
+		kind = rt_kind_named(engine, wk->entry.kind);
 		if (!kind)
 			continue;
 		w = &eq_list[count];
 		eq_listed[count] = wk;
 		w->ref = count++;
-		w->centre = edge_centre(edge, wk->is.data_centre);
+		w->centre = edge_centre(edge, wk->entry.data_centre);
 		w->from = wk->layers.from;
 		w->to = wk->layers.to;
 		w->layer_us = engine->step_ms * 1000 * kind->step_factor *
@@ -254,8 +254,8 @@
 		w->keeps_from = keeps ? keeps->from : 0;
 		w->keeps_to = keeps ? keeps->to : 0;
 		w->read_us = eq_read_us(eq, kind) * wk->slowdown;
-		w->backlog_us = wk->read_until_us > now
-					? (double)(wk->read_until_us - now)
+		w->backlog_us = wk->prefill_until_us > now
+					? (double)(wk->prefill_until_us - now)
 					: 0;
 	}
 	return count;
@@ -282,7 +282,7 @@
 	int i;
 
 	for (i = 0; i < eq->hop_count; i++) {
-		if (strcmp(eq->hops[i].worker->is.address, address) == 0)
+		if (strcmp(eq->hops[i].worker->entry.address, address) == 0)
 			return eq->hops[i].worker;
 	}
 	return NULL;
@@ -296,10 +296,10 @@
 {
 	struct wk *wk = eq_listed[listed];
 
-	if (wk->read_until_us < now)
-		wk->read_until_us = now;
-	wk->read_until_us += (int64_t)(eq_list[listed].read_us * layers *
-				       edge_routers_here(eq->edge));
+	if (wk->prefill_until_us < now)
+		wk->prefill_until_us = now;
+	wk->prefill_until_us += (int64_t)(eq_list[listed].read_us * layers *
+					  edge_routers_here(eq->edge));
 }
 
 /* Takes the places of a repaired chain, then gives the old ones back. */
@@ -330,7 +330,7 @@
 	}
 	for (i = 1; i < count; i++) {
 		old[i].worker->held -= old[i].held;
-		wk_drop(old[i].worker);
+		wk_unref(old[i].worker);
 	}
 }
 
@@ -350,13 +350,13 @@
 		.reported = wk->reported_held,
 		.reported_us = wk->reported_us,
 	};
-	int firsts = wk->firsts + wk->peer_firsts;
+	int firsts = wk->first_hops + wk->peer_first_hops;
 
 	if (room_is_report_fresh(wk->reported_us, now) &&
-	    wk->reported_firsts > firsts)
-		firsts = wk->reported_firsts;
+	    wk->reported_first_hops > firsts)
+		firsts = wk->reported_first_hops;
 	w->held = room_held(&known, now);
-	w->firsts_left = wk->is.slots - firsts;
+	w->firsts_left = wk->entry.slots - firsts;
 	/* A worker at its rate limit has no room for anything. */
 	if (!thr_may_send(&wk->thr, now)) {
 		w->memory = 0;
--- a/src/eq_repair.c
+++ b/src/eq_repair.c
@@ -95,9 +95,9 @@
 /* Tells whether a first worker was heard a moment ago and not lost since. */
 static bool eq_repair_alive(const struct wk *wk, int64_t now)
 {
-	if (wk->unresponsive || wk->on_trial)
+	if (wk->unresponsive || wk->suspected)
 		return false;
-	return now - wk->passed_us < EQ_REPAIR_ALIVE_US ||
+	return now - wk->last_event_us < EQ_REPAIR_ALIVE_US ||
 	       now - wk->reported_us < EQ_REPAIR_ALIVE_US;
 }
 
@@ -120,15 +120,15 @@
 			    count))
 		return NULL;
 	return pl_call_encode("POST", PL_ORDER_PATH,
-			      eq->hops[0].worker->is.address, body);
+			      eq->hops[0].worker->entry.address, body);
 }
 
 static bool eq_repair_headers(void *user, const struct hc_answer *answer)
 {
 	struct eq_repair *repair = user;
 
-	wkp_take_limit(repair->eq->edge, repair->eq->hops[0].worker, answer,
-		       WK_ANSWER_OTHER, repair->eq->repaired_us);
+	wkp_apply_limit(repair->eq->edge, repair->eq->hops[0].worker, answer,
+			WK_ANSWER_OTHER, repair->eq->repaired_us);
 	repair->status = answer->status;
 	return true;
 }
@@ -160,7 +160,7 @@
 	     "\"chain\":\"%s\",\"repair\":%d,\"status\":%d,\"at_fault\":\"%s\","
 	     "\"silent_ms\":%d",
 	     jlog_text(id, sizeof(id), eq->asks.attempt_id),
-	     eq->hops[0].worker->is.id, eq->hop_count,
+	     eq->hops[0].worker->entry.id, eq->hop_count,
 	     eq_chain_text(eq, chain, sizeof(chain)), eq->repairs, status,
 	     address, (int)((now - eq->progress_us) / MAG_US_PER_MS));
 	eq->repair = NULL;
@@ -180,7 +180,7 @@
 	if (address[0])
 		fault = eq_hop_at(eq, address);
 	if (fault) {
-		wk_refused(fault, now);
+		wk_on_refusal(fault, now);
 		if (eq_repair_start(eq, fault, now))
 			return;
 		eq_avoid(eq, fault);
--- a/src/eq_send.c
+++ b/src/eq_send.c
@@ -60,8 +60,8 @@
 	for (i = 0; i < eq->hop_count; i++) {
 		eq->hops[i].worker->held -= eq->hops[i].held;
 		if (i == 0)
-			eq->hops[i].worker->firsts--;
-		wk_drop(eq->hops[i].worker);
+			eq->hops[i].worker->first_hops--;
+		wk_unref(eq->hops[i].worker);
 	}
 	eq->hop_count = 0;
 }
@@ -71,7 +71,7 @@
 	int i;
 
 	for (i = 0; i < eq->avoid_count; i++) {
-		if (strcmp(eq->avoid[i], wk->is.id) == 0)
+		if (strcmp(eq->avoid[i], wk->entry.id) == 0)
 			return true;
 	}
 	return false;
@@ -83,7 +83,7 @@
 	if (eq->avoid_count == EQ_AVOID_MAX || eq_avoids(eq, wk))
 		return;
 	mag_copy_name(eq->avoid[eq->avoid_count], sizeof(eq->avoid[0]),
-		      wk->is.id);
+		      wk->entry.id);
 	eq->avoid_count++;
 }
 
@@ -99,11 +99,12 @@
 
 	/* Of plain workers it is not known when they were heard last. */
 	if (eq->service->has_engine && hop)
-		others = wk->firsts > (hop == eq->hops) || wk->held > hop->held;
+		others = wk->first_hops > (hop == eq->hops) ||
+			 wk->held > hop->held;
 	if (eq->repaired_us > began_us)
 		began_us = eq->repaired_us;
-	if (quar_is_evidence(began_us, wk->passed_us, others))
-		wk_add_victim(wk, eq->print, now);
+	if (quar_is_evidence(began_us, wk->last_event_us, others))
+		wk_add_interrupted(wk, eq->print, now);
 }
 
 /* Waits while that can help, else ends the request at once. */
@@ -141,7 +142,7 @@
 	/* Workers under suspicion are better than none. */
 	for (pass = 0; pass < 2 && !best; pass++) {
 		cds_list_for_each_entry (wk, &eq->edge->workers.workers, node) {
-			if (strcmp(wk->is.service, eq->service->name) != 0 ||
+			if (strcmp(wk->entry.service, eq->service->name) != 0 ||
 			    !wk_alive(wk, now) || eq_avoids(eq, wk))
 				continue;
 			if (pass == 0 && !wk_usable(wk, now))
@@ -149,7 +150,7 @@
 			any = true;
 			if (!thr_may_send(&wk->thr, now))
 				continue;
-			if (wk->firsts >= wk->is.slots + EQ_PLAIN_QUEUE)
+			if (wk->first_hops >= wk->entry.slots + EQ_PLAIN_QUEUE)
 				continue;
 			cost = eq_plain_cost(eq, wk);
 			if (!best || cost < best_cost) {
@@ -167,16 +168,16 @@
 /* Expected time of an answer, in units of a free worker's. */
 static double eq_plain_cost(const struct eq *eq, const struct wk *wk)
 {
-	int running = wk->firsts + wk->peer_firsts;
-	double cost = wk->answer_us > 0 ? wk->answer_us : 50000;
+	int running = wk->first_hops + wk->peer_first_hops;
+	double cost = wk->response_us > 0 ? wk->response_us : 50000;
 
-	if (running >= wk->is.slots)
-		cost *= (double)(running + 1) / (wk->is.slots + 1) + 1;
+	if (running >= wk->entry.slots)
+		cost *= (double)(running + 1) / (wk->entry.slots + 1) + 1;
 	else
-		cost *= 1 + (double)running / (wk->is.slots + 1);
+		cost *= 1 + (double)running / (wk->entry.slots + 1);
 	/* Each failure costs another try, or the caller its answer. */
-	cost *= 1 + 5 * wk->fail_share;
-	if (strcmp(wk->is.data_centre, eq->edge->set.data_centre) != 0)
+	cost *= 1 + 5 * wk->failure_rate;
+	if (strcmp(wk->entry.data_centre, eq->edge->set.data_centre) != 0)
 		cost *= EQ_PLAIN_AWAY;
 	return cost;
 }
@@ -231,9 +232,9 @@
 	     "\"chain\":\"%s\",\"send\":%d,\"from_event\":%lld,"
 	     "\"requests_there\":%d,"
 	     "\"left_ms\":%d",
-	     jlog_text(id, sizeof(id), eq->asks.attempt_id), wk->is.id,
+	     jlog_text(id, sizeof(id), eq->asks.attempt_id), wk->entry.id,
 	     eq->hop_count, eq_chain_text(eq, chain, sizeof(chain)), eq->sends,
-	     (long long)eq->last_event, wk->firsts,
+	     (long long)eq->last_event, wk->first_hops,
 	     (int)((eq->deadline_us - now) / MAG_US_PER_MS));
 	if (!send.request || hc_start(wk->host, &send, &eq->call)) {
 		eq->call = NULL;
@@ -256,7 +257,7 @@
 	out.method = hs_method(eq->caller);
 	out.target = hs_target(eq->caller);
 	out.headers = hs_headers(eq->caller);
-	out.worker_id = eq->hops[0].worker->is.id;
+	out.worker_id = eq->hops[0].worker->entry.id;
 	out.account = eq->account;
 	out.left_ms = (eq->deadline_us - now) / MAG_US_PER_MS;
 	out.last_event = -1;
--- a/src/eq_stall.c
+++ b/src/eq_stall.c
@@ -65,8 +65,8 @@
 	int i;
 
 	for (i = 0; i < eq->hop_count; i++) {
-		eq->hops[i].worker->passed_us = now;
-		eq->hops[i].worker->quiet_asks = 0;
+		eq->hops[i].worker->last_event_us = now;
+		eq->hops[i].worker->probes_since_event = 0;
 	}
 }
 
@@ -78,7 +78,7 @@
 
 	for (i = 0; i < eq->hop_count; i++) {
 		wk = eq->hops[i].worker;
-		if ((wk->unresponsive || wk->on_trial) &&
+		if ((wk->unresponsive || wk->suspected) &&
 		    eq_waits_for(eq, wk, now))
 			return wk;
 	}
@@ -95,7 +95,7 @@
 static bool eq_waits_for(const struct eq *eq, const struct wk *wk, int64_t now)
 {
 	return eq_silence(eq, now) >= EQ_SUSPECT_QUIET_US &&
-	       now - wk->passed_us >= EQ_SUSPECT_QUIET_US;
+	       now - wk->last_event_us >= EQ_SUSPECT_QUIET_US;
 }
 
 /* Asks the workers of a stream that may be dead, stuck or slow. */
@@ -110,19 +110,20 @@
 
 	for (i = 0; i < eq->hop_count; i++) {
 		wk = eq->hops[i].worker;
-		worker = (struct ask_worker){ wk->passed_us, wk->probed_us,
-					      wk->slowdown_us, wk->quiet_asks };
+		worker = (struct ask_worker){ wk->last_event_us, wk->probed_us,
+					      wk->slowdown_us,
+					      wk->probes_since_event };
 		why = ask_worker(&stream, &worker, now);
 		if (why == ASK_NOT)
 			continue;
 		eq->asked_us = now;
-		wk->quiet_asks += why == ASK_QUIET;
-		wkp_ask(eq->edge, wk, now);
+		wk->probes_since_event += why == ASK_QUIET;
+		wkp_probe(eq->edge, wk, now);
 	}
 	if (eq_silence(eq, now) < EQ_SILENCE_US)
 		return;
 	eq->asked_us = now;
-	wkp_ask(eq->edge, eq->hops[0].worker, now);
+	wkp_probe(eq->edge, eq->hops[0].worker, now);
 }
 
 /* Returns how long a stream is silent before its workers are asked. */
@@ -164,7 +165,7 @@
 		eq_move(eq, fault, "stalled at a worker");
 	}
 	cds_list_for_each_entry (fault, &edge->workers.workers, node) {
-		if (fault->on_trial && report->stalled_count > 0)
+		if (fault->suspected && report->stalled_count > 0)
 			eq_on_suspect(edge, fault, now);
 	}
 }
--- a/src/hint.c
+++ b/src/hint.c
@@ -304,7 +304,7 @@
 		    now - wk->announced_us < HINT_SUSPECT_US &&
 		    message->suspect_count < HINT_SUSPECTS_MAX)
 			message->suspects[message->suspect_count++] =
-				hint_load_hash(wk->is.id);
+				hint_load_hash(wk->entry.id);
 	}
 }
 
@@ -410,13 +410,13 @@
 	struct wk *wk;
 
 	cds_list_for_each_entry (wk, &hint->edge->workers.workers, node) {
-		if (hint_load_hash(wk->is.id) != hash || wk->on_trial ||
-		    now < wk->hold_until_us)
+		if (hint_load_hash(wk->entry.id) != hash || wk->suspected ||
+		    now < wk->paused_until_us)
 			continue;
-		wk_hold_off(wk, now);
+		wk_pause(wk, now);
 		jlog(LOG_WK_HINT, "\"worker\":\"%s\",\"peer\":\"%s\"",
-		     wk->is.id, peer);
-		wkp_ask(hint->edge, wk, now);
+		     wk->entry.id, peer);
+		wkp_probe(hint->edge, wk, now);
 	}
 }
 
--- a/src/hint_limit.c
+++ b/src/hint_limit.c
@@ -25,7 +25,7 @@
 		if (message->limit_count == HINT_LIMITS_MAX)
 			break;
 		limit = &message->limits[message->limit_count++];
-		limit->worker = hint_load_hash(wk->is.id);
+		limit->worker = hint_load_hash(wk->entry.id);
 		limit->per_s = (float)wk->thr.limit;
 		limit->age_ms =
 			(uint32_t)((now - wk->thr.named_us) / MAG_US_PER_MS);
@@ -45,10 +45,10 @@
 		for (; slot && slot < index->slots + index->count &&
 		       slot->hash == limits[i].worker;
 		     slot++)
-			wk_limit_from_peer(slot->wk, (double)limits[i].per_s,
-					   heard_us - limits[i].age_ms *
-							      MAG_US_PER_MS,
-					   now);
+			wk_apply_peer_limit(slot->wk, (double)limits[i].per_s,
+					    heard_us - limits[i].age_ms *
+							       MAG_US_PER_MS,
+					    now);
 	}
 }
 
@@ -61,7 +61,7 @@
 		       uint32_t self, const struct wk *wk)
 {
 	static struct thr_member members[HINT_ROUTERS_MAX + 1];
-	uint32_t centre = hint_load_hash(wk->is.data_centre);
+	uint32_t centre = hint_load_hash(wk->entry.data_centre);
 	int found = 0;
 	bool all;
 	int i;
@@ -76,6 +76,6 @@
 				(struct thr_member){ routers[i].id,
 						     routers[i].demand };
 	}
-	return thr_part(members, found, self, hint_load_hash(wk->is.id),
+	return thr_part(members, found, self, hint_load_hash(wk->entry.id),
 			wk->thr.limit);
 }
--- a/src/hint_load.c
+++ b/src/hint_load.c
@@ -28,12 +28,12 @@
 		if (own->count == MAG_ARRAY_SIZE(own->loads))
 			break;
 		slowdown = hint_slowdown(wk, now);
-		if (wk->firsts == 0 && wk->held <= 0 && slowdown <= 0)
+		if (wk->first_hops == 0 && wk->held <= 0 && slowdown <= 0)
 			continue;
 		own->loads[own->count++] = (struct hint_load){
-			hint_load_hash(wk->is.id),
+			hint_load_hash(wk->entry.id),
 			(float)wk->held,
-			(uint32_t)wk->firsts,
+			(uint32_t)wk->first_hops,
 			slowdown,
 		};
 	}
@@ -103,9 +103,9 @@
 	cds_list_for_each_entry (wk, &table->workers, node) {
 		wk->recent_held = 0;
 		wk->peer_held = 0;
-		wk->peer_firsts = 0;
+		wk->peer_first_hops = 0;
 		index->slots[index->count++] =
-			(struct hint_slot){ hint_load_hash(wk->is.id), wk };
+			(struct hint_slot){ hint_load_hash(wk->entry.id), wk };
 	}
 	qsort(index->slots, (size_t)index->count, sizeof(index->slots[0]),
 	      hint_by_hash);
@@ -177,7 +177,7 @@
 
 	for (; slot && slot < end && slot->hash == load->worker; slot++) {
 		slot->wk->peer_held += (double)load->held;
-		slot->wk->peer_firsts += (int)load->firsts;
+		slot->wk->peer_first_hops += (int)load->firsts;
 		hint_take_slowdown(slot->wk, load, heard_us);
 	}
 }
--- a/src/plr.c
+++ b/src/plr.c
@@ -104,7 +104,7 @@
 
 	count = plr_cards(edge, service, cards, workers, now);
 	fresh = lay_is_fresh(cards, count);
-	if (fresh && now - edge->workers.grew_us < PLR_SETTLE_US)
+	if (fresh && now - edge->workers.last_added_us < PLR_SETTLE_US)
 		return;
 	for (i = 0; i < edge->centre_count; i++) {
 		holes[i] = lay_has_hole(&model, cards, count, i);
@@ -125,7 +125,7 @@
 		    (range.from == workers[i]->layers.from &&
 		     range.to == workers[i]->layers.to))
 			continue;
-		if (!fresh && now - workers[i]->seen_us < PLR_SPARE_US &&
+		if (!fresh && now - workers[i]->first_seen_us < PLR_SPARE_US &&
 		    !holes[cards[i].centre])
 			continue;
 		plr_order(edge, workers[i], &range, now);
@@ -196,16 +196,16 @@
 	cds_list_for_each_entry (wk, &edge->workers.workers, node) {
 		if (count == PLR_CARDS_MAX)
 			break;
-		if (strcmp(wk->is.service, service->name) != 0 || !wk->listed ||
-		    !wk_alive(wk, now))
+		if (strcmp(wk->entry.service, service->name) != 0 ||
+		    !wk->listed || !wk_alive(wk, now))
 			continue;
-		kind = rt_kind_named(&service->engine, wk->is.kind);
+		kind = rt_kind_named(&service->engine, wk->entry.kind);
 		if (!kind)
 			continue;
 		card = &cards[count];
 		workers[count++] = wk;
 		memset(card, 0, sizeof(*card));
-		card->centre = edge_centre(edge, wk->is.data_centre);
+		card->centre = edge_centre(edge, wk->entry.data_centre);
 		card->memory_mb = kind->memory_mb;
 		card->step_factor = kind->step_factor;
 		card->from = wk->ordered ? wk->order.from : wk->layers.from;
@@ -214,7 +214,7 @@
 		card->want_to = card->to;
 		card->usable = true;
 		card->moving = wk->ordered || wk->busy;
-		card->suspect = wk->on_trial || wk->unresponsive;
+		card->suspect = wk->suspected || wk->unresponsive;
 	}
 	return count;
 }
@@ -234,12 +234,12 @@
 
 	if (wk->ordered && now - wk->ordered_us < PLR_AGAIN_US)
 		return;
-	if (wk->on_trial && now < wk->suspect_until_us)
+	if (wk->suspected && now < wk->suspect_until_us)
 		return;
 	if (wk->orders_taken < 0 || wk->busy ||
 	    (wk->ordered && wk->reported_us < wk->ordered_us)) {
 		if (now - wk->probed_us >= PLR_ASK_US)
-			wkp_ask(edge, wk, now);
+			wkp_probe(edge, wk, now);
 		return;
 	}
 	call = calloc(1, sizeof(*call));
@@ -249,7 +249,7 @@
 	call->edge = edge;
 	call->wk = wk;
 	send.request =
-		pl_call_encode("POST", PL_ORDER_PATH, wk->is.address, body);
+		pl_call_encode("POST", PL_ORDER_PATH, wk->entry.address, body);
 	send.ops = &plr_ops;
 	send.user = call;
 	send.connect_by_us = now + PLR_ORDER_US;
@@ -259,7 +259,7 @@
 		free(call);
 		return;
 	}
-	wk_hold(wk);
+	wk_ref(wk);
 	thr_sent(&wk->thr, now);
 	met_add(&edge->met, MET_ORDERS);
 	wk->ordered = true;
@@ -268,16 +268,16 @@
 	jlog(LOG_PLR_ORDERED,
 	     "\"worker\":\"%s\",\"holds\":\"%d-%d\",\"layers\":\"%d-%d\","
 	     "\"orders_taken\":%lld",
-	     wk->is.id, wk->layers.from, wk->layers.to, range->from, range->to,
-	     (long long)wk->orders_taken);
+	     wk->entry.id, wk->layers.from, wk->layers.to, range->from,
+	     range->to, (long long)wk->orders_taken);
 }
 
 static bool plr_on_headers(void *user, const struct hc_answer *answer)
 {
 	struct plr_call *call = user;
 
-	wkp_take_limit(call->edge, call->wk, answer, WK_ANSWER_ORDER,
-		       call->wk->ordered_us);
+	wkp_apply_limit(call->edge, call->wk, answer, WK_ANSWER_ORDER,
+			call->wk->ordered_us);
 	call->status = answer->status;
 	return true;
 }
@@ -301,7 +301,7 @@
 	}
 	if (end != HC_WHOLE || call->status / 100 != 2)
 		jlog(LOG_PLR_UNSURE, "\"worker\":\"%s\",\"status\":%d",
-		     wk->is.id, end == HC_WHOLE ? call->status : 0);
-	wk_drop(wk);
+		     wk->entry.id, end == HC_WHOLE ? call->status : 0);
+	wk_unref(wk);
 	free(call);
 }
--- a/src/wk.c
+++ b/src/wk.c
@@ -65,7 +65,7 @@
 	memset(table, 0, sizeof(*table));
 	CDS_INIT_LIST_HEAD(&table->workers);
 	table->hc = hc;
-	table->connections = 64;
+	table->max_connections = 64;
 }
 
 /* Begins to read a whole list; wk_list_end tells who is missing from it. */
@@ -75,7 +75,7 @@
 
 	table->listing = true;
 	cds_list_for_each_entry (wk, &table->workers, node)
-		wk->seen = false;
+		wk->in_listing = false;
 }
 
 /* Takes an entry of the list, new or changed. */
@@ -85,35 +85,35 @@
 	struct wk *wk = wk_by_id(table, worker->id);
 
 	if (table->listing && wk_is_past(table, worker, now))
-		return WK_E_OLD;
-	if (wk && strcmp(wk->is.address, worker->address) != 0) {
+		return WK_E_STALE;
+	if (wk && strcmp(wk->entry.address, worker->address) != 0) {
 		/* The same name at another address is another process. */
-		wk_remove(table, wk->is.id, now, now);
-		wk->is.id[0] = '\0';
+		wk_remove(table, wk->entry.id, now, now);
+		wk->entry.id[0] = '\0';
 		wk = NULL;
 	}
 	if (!wk) {
 		wk = calloc(1, sizeof(*wk));
 		if (!wk)
 			return WK_E_MEMORY;
-		if (hc_host_new(table->hc, worker->address, table->connections,
-				&wk->host)) {
+		if (hc_host_new(table->hc, worker->address,
+				table->max_connections, &wk->host)) {
 			free(wk);
 			return WK_E_ADDRESS;
 		}
-		wk->is = *worker;
-		wk->seen_us = now;
+		wk->entry = *worker;
+		wk->first_seen_us = now;
 		wk->leaving_us = MAG_NEVER;
 		wk->orders_taken = -1;
 		wk->slowdown = 1;
 		wk->layers = worker->layers;
 		cds_list_add_tail(&wk->node, &table->workers);
 		table->count++;
-		table->grew_us = now;
+		table->last_added_us = now;
 		jlog(LOG_WK_SEEN,
 		     "\"worker\":\"%s\",\"address\":\"%s\","
 		     "\"data_centre\":\"%s\",\"layers\":\"%d-%d\"",
-		     wk->is.id, wk->is.address, wk->is.data_centre,
+		     wk->entry.id, wk->entry.address, wk->entry.data_centre,
 		     wk->layers.from, wk->layers.to);
 	}
 	if (table->listing && table->settling)
@@ -138,32 +138,32 @@
 	if (table->settling)
 		return;
 	cds_list_for_each_entry (wk, &table->workers, node) {
-		if (!wk->seen && wk->listed)
-			wk_remove(table, wk->is.id, gone_us, now);
+		if (!wk->in_listing && wk->listed)
+			wk_remove(table, wk->entry.id, gone_us, now);
 	}
 }
 
 /* The store has come back from an older copy. */
-void wk_returned(struct wk_table *table, int64_t now)
+void wk_store_restored(struct wk_table *table, int64_t now)
 {
 	table->settling = true;
-	table->returned_us = now;
+	table->restored_us = now;
 }
 
 /* All have written again: the next list is taken as it stands. */
-void wk_settled(struct wk_table *table)
+void wk_store_settled(struct wk_table *table)
 {
 	table->settling = false;
 }
 
 /* Returns how many workers the list that was read last lacks. */
-int wk_missing(const struct wk_table *table)
+int wk_count_missing(const struct wk_table *table)
 {
 	const struct wk *wk;
 	int missing = 0;
 
 	cds_list_for_each_entry (wk, &table->workers, node)
-		missing += wk->listed && !wk->seen;
+		missing += wk->listed && !wk->in_listing;
 	return missing;
 }
 
@@ -178,7 +178,7 @@
 	wk->listed = false;
 	wk->gone_us = gone_us;
 	wk_add_past(table, wk, now);
-	jlog(LOG_WK_GONE, "\"worker\":\"%s\",\"in_ms\":%d", wk->is.id,
+	jlog(LOG_WK_GONE, "\"worker\":\"%s\",\"in_ms\":%d", wk->entry.id,
 	     (int)((gone_us - now) / MAG_US_PER_MS));
 }
 
@@ -189,7 +189,7 @@
 	struct wk *next;
 
 	cds_list_for_each_entry_safe (wk, next, &table->workers, node) {
-		wk_limit_tick(wk, now);
+		wk_expire_limit(wk, now);
 		if (wk->listed || wk->refs > 0 || now < wk->gone_us)
 			continue;
 		wk_forget(table, wk);
@@ -201,7 +201,7 @@
 	struct wk *wk;
 
 	cds_list_for_each_entry (wk, &table->workers, node) {
-		if (strcmp(wk->is.id, id) == 0)
+		if (strcmp(wk->entry.id, id) == 0)
 			return wk;
 	}
 	return NULL;
@@ -214,7 +214,7 @@
 	struct wk *wk;
 
 	cds_list_for_each_entry (wk, &table->workers, node) {
-		if (strcmp(wk->is.address, address) != 0)
+		if (strcmp(wk->entry.address, address) != 0)
 			continue;
 		if (!found || (wk->listed && !wk->replaced))
 			found = wk;
@@ -225,7 +225,7 @@
 /* Tells whether a worker is neither gone nor leaving. */
 bool wk_alive(const struct wk *wk, int64_t now)
 {
-	if (wk->is.draining || wk->replaced)
+	if (wk->entry.draining || wk->replaced)
 		return false;
 	return wk->listed || now < wk->gone_us;
 }
@@ -235,8 +235,8 @@
 {
 	bool waits = wk->probing && now - wk->probed_us > WK_ANSWER_US;
 
-	return wk_alive(wk, now) && !wk->on_trial && !waits &&
-	       now >= wk->hold_until_us && now >= wk->distrust_until_us;
+	return wk_alive(wk, now) && !wk->suspected && !waits &&
+	       now >= wk->paused_until_us && now >= wk->distrust_until_us;
 }
 
 /*
@@ -245,38 +245,38 @@
  */
 void wk_suspect(struct wk *wk, int64_t now, const char *why)
 {
-	int64_t hold = mag_backoff(WK_SUSPECT_US, wk->suspect_times,
+	int64_t hold = mag_backoff(WK_SUSPECT_US, wk->suspect_count,
 				   WK_SUSPECT_DOUBLE);
 
 	if (now < wk->suspect_until_us)
 		return;
 	wk->suspect_until_us = now + hold;
-	wk->suspect_times++;
-	wk->on_trial = true;
-	wk->to_announce = wk->suspect_times == 1;
+	wk->suspect_count++;
+	wk->suspected = true;
+	wk->to_announce = wk->suspect_count == 1;
 	hc_host_drop_idle(wk->host);
-	wk_log_suspect(wk, why, hold, wk->suspect_times);
+	wk_log_suspect(wk, why, hold, wk->suspect_count);
 }
 
 /* Gives a worker nothing new for a moment, while it is asked how it is. */
-void wk_hold_off(struct wk *wk, int64_t now)
+void wk_pause(struct wk *wk, int64_t now)
 {
-	wk->hold_until_us = now + WK_HOLD_OFF_US;
+	wk->paused_until_us = now + WK_HOLD_OFF_US;
 }
 
 /* A worker refused a request of ours once more. */
-void wk_refused(struct wk *wk, int64_t now)
+void wk_on_refusal(struct wk *wk, int64_t now)
 {
 	/* Those that were on their way together count as one. */
-	if (now < wk->hold_until_us)
+	if (now < wk->paused_until_us)
 		return;
-	wk->hold_until_us =
+	wk->paused_until_us =
 		now + mag_backoff(WK_HOLD_OFF_US, wk->refusals, WK_HOLD_DOUBLE);
 	wk->refusals++;
 }
 
 /* A worker began a request: it refuses no more. */
-void wk_began(struct wk *wk)
+void wk_on_start(struct wk *wk)
 {
 	wk->refusals = 0;
 }
@@ -287,19 +287,19 @@
  * callers; sent to it, each spends a second send, and streams that may run
  * only twice are lost.  What counts is how requests end.
  */
-void wk_broke(struct wk *wk, int64_t now)
+void wk_on_break(struct wk *wk, int64_t now)
 {
 	int64_t hold;
 
-	wk->broken_in_row++;
+	wk->consecutive_breaks++;
 	if (now < wk->distrust_until_us ||
-	    (wk->distrust_times == 0 && wk->broken_in_row < WK_BROKEN_MAX))
+	    (wk->distrust_count == 0 && wk->consecutive_breaks < WK_BROKEN_MAX))
 		return;
-	hold = mag_backoff(WK_DISTRUST_US, wk->distrust_times,
+	hold = mag_backoff(WK_DISTRUST_US, wk->distrust_count,
 			   WK_DISTRUST_DOUBLE);
 	wk->distrust_until_us = now + hold;
-	wk->distrust_times++;
-	wk_log_suspect(wk, "requests break off", hold, wk->broken_in_row);
+	wk->distrust_count++;
+	wk_log_suspect(wk, "requests break off", hold, wk->consecutive_breaks);
 }
 
 static void wk_log_suspect(const struct wk *wk, const char *why,
@@ -308,58 +308,58 @@
 	jlog(LOG_WK_SUSPECT,
 	     "\"worker\":\"%s\",\"address\":\"%s\",\"why\":\"%s\","
 	     "\"for_ms\":%d,\"times\":%d",
-	     wk->is.id, wk->is.address, why, (int)(hold_us / MAG_US_PER_MS),
-	     times);
+	     wk->entry.id, wk->entry.address, why,
+	     (int)(hold_us / MAG_US_PER_MS), times);
 }
 
 /* A request to this worker came to its first event, or to its answer. */
-void wk_worked(struct wk *wk)
+void wk_on_success(struct wk *wk)
 {
-	wk->broken_in_row = 0;
-	wk->distrust_times = 0;
+	wk->consecutive_breaks = 0;
+	wk->distrust_count = 0;
 }
 
 /* The worker has proved that it works. */
-void wk_clear(struct wk *wk)
+void wk_clear_suspicion(struct wk *wk)
 {
-	if (!wk->on_trial)
+	if (!wk->suspected)
 		return;
-	wk->on_trial = false;
-	wk->suspect_times = 0;
+	wk->suspected = false;
+	wk->suspect_count = 0;
 	wk->suspect_until_us = 0;
-	jlog(LOG_WK_CLEARED, "\"worker\":\"%s\",\"address\":\"%s\"", wk->is.id,
-	     wk->is.address);
+	jlog(LOG_WK_CLEARED, "\"worker\":\"%s\",\"address\":\"%s\"",
+	     wk->entry.id, wk->entry.address);
 }
 
 /* Notes how a request ended at a worker, and how long it took. */
-void wk_result(struct wk *wk, bool good, int64_t took_us)
+void wk_add_result(struct wk *wk, bool good, int64_t took_us)
 {
-	wk->fail_share += WK_SMOOTH * ((good ? 0 : 1) - wk->fail_share);
+	wk->failure_rate += WK_SMOOTH * ((good ? 0 : 1) - wk->failure_rate);
 	if (!good)
 		return;
-	if (wk->answer_us <= 0)
-		wk->answer_us = (double)took_us;
-	wk->answer_us += WK_SMOOTH * ((double)took_us - wk->answer_us);
+	if (wk->response_us <= 0)
+		wk->response_us = (double)took_us;
+	wk->response_us += WK_SMOOTH * ((double)took_us - wk->response_us);
 }
 
 /* Remembers a request whose answer broke off at a worker; the oldest goes. */
-void wk_add_victim(struct wk *wk, const uint8_t print[MAG_DIGEST_BYTES],
-		   int64_t now)
+void wk_add_interrupted(struct wk *wk, const uint8_t print[MAG_DIGEST_BYTES],
+			int64_t now)
 {
-	struct wk_victim *victim = &wk->victims[wk->victim_next];
+	struct wk_interrupted *victim = &wk->interrupted[wk->interrupted_next];
 
-	wk->victim_next = (wk->victim_next + 1) % WK_VICTIMS_MAX;
-	memcpy(victim->print, print, MAG_DIGEST_BYTES);
+	wk->interrupted_next = (wk->interrupted_next + 1) % WK_INTERRUPTED_MAX;
+	memcpy(victim->fingerprint, print, MAG_DIGEST_BYTES);
 	victim->at_us = now;
 }
 
-struct wk *wk_hold(struct wk *wk)
+struct wk *wk_ref(struct wk *wk)
 {
 	wk->refs++;
 	return wk;
 }
 
-void wk_drop(struct wk *wk)
+void wk_unref(struct wk *wk)
 {
 	wk->refs--;
 }
@@ -372,7 +372,7 @@
 static void wk_take_copy(struct wk *wk, const struct wire_worker *worker,
 			 int64_t now)
 {
-	struct wire_worker known = wk->is;
+	struct wire_worker known = wk->entry;
 
 	if (worker->born_ms > known.born_ms) {
 		wk_take_entry(wk, worker, now);
@@ -387,14 +387,14 @@
 static bool wk_is_past(const struct wk_table *table,
 		       const struct wire_worker *worker, int64_t now)
 {
-	const struct wk_past *past;
+	const struct wk_gone *past;
 	int i;
 
-	if (!table->returned_us || now - table->returned_us > WK_PAST_US)
+	if (!table->restored_us || now - table->restored_us > WK_PAST_US)
 		return false;
-	for (i = 0; i < WK_PAST_MAX; i++) {
-		past = &table->past[i];
-		if (past->gone_us && past->gone_us <= table->returned_us &&
+	for (i = 0; i < WK_GONE_MAX; i++) {
+		past = &table->gone[i];
+		if (past->gone_us && past->gone_us <= table->restored_us &&
 		    worker->born_ms <= past->born_ms &&
 		    strcmp(past->id, worker->id) == 0)
 			return true;
@@ -405,23 +405,23 @@
 static void wk_add_past(struct wk_table *table, const struct wk *wk,
 			int64_t now)
 {
-	struct wk_past *past = &table->past[table->past_next];
+	struct wk_gone *past = &table->gone[table->gone_next];
 
-	table->past_next = (table->past_next + 1) % WK_PAST_MAX;
-	mag_copy_name(past->id, sizeof(past->id), wk->is.id);
-	past->born_ms = wk->is.born_ms;
+	table->gone_next = (table->gone_next + 1) % WK_GONE_MAX;
+	mag_copy_name(past->id, sizeof(past->id), wk->entry.id);
+	past->born_ms = wk->entry.born_ms;
 	past->gone_us = now;
 }
 
 static void wk_take_entry(struct wk *wk, const struct wire_worker *worker,
 			  int64_t now)
 {
-	bool reborn = worker->born_ms != wk->is.born_ms;
-	bool leaving = wk->is.draining && !reborn;
-	bool moved = worker->layers.from != wk->is.layers.from ||
-		     worker->layers.to != wk->is.layers.to;
+	bool reborn = worker->born_ms != wk->entry.born_ms;
+	bool leaving = wk->entry.draining && !reborn;
+	bool moved = worker->layers.from != wk->entry.layers.from ||
+		     worker->layers.to != wk->entry.layers.to;
 
-	wk->seen = true;
+	wk->in_listing = true;
 	wk->listed = true;
 	wk->gone_us = MAG_NEVER;
 	if (worker->draining && wk->leaving_us == MAG_NEVER) {
@@ -436,23 +436,23 @@
 		wk->reported_us = 0;
 		wk->slowdown = 1;
 		wk->leaving_us = worker->draining ? now : MAG_NEVER;
-		wk->on_trial = false;
+		wk->suspected = false;
 		wk->ordered = false;
 		wk->distrust_until_us = 0;
 		wk->thr = (struct thr){ 0 };
-		wk_worked(wk);
+		wk_on_success(wk);
 		hc_host_drop_idle(wk->host);
 	}
 	if (reborn || moved) {
 		wk->layers = worker->layers;
-		wk->layers_us = now;
+		wk->layers_changed_us = now;
 	}
 	if (wk->ordered && wk->layers.from == wk->order.from &&
 	    wk->layers.to == wk->order.to)
 		wk->ordered = false;
-	wk->is = *worker;
+	wk->entry = *worker;
 	/* Who leaves does not come back under the same start. */
-	wk->is.draining |= leaving;
+	wk->entry.draining |= leaving;
 }
 
 /*
@@ -469,13 +469,13 @@
 	wk->replaced = false;
 	cds_list_for_each_entry (other, &table->workers, node) {
 		if (other == wk || !other->listed ||
-		    strcmp(other->is.address, wk->is.address) != 0 ||
-		    strcmp(other->is.service, wk->is.service) != 0 ||
-		    !other->is.born_ms || !wk->is.born_ms)
+		    strcmp(other->entry.address, wk->entry.address) != 0 ||
+		    strcmp(other->entry.service, wk->entry.service) != 0 ||
+		    !other->entry.born_ms || !wk->entry.born_ms)
 			continue;
-		if (other->is.born_ms < wk->is.born_ms)
+		if (other->entry.born_ms < wk->entry.born_ms)
 			other->replaced = true;
-		else if (other->is.born_ms > wk->is.born_ms)
+		else if (other->entry.born_ms > wk->entry.born_ms)
 			wk->replaced = true;
 	}
 }
--- a/src/wk_limit.c
+++ b/src/wk_limit.c
@@ -7,9 +7,9 @@
 #define WK_LIMIT_LOG_US MAG_US_PER_S
 
 static const char *const wk_limit_sources[] = {
-	[WK_ANSWER_SOUND] = "request",
+	[WK_ANSWER_SUCCESS] = "request",
 	[WK_ANSWER_OTHER] = "refused request",
-	[WK_ANSWER_QUESTION] = "question",
+	[WK_ANSWER_PROBE] = "question",
 	[WK_ANSWER_ORDER] = "order",
 };
 
@@ -21,9 +21,9 @@
  * limit.  Only a sound answer to a request ends a limit: refusals may come
  * from another worker of the chain.
  */
-enum thr_change wk_take_limit(struct wk *wk, const struct wire_limit *limit,
-			      enum wk_answer answer, int64_t sent_us,
-			      int64_t now)
+enum thr_change wk_apply_limit(struct wk *wk, const struct wire_limit *limit,
+			       enum wk_answer answer, int64_t sent_us,
+			       int64_t now)
 {
 	enum thr_change change = THR_SAME;
 
@@ -33,7 +33,7 @@
 	}
 	if (limit->word == WIRE_LIMIT_NAMED)
 		change = thr_named(&wk->thr, limit->per_s, now, now);
-	else if (answer == WK_ANSWER_SOUND)
+	else if (answer == WK_ANSWER_SUCCESS)
 		change = thr_not_named(&wk->thr, sent_us);
 	if (change != THR_SAME)
 		wk_log_limit(wk, change, wk_limit_sources[answer], now);
@@ -41,8 +41,8 @@
 }
 
 /* Takes a limit that the worker named to another router at named_us. */
-void wk_limit_from_peer(struct wk *wk, double limit, int64_t named_us,
-			int64_t now)
+void wk_apply_peer_limit(struct wk *wk, double limit, int64_t named_us,
+			 int64_t now)
 {
 	enum thr_change change = thr_named(&wk->thr, limit, named_us, now);
 
@@ -51,7 +51,7 @@
 }
 
 /* Ends a limit that was not named again for long. */
-void wk_limit_tick(struct wk *wk, int64_t now)
+void wk_expire_limit(struct wk *wk, int64_t now)
 {
 	if (thr_lapse(&wk->thr, now) == THR_ENDED)
 		wk_log_limit(wk, THR_ENDED, "", now);
@@ -70,13 +70,13 @@
 	char value[32] = "null";
 
 	if (change != THR_BEGAN && change != THR_ENDED &&
-	    now < wk->limit_log_us)
+	    now < wk->next_limit_log_us)
 		return;
-	wk->limit_log_us = now + WK_LIMIT_LOG_US;
+	wk->next_limit_log_us = now + WK_LIMIT_LOG_US;
 	if (wk->thr.limited)
 		snprintf(value, sizeof(value), "%.3f", wk->thr.limit);
 	jlog(LOG_WK_LIMIT,
 	     "\"worker\":\"%s\",\"address\":\"%s\",\"change\":\"%s\","
 	     "\"limit\":%s,\"source\":\"%s\"",
-	     wk->is.id, wk->is.address, changes[change], value, source);
+	     wk->entry.id, wk->entry.address, changes[change], value, source);
 }
--- a/src/wkp.c
+++ b/src/wkp.c
@@ -66,14 +66,14 @@
 };
 
 /* Takes the rate limit that any answer of a worker names, or does not name. */
-void wkp_take_limit(struct edge *edge, struct wk *wk,
-		    const struct hc_answer *answer, enum wk_answer kind,
-		    int64_t sent_us)
+void wkp_apply_limit(struct edge *edge, struct wk *wk,
+		     const struct hc_answer *answer, enum wk_answer kind,
+		     int64_t sent_us)
 {
 	struct wire_limit limit = pl_limit_decode(answer->headers);
 	int64_t now = clk_boot_us();
 
-	if (wk_take_limit(wk, &limit, kind, sent_us, now) != THR_SAME)
+	if (wk_apply_limit(wk, &limit, kind, sent_us, now) != THR_SAME)
 		thr_set_part(&wk->thr, hint_part(edge->hint, wk, now), now);
 }
 
@@ -81,7 +81,7 @@
  * Asks an engine for its report, or a plain worker for its health.  One
  * question at a time, and not again at once: each one is paid for.
  */
-void wkp_ask(struct edge *edge, struct wk *wk, int64_t now)
+void wkp_probe(struct edge *edge, struct wk *wk, int64_t now)
 {
 	if (!wk->probing && now - wk->probed_us >= WKP_AGAIN_US &&
 	    thr_may_ask(&wk->thr, wk->probed_us, now))
@@ -92,7 +92,7 @@
 static void wkp_start(struct edge *edge, struct wk *wk, bool fresh, int64_t now)
 {
 	int service =
-		edge->rt ? rt_service_named(edge->rt, wk->is.service) : -1;
+		edge->rt ? rt_service_named(edge->rt, wk->entry.service) : -1;
 	struct hc_send send = { 0 };
 	struct wkp_call *call;
 	struct hc_call *started;
@@ -114,7 +114,7 @@
 		"GET",
 		call->engine ? PL_REPORT_PATH
 			     : edge->rt->services[service].health_path,
-		wk->is.address, NULL);
+		wk->entry.address, NULL);
 	send.ops = &wkp_ops;
 	send.user = call;
 	send.fresh = fresh;
@@ -127,7 +127,7 @@
 		return;
 	}
 	thr_sent(&wk->thr, now);
-	call->wk = wk_hold(wk);
+	call->wk = wk_ref(wk);
 	wk->probing = true;
 	wk->unresponsive = false;
 	wk->probed_us = now;
@@ -146,10 +146,10 @@
 		if (wk->slowdown > WKP_SLOW && wk_alive(wk, now) &&
 		    now - wk->slowdown_us >= WKP_SLOW_AGAIN_US &&
 		    now - wk->probed_us >= WKP_SLOW_AGAIN_US)
-			wkp_ask(edge, wk, now);
-		if (wk->on_trial && now >= wk->suspect_until_us &&
+			wkp_probe(edge, wk, now);
+		if (wk->suspected && now >= wk->suspect_until_us &&
 		    wk_alive(wk, now))
-			wkp_ask(edge, wk, now);
+			wkp_probe(edge, wk, now);
 	}
 }
 
@@ -157,17 +157,17 @@
 static void wkp_unresponsive(struct wk *wk, int64_t now)
 {
 	wk->unresponsive = true;
-	wk_hold_off(wk, now);
+	wk_pause(wk, now);
 	jlog(LOG_WK_UNRESPONSIVE, "\"worker\":\"%s\",\"asked_ms_ago\":%d",
-	     wk->is.id, (int)((now - wk->probed_us) / MAG_US_PER_MS));
+	     wk->entry.id, (int)((now - wk->probed_us) / MAG_US_PER_MS));
 }
 
 static bool wkp_on_headers(void *user, const struct hc_answer *answer)
 {
 	struct wkp_call *call = user;
 
-	wkp_take_limit(call->edge, call->wk, answer, WK_ANSWER_QUESTION,
-		       call->wk->probed_us);
+	wkp_apply_limit(call->edge, call->wk, answer, WK_ANSWER_PROBE,
+			call->wk->probed_us);
 	call->status = answer->status;
 	return true;
 }
@@ -187,14 +187,14 @@
 	int64_t now = clk_boot_us();
 
 	wk->probing = false;
-	wk_drop(wk);
+	wk_unref(wk);
 	if (end == HC_WHOLE)
 		wk->unresponsive = false;
 	if (end == HC_WHOLE && call->engine) {
 		wkp_report(call, now);
 	} else if (end == HC_WHOLE) {
 		if (call->status == 200)
-			wk_clear(wk);
+			wk_clear_suspicion(wk);
 	} else if (end == HC_BROKEN && !call->fresh) {
 		/*
 		 * Workers drop idle connections without notice, and links
@@ -239,29 +239,30 @@
  */
 static void wkp_died(struct edge *edge, struct wk *wk, int64_t now)
 {
-	struct wk_victim *victim;
+	struct wk_interrupted *victim;
 	int suspects = 0;
 	bool suspect;
 	int i;
 
 	wk->died_us = now;
 	if (quar_have_common_cause(wkp_lost_together(edge, now))) {
-		memset(wk->victims, 0, sizeof(wk->victims));
+		memset(wk->interrupted, 0, sizeof(wk->interrupted));
 		return;
 	}
-	for (i = 0; i < WK_VICTIMS_MAX; i++) {
-		victim = &wk->victims[i];
+	for (i = 0; i < WK_INTERRUPTED_MAX; i++) {
+		victim = &wk->interrupted[i];
 		if (victim->at_us && now - victim->at_us < WKP_VICTIM_US &&
-		    quar_check(edge->quar, victim->print, now) != QUAR_CLEAR)
+		    quar_check(edge->quar, victim->fingerprint, now) !=
+			    QUAR_CLEAR)
 			suspects++;
 	}
-	for (i = 0; i < WK_VICTIMS_MAX; i++) {
-		victim = &wk->victims[i];
+	for (i = 0; i < WK_INTERRUPTED_MAX; i++) {
+		victim = &wk->interrupted[i];
 		if (!victim->at_us || now - victim->at_us >= WKP_VICTIM_US)
 			continue;
-		suspect = quar_check(edge->quar, victim->print, now) !=
+		suspect = quar_check(edge->quar, victim->fingerprint, now) !=
 			  QUAR_CLEAR;
-		quar_lost_endpoint(edge->quar, victim->print, 0,
+		quar_lost_endpoint(edge->quar, victim->fingerprint, 0,
 				   suspects == (suspect ? 1 : 0), now);
 		victim->at_us = 0;
 	}
@@ -277,22 +278,22 @@
 
 	if (call->status != 200 || pl_report_decode(text, len, &report)) {
 		jlog(LOG_WK_UNREAD, "\"worker\":\"%s\",\"status\":%d",
-		     wk->is.id, call->status);
+		     wk->entry.id, call->status);
 		return;
 	}
 	wk->reported_us = now;
 	wk->busy = report.busy;
 	wk->reported_held = report.memory_used;
-	wk->reported_firsts = report.running + report.waiting;
+	wk->reported_first_hops = report.running + report.waiting;
 	wk->orders_taken = report.orders_taken;
 	wk->slowdown = report.slowdown > 0 ? report.slowdown : 1;
 	wk->slowdown_us = now;
 	/* A report is older than an entry that has just come. */
-	if (now - wk->layers_us > WKP_REPORT_LAG_US)
+	if (now - wk->layers_changed_us > WKP_REPORT_LAG_US)
 		wk->layers = report.layers;
 	if (wk->ordered && !report.busy && wk->layers.from == wk->order.from &&
 	    wk->layers.to == wk->order.to)
 		wk->ordered = false;
-	wk_clear(wk);
+	wk_clear_suspicion(wk);
 	eq_on_report(call->edge, wk, &report, now);
 }
--- a/src/wkp.h
+++ b/src/wkp.h
@@ -7,10 +7,10 @@
 
 #include "edge.h"
 
-void wkp_take_limit(struct edge *edge, struct wk *wk,
-		    const struct hc_answer *answer, enum wk_answer kind,
-		    int64_t sent_us);
-void wkp_ask(struct edge *edge, struct wk *wk, int64_t now);
+void wkp_apply_limit(struct edge *edge, struct wk *wk,
+		     const struct hc_answer *answer, enum wk_answer kind,
+		     int64_t sent_us);
+void wkp_probe(struct edge *edge, struct wk *wk, int64_t now);
 void wkp_tick(struct edge *edge, int64_t now);
 
 #endif /* WKP_H */
