--- a/regress/check_chn.c
+++ b/regress/check_chn.c
@@ -18,7 +18,7 @@
 
 static struct chn_worker workers[WORKERS_MAX];
 static int count;
-static struct chn_want want;
+static struct chn_request want;
 
 /* "worker CENTRE FROM TO LAYER_US MEMORY HELD FIRSTS_LEFT" */
 static void add_worker(const char *line)
@@ -27,7 +27,8 @@
 
 	if (count < WORKERS_MAX &&
 	    sscanf(line, "%*s %d %d %d %lf %lf %lf %d", &w.centre, &w.from,
-		   &w.to, &w.layer_us, &w.memory, &w.held, &w.firsts_left) == 7)
+		   &w.to, &w.layer_us, &w.memory, &w.held,
+		   &w.first_hops_left) == 7)
 		workers[count++] = w;
 }
 
@@ -40,8 +41,8 @@
 	       &want.tokens, &cross);
 	want.hop_us = 250;
 	want.centre_us = 40000;
-	want.away_us = 8000;
-	want.may_cross = cross != 0;
+	want.remote_entry_us = 8000;
+	want.may_cross_centres = cross != 0;
 }
 
 /* Chooses, checks that the layers are tiled, and takes the memory. */
@@ -70,7 +71,7 @@
 		}
 		if (position != want.layers)
 			fprintf(out, "ends at %d\n", position);
-		workers[chain.hops[0].ref].firsts_left--;
+		workers[chain.hops[0].ref].first_hops_left--;
 		if (times > 1)
 			continue;
 		for (i = 0; i < chain.count; i++)
@@ -91,7 +92,7 @@
  */
 static void repair(const char *line, FILE *out)
 {
-	struct chn_first first = { 0, 0 };
+	struct chn_first_hop first = { 0, 0 };
 	struct chn_chain chain;
 	struct chn_worker *w;
 	int i;
@@ -105,13 +106,13 @@
 		w = &workers[chain.hops[i].ref];
 		fprintf(out, "%s%d=%d-%d", i ? " " : "", chain.hops[i].ref,
 			chain.hops[i].from, chain.hops[i].to);
-		if (w->keeps_from == chain.hops[i].from &&
-		    w->keeps_to == chain.hops[i].to)
+		if (w->retained_from == chain.hops[i].from &&
+		    w->retained_to == chain.hops[i].to)
 			continue;
 		w->held +=
 			want.tokens * (chain.hops[i].to - chain.hops[i].from);
-		w->backlog_us +=
-			w->read_us * (chain.hops[i].to - chain.hops[i].from);
+		w->prefill_backlog_us +=
+			w->prefill_us * (chain.hops[i].to - chain.hops[i].from);
 	}
 	fprintf(out, " crossings %d\n", chain.crossings);
 }
@@ -128,18 +129,19 @@
 	int n;
 	int i;
 
-	want.reads = true;
+	want.price_prefill = true;
 	for (n = 0; n < times; n++) {
 		if (chn_choose(&want, workers, count, &chain))
 			break;
 		taken[chain.hops[0].ref]++;
 		for (i = 0; i < chain.count; i++) {
 			w = &workers[chain.hops[i].ref];
-			w->backlog_us += w->read_us * (chain.hops[i].to -
-						       chain.hops[i].from);
+			w->prefill_backlog_us +=
+				w->prefill_us *
+				(chain.hops[i].to - chain.hops[i].from);
 		}
 	}
-	want.reads = false;
+	want.price_prefill = false;
 	for (i = 0; i < count; i++) {
 		if (taken[i] > 0)
 			fprintf(out, "worker %d takes %d\n", i, taken[i]);
@@ -252,7 +254,7 @@
 {
 	struct rush_stream *stream = &rush.streams[rush.running];
 	double size = 0.2 + 1.6 * mag_random_unit(&rush.seed);
-	struct chn_want wanted = want;
+	struct chn_request wanted = want;
 	const struct chn_hop *hop;
 	double *own;
 	int i;
@@ -369,8 +371,8 @@
 
 	if (sscanf(line, "%*s %d %d %d", &n, &from, &to) != 3 || n >= count)
 		return;
-	workers[n].keeps_from = from;
-	workers[n].keeps_to = to;
+	workers[n].retained_from = from;
+	workers[n].retained_to = to;
 }
 
 /* "reads US": every worker reads the stream through a layer in this time. */
@@ -381,7 +383,7 @@
 
 	sscanf(line, "%*s %lf", &us);
 	for (i = 0; i < count; i++)
-		workers[i].read_us = us;
+		workers[i].prefill_us = us;
 }
 
 static void print_held(FILE *out)
--- a/src/chn.c
+++ b/src/chn.c
@@ -22,17 +22,17 @@
  * that each worker has before it, they spread over the chains of all data
  * centres.
  */
-int chn_choose(const struct chn_want *want, const struct chn_worker *workers,
+int chn_choose(const struct chn_request *want, const struct chn_worker *workers,
 	       int count, struct chn_chain *chain)
 {
 	static _Thread_local struct chn_walk walk;
 
 	if (chn_walk_begin(&walk, want, workers, count))
-		return CHN_E_NONE;
+		return CHN_E_NO_CHAIN;
 	if (chn_solve(&walk, chain) == CHN_OK)
 		return CHN_OK;
-	if (!chn_covered(workers, count, want->layers))
-		return CHN_E_NONE;
+	if (!chn_covers_layers(workers, count, want->layers))
+		return CHN_E_NO_CHAIN;
 	walk.use_memory = false;
 	return chn_solve(&walk, chain) == CHN_OK ? CHN_E_MEMORY : CHN_E_SLOTS;
 }
@@ -48,7 +48,8 @@
  * every worker; repaired, through the new one only, which is why the reading
  * that a worker already has to do is part of its price.
  */
-int chn_repair(const struct chn_want *want, const struct chn_first *first,
+int chn_repair(const struct chn_request *want,
+	       const struct chn_first_hop *first,
 	       const struct chn_worker *workers, int count,
 	       struct chn_chain *chain)
 {
@@ -57,7 +58,7 @@
 	if (first->to <= 0 || first->to >= want->layers ||
 	    first->centre >= CHN_CENTRES_MAX ||
 	    chn_walk_begin(&walk, want, workers, count))
-		return CHN_E_NONE;
+		return CHN_E_NO_CHAIN;
 	walk.start = first->to;
 	walk.start_centre = first->centre;
 	if (first->centre >= walk.centres)
@@ -67,7 +68,7 @@
 }
 
 /* Tells whether every layer has a holder. */
-bool chn_covered(const struct chn_worker *workers, int count, int layers)
+bool chn_covers_layers(const struct chn_worker *workers, int count, int layers)
 {
 	int position = 0;
 	int reach;
@@ -95,7 +96,7 @@
 static int chn_solve(struct chn_walk *walk, struct chn_chain *chain)
 {
 	struct chn_chain found;
-	double best = CHN_FAR;
+	double best = CHN_INFINITE_COST;
 	double cost;
 	size_t i;
 	int rc;
@@ -111,7 +112,7 @@
 			best = cost;
 			*chain = found;
 		}
-		if (i == 0 && found.memory < CHN_NEGLIGIBLE)
+		if (i == 0 && found.memory_price < CHN_NEGLIGIBLE)
 			break;
 	}
 	return CHN_OK;
--- a/src/chn_int.h
+++ b/src/chn_int.h
@@ -5,23 +5,24 @@
 
 #include "chn.h"
 
-#define CHN_FAR 1e300
+#define CHN_INFINITE_COST 1e300
 
 /* The cheapest way to have run the layers before a position. */
 struct chn_step {
 	double cost;
-	int worker; /* the hop that ends here, -1: none */
-	int start;  /* where that hop began */
-	int before; /* data centre of the hop before it, -1: it is the first */
+	int worker;	     /* the hop that ends here, -1: none */
+	int start;	     /* where that hop began */
+	int previous_centre; /* data centre of the hop before it, -1: it is the
+				first */
 };
 
 struct chn_walk {
-	const struct chn_want *want;
+	const struct chn_request *request;
 	const struct chn_worker *workers;
 	int count;
 	int centres;
 	bool boundary[CHN_LAYERS_MAX + 1];
-	struct chn_step at[CHN_LAYERS_MAX + 1][CHN_CENTRES_MAX];
+	struct chn_step best[CHN_LAYERS_MAX + 1][CHN_CENTRES_MAX];
 	bool use_memory;
 	int start;	   /* layers before it stay where they are */
 	int start_centre;  /* data centre of the worker that runs them */
@@ -31,7 +32,7 @@
 };
 
 /* chn_walk.c */
-int chn_walk_begin(struct chn_walk *walk, const struct chn_want *want,
+int chn_walk_begin(struct chn_walk *walk, const struct chn_request *want,
 		   const struct chn_worker *workers, int count);
 int chn_walk_solve(struct chn_walk *walk, struct chn_chain *chain);
 
--- a/src/chn_price.c
+++ b/src/chn_price.c
@@ -10,7 +10,7 @@
 /* How steeply the price rises: its growth from an empty to a full worker. */
 #define CHN_PRICE_GROWTH 64.0
 
-static double chn_layer_us(const struct chn_want *want,
+static double chn_layer_us(const struct chn_request *want,
 			   const struct chn_worker *worker);
 static double chn_scarcity(const struct chn_worker *worker);
 
@@ -29,28 +29,29 @@
 	double layer_us;
 	int i;
 
-	walk->fastest_us = CHN_FAR;
+	walk->fastest_us = CHN_INFINITE_COST;
 	for (i = 0; i < walk->count; i++) {
-		layer_us = chn_layer_us(walk->want, &walk->workers[i]);
-		if (layer_us * walk->want->layers < walk->fastest_us)
-			walk->fastest_us = layer_us * walk->want->layers;
+		layer_us = chn_layer_us(walk->request, &walk->workers[i]);
+		if (layer_us * walk->request->layers < walk->fastest_us)
+			walk->fastest_us = layer_us * walk->request->layers;
 	}
 	for (i = 0; i < walk->count; i++) {
-		layer_us = chn_layer_us(walk->want, &walk->workers[i]);
-		walk->price[i] =
-			chn_scarcity(&walk->workers[i]) * walk->fastest_us /
-			(layer_us * walk->want->layers * walk->want->layers);
+		layer_us = chn_layer_us(walk->request, &walk->workers[i]);
+		walk->price[i] = chn_scarcity(&walk->workers[i]) *
+				 walk->fastest_us /
+				 (layer_us * walk->request->layers *
+				  walk->request->layers);
 	}
 }
 
 /* Returns what a chain costs: its time, and its memory for that time. */
 double chn_price_of_chain(const struct chn_chain *chain)
 {
-	return chain->token_us * (1 + chain->memory);
+	return chain->token_us * (1 + chain->memory_price);
 }
 
 /* Returns a token's time in one layer, its part of the next hop included. */
-static double chn_layer_us(const struct chn_want *want,
+static double chn_layer_us(const struct chn_request *want,
 			   const struct chn_worker *worker)
 {
 	int held = worker->to - worker->from;
--- a/src/chn_walk.c
+++ b/src/chn_walk.c
@@ -8,27 +8,27 @@
 			int *before);
 static bool chn_keeps(const struct chn_worker *worker, int from, int to);
 static double chn_read_cost(const struct chn_worker *worker, int from, int to);
-static bool chn_has_room(const struct chn_want *want,
+static bool chn_has_room(const struct chn_request *want,
 			 const struct chn_worker *worker, int layers);
 static int chn_trace(const struct chn_walk *walk, int centre,
 		     struct chn_chain *chain);
 static void chn_merge_repeats(struct chn_chain *chain);
 
 /* Prepares a search over some workers. */
-int chn_walk_begin(struct chn_walk *walk, const struct chn_want *want,
+int chn_walk_begin(struct chn_walk *walk, const struct chn_request *want,
 		   const struct chn_worker *workers, int count)
 {
 	int i;
 
 	if (want->layers > CHN_LAYERS_MAX || count > CHN_WORKERS_MAX)
-		return CHN_E_NONE;
-	walk->want = want;
+		return CHN_E_NO_CHAIN;
+	walk->request = want;
 	walk->workers = workers;
 	walk->count = count;
 	walk->centres = 1;
 	for (i = 0; i < count; i++) {
 		if (workers[i].centre >= CHN_CENTRES_MAX)
-			return CHN_E_NONE;
+			return CHN_E_NO_CHAIN;
 		if (workers[i].centre >= walk->centres)
 			walk->centres = workers[i].centre + 1;
 	}
@@ -46,9 +46,9 @@
 
 	memset(walk->boundary, 0, sizeof(walk->boundary));
 	walk->boundary[0] = true;
-	walk->boundary[walk->want->layers] = true;
+	walk->boundary[walk->request->layers] = true;
 	for (i = 0; i < walk->count; i++) {
-		if (walk->workers[i].to > walk->want->layers)
+		if (walk->workers[i].to > walk->request->layers)
 			continue;
 		walk->boundary[walk->workers[i].from] = true;
 		walk->boundary[walk->workers[i].to] = true;
@@ -58,19 +58,20 @@
 /* Finds the chain with the least sum of time and weighted memory. */
 int chn_walk_solve(struct chn_walk *walk, struct chn_chain *chain)
 {
-	int layers = walk->want->layers;
-	double best = CHN_FAR;
+	int layers = walk->request->layers;
+	double best = CHN_INFINITE_COST;
 	int centre = -1;
 	int position;
 	int i;
 
 	for (position = 0; position <= layers; position++) {
 		for (i = 0; i < walk->centres; i++)
-			walk->at[position][i] =
-				(struct chn_step){ CHN_FAR, -1, 0, -1 };
+			walk->best[position][i] =
+				(struct chn_step){ CHN_INFINITE_COST, -1, 0,
+						   -1 };
 	}
 	if (walk->start > 0)
-		walk->at[walk->start][walk->start_centre].cost = 0;
+		walk->best[walk->start][walk->start_centre].cost = 0;
 	for (position = walk->start; position < layers; position++) {
 		if (!walk->boundary[position])
 			continue;
@@ -81,13 +82,13 @@
 		}
 	}
 	for (i = 0; i < walk->centres; i++) {
-		if (walk->at[layers][i].cost < best) {
-			best = walk->at[layers][i].cost;
+		if (walk->best[layers][i].cost < best) {
+			best = walk->best[layers][i].cost;
 			centre = i;
 		}
 	}
 	if (centre < 0)
-		return CHN_E_NONE;
+		return CHN_E_NO_CHAIN;
 	return chn_trace(walk, centre, chain);
 }
 
@@ -103,25 +104,25 @@
 	int end;
 
 	enter = chn_enter(walk, position, worker, &before);
-	if (enter >= CHN_FAR)
+	if (enter >= CHN_INFINITE_COST)
 		return;
-	for (end = position + 1; end <= w->to && end <= walk->want->layers;
+	for (end = position + 1; end <= w->to && end <= walk->request->layers;
 	     end++) {
 		if (!walk->boundary[end])
 			continue;
 		if (walk->use_memory && !chn_keeps(w, position, end) &&
-		    !chn_has_room(walk->want, w, end - position))
+		    !chn_has_room(walk->request, w, end - position))
 			continue;
 		cost = enter + layer * (end - position);
-		if (walk->start > 0 || walk->want->reads)
+		if (walk->start > 0 || walk->request->price_prefill)
 			cost += chn_read_cost(w, position, end);
-		step = &walk->at[end][w->centre];
+		step = &walk->best[end][w->centre];
 		if (cost >= step->cost)
 			continue;
 		step->cost = cost;
 		step->worker = worker;
 		step->start = position;
-		step->before = before;
+		step->previous_centre = before;
 	}
 }
 
@@ -129,21 +130,22 @@
 static double chn_enter(const struct chn_walk *walk, int position, int worker,
 			int *before)
 {
-	const struct chn_want *want = walk->want;
+	const struct chn_request *want = walk->request;
 	const struct chn_worker *w = &walk->workers[worker];
-	double best = CHN_FAR;
+	double best = CHN_INFINITE_COST;
 	double cost;
 	int i;
 
 	*before = -1;
 	if (position == 0) {
-		if (w->firsts_left <= 0)
-			return CHN_FAR;
-		return want->centre == w->centre ? 0 : want->away_us;
+		if (w->first_hops_left <= 0)
+			return CHN_INFINITE_COST;
+		return want->centre == w->centre ? 0 : want->remote_entry_us;
 	}
 	for (i = 0; i < walk->centres; i++) {
-		cost = walk->at[position][i].cost;
-		if (cost >= CHN_FAR || (i != w->centre && !want->may_cross))
+		cost = walk->best[position][i].cost;
+		if (cost >= CHN_INFINITE_COST ||
+		    (i != w->centre && !want->may_cross_centres))
 			continue;
 		cost += i == w->centre ? want->hop_us : want->centre_us;
 		if (cost < best) {
@@ -157,7 +159,7 @@
 /* Tells whether a worker runs just these layers of the stream already. */
 static bool chn_keeps(const struct chn_worker *worker, int from, int to)
 {
-	return worker->keeps_from == from && worker->keeps_to == to;
+	return worker->retained_from == from && worker->retained_to == to;
 }
 
 /* Time until a worker has read the stream so far through new layers. */
@@ -165,10 +167,10 @@
 {
 	if (chn_keeps(worker, from, to))
 		return 0;
-	return worker->backlog_us + worker->read_us * (to - from);
+	return worker->prefill_backlog_us + worker->prefill_us * (to - from);
 }
 
-static bool chn_has_room(const struct chn_want *want,
+static bool chn_has_room(const struct chn_request *want,
 			 const struct chn_worker *worker, int layers)
 {
 	double limit = want->yields ? CHN_YIELD_LIMIT : CHN_MEMORY_LIMIT;
@@ -182,32 +184,33 @@
 {
 	struct chn_hop back[CHN_LAYERS_MAX];
 	const struct chn_step *step;
-	int position = walk->want->layers;
-	double cost = walk->at[position][centre].cost;
+	int position = walk->request->layers;
+	double cost = walk->best[position][centre].cost;
 	int count = 0;
 	int i;
 
 	chain->crossings = 0;
-	chain->memory = 0;
+	chain->memory_price = 0;
 	while (position > walk->start) {
-		step = &walk->at[position][centre];
-		if (step->before >= 0 && step->before != centre)
+		step = &walk->best[position][centre];
+		if (step->previous_centre >= 0 &&
+		    step->previous_centre != centre)
 			chain->crossings++;
 		back[count].ref = walk->workers[step->worker].ref;
 		back[count].from = step->start;
 		back[count].to = position;
-		chain->memory +=
+		chain->memory_price +=
 			walk->price[step->worker] * (position - step->start);
 		count++;
 		position = step->start;
-		centre = step->before;
+		centre = step->previous_centre;
 	}
 	if (count > CHN_HOPS_MAX)
-		return CHN_E_NONE;
+		return CHN_E_NO_CHAIN;
 	for (i = 0; i < count; i++)
 		chain->hops[i] = back[count - 1 - i];
 	chain->count = count;
-	chain->token_us = cost - walk->weight_us * chain->memory;
+	chain->token_us = cost - walk->weight_us * chain->memory_price;
 	chn_merge_repeats(chain);
 	return CHN_OK;
 }
--- a/src/eq_chain.c
+++ b/src/eq_chain.c
@@ -30,7 +30,7 @@
 
 static bool eq_covered(struct edge *edge, const struct rt_service *service,
 		       int64_t now);
-static void eq_chain_want(struct eq *eq, struct chn_want *want, int64_t now);
+static void eq_chain_want(struct eq *eq, struct chn_request *want, int64_t now);
 static int eq_chain_workers(struct eq *eq, const struct eq_hop *first,
 			    int64_t now);
 static void eq_reads(const struct eq *eq, int listed, int layers, int64_t now);
@@ -47,7 +47,7 @@
 enum eq_choice eq_choose_chain(struct eq *eq, int64_t now)
 {
 	struct edge *edge = eq->edge;
-	struct chn_want want;
+	struct chn_request want;
 	struct chn_chain chain;
 	int count;
 	int rc;
@@ -57,7 +57,7 @@
 	count = eq_chain_workers(eq, NULL, now);
 	rc = chn_choose(&want, eq_list, count, &chain);
 	if (rc)
-		return rc == CHN_E_NONE ? EQ_NONE : EQ_BUSY;
+		return rc == CHN_E_NO_CHAIN ? EQ_NONE : EQ_BUSY;
 	edge->cross_bytes -= eq_handed_bytes(eq, chain.crossings);
 	for (i = 0; i < chain.count; i++) {
 		eq_reads(eq, chain.hops[i].ref,
@@ -76,8 +76,8 @@
 {
 	struct edge *edge = eq->edge;
 	const struct eq_hop *hop = &eq->hops[0];
-	struct chn_first first;
-	struct chn_want want;
+	struct chn_first_hop first;
+	struct chn_request want;
 	struct chn_chain rest;
 	int count;
 
@@ -178,10 +178,10 @@
 		eq_list[count].from = wk->layers.from;
 		eq_list[count++].to = wk->layers.to;
 	}
-	return chn_covered(eq_list, count, service->engine.layers);
+	return chn_covers_layers(eq_list, count, service->engine.layers);
 }
 
-static void eq_chain_want(struct eq *eq, struct chn_want *want, int64_t now)
+static void eq_chain_want(struct eq *eq, struct chn_request *want, int64_t now)
 {
 	struct room_request request = eq_room(eq);
 	struct edge *edge = eq->edge;
@@ -191,10 +191,11 @@
 	want->tokens = room_tokens(&request);
 	want->hop_us = CHN_HOP_US;
 	want->centre_us = EQ_CENTRE_US;
-	want->away_us = EQ_AWAY_US;
-	want->reads = eq->state == EQ_STREAMS;
+	want->remote_entry_us = EQ_AWAY_US;
+	want->price_prefill = eq->state == EQ_STREAMS;
 	want->yields = eq->last_event < 0 && now >= eq->aim_us;
-	want->may_cross = edge_may_cross(edge, &eq->service->engine, now);
+	want->may_cross_centres =
+		edge_may_cross(edge, &eq->service->engine, now);
 }
 
 /* Returns the bytes that a stream hands on between data centres. */
@@ -251,12 +252,13 @@
 		w->memory =
 			spare_mb * 1e6 * engine->layers / engine->token_bytes;
 		eq_known_load(eq, wk, now, w);
-		w->keeps_from = keeps ? keeps->from : 0;
-		w->keeps_to = keeps ? keeps->to : 0;
-		w->read_us = eq_read_us(eq, kind) * wk->slowdown;
-		w->backlog_us = wk->prefill_until_us > now
-					? (double)(wk->prefill_until_us - now)
-					: 0;
+		w->retained_from = keeps ? keeps->from : 0;
+		w->retained_to = keeps ? keeps->to : 0;
+		w->prefill_us = eq_read_us(eq, kind) * wk->slowdown;
+		w->prefill_backlog_us =
+			wk->prefill_until_us > now
+				? (double)(wk->prefill_until_us - now)
+				: 0;
 	}
 	return count;
 }
@@ -298,7 +300,7 @@
 
 	if (wk->prefill_until_us < now)
 		wk->prefill_until_us = now;
-	wk->prefill_until_us += (int64_t)(eq_list[listed].read_us * layers *
+	wk->prefill_until_us += (int64_t)(eq_list[listed].prefill_us * layers *
 					  edge_routers_here(eq->edge));
 }
 
@@ -356,11 +358,11 @@
 	    wk->reported_first_hops > firsts)
 		firsts = wk->reported_first_hops;
 	w->held = room_held(&known, now);
-	w->firsts_left = wk->entry.slots - firsts;
+	w->first_hops_left = wk->entry.slots - firsts;
 	/* A worker at its rate limit has no room for anything. */
 	if (!thr_may_send(&wk->thr, now)) {
 		w->memory = 0;
-		w->firsts_left = 0;
+		w->first_hops_left = 0;
 	}
 }
 
