--- a/regress/check_lay.c
+++ b/regress/check_lay.c
@@ -29,8 +29,8 @@
 	int i;
 
 	for (i = 0; i < count; i++) {
-		cards[i].from = cards[i].want_from;
-		cards[i].to = cards[i].want_to;
+		cards[i].from = cards[i].planned_from;
+		cards[i].to = cards[i].planned_to;
 	}
 }
 
@@ -48,9 +48,9 @@
 
 	for (i = 0; i < count; i++)
 		fprintf(out, "card %d centre %d mb %.0f holds %d-%d%s\n", i,
-			cards[i].centre, cards[i].memory_mb, cards[i].want_from,
-			cards[i].want_to,
-			(cards[i].want_to - cards[i].want_from) *
+			cards[i].centre, cards[i].memory_mb,
+			cards[i].planned_from, cards[i].planned_to,
+			(cards[i].planned_to - cards[i].planned_from) *
 						model.layer_mb >
 					cards[i].memory_mb
 				? " too much"
@@ -60,14 +60,14 @@
 /* Says how each data centre stands; a layer without holder is a hole. */
 static void print_cover(FILE *out, int centre)
 {
-	struct lay_cover cover;
+	struct lay_bottleneck cover;
 	double value;
 	int weakest;
 
-	lay_least(&model, cards, count, centre, &cover);
+	lay_find_bottleneck(&model, cards, count, centre, &cover);
 	fprintf(out, "centre %d least layer %d holders %d tokens %.0f\n",
 		centre, cover.layer, cover.holders, cover.tokens);
-	value = lay_value(&model, cards, count, centre, &weakest);
+	value = lay_capacity_score(&model, cards, count, centre, &weakest);
 	fprintf(out, "centre %d value %.0f weakest %d\n", centre, value,
 		weakest);
 }
@@ -75,7 +75,7 @@
 /* Loses each card alone and counts the losses that leave a hole. */
 static void print_single_losses(FILE *out, int centre)
 {
-	struct lay_cover cover;
+	struct lay_bottleneck cover;
 	int holes = 0;
 	int all = 0;
 	int i;
@@ -84,7 +84,7 @@
 		if (cards[i].centre != centre)
 			continue;
 		cards[i].usable = false;
-		lay_least(&model, cards, count, centre, &cover);
+		lay_find_bottleneck(&model, cards, count, centre, &cover);
 		cards[i].usable = true;
 		all++;
 		holes += cover.holders == 0;
@@ -104,7 +104,7 @@
 			continue;
 		fprintf(out, "> %s", line);
 		if (sscanf(line, "model %d %lf %lf %d %lf", &model.layers,
-			   &model.layer_mb, &model.token_mb, &model.places,
+			   &model.layer_mb, &model.token_mb, &model.slots,
 			   &model.request_tokens) == 5)
 			continue;
 		if (strncmp(line, "card ", 5) == 0)
--- a/src/lay.c
+++ b/src/lay.c
@@ -45,18 +45,19 @@
 	if (model->layers > LAY_LAYERS_MAX || count > LAY_CARDS_MAX)
 		return;
 	for (i = 0; i < count; i++) {
-		cards[i].want_from = cards[i].from;
-		cards[i].want_to = cards[i].to;
+		cards[i].planned_from = cards[i].from;
+		cards[i].planned_to = cards[i].to;
 	}
-	if (lay_is_fresh(cards, count) &&
+	if (lay_is_empty(cards, count) &&
 	    lay_assign_all(model, cards, count) == 0)
 		return;
 	lay_repair(model, cards, count, widen);
 }
 
 /* Finds the layer of a data centre with room for the fewest tokens. */
-void lay_least(const struct lay_model *model, const struct lay_card *cards,
-	       int count, int centre, struct lay_cover *cover)
+void lay_find_bottleneck(const struct lay_model *model,
+			 const struct lay_card *cards, int count, int centre,
+			 struct lay_bottleneck *cover)
 {
 	double tokens;
 	int holders;
@@ -91,7 +92,7 @@
 }
 
 /* Tells whether no card holds any layer. */
-bool lay_is_fresh(const struct lay_card *cards, int count)
+bool lay_is_empty(const struct lay_card *cards, int count)
 {
 	int i;
 
@@ -116,7 +117,8 @@
 	int i;
 
 	for (i = 0; i < count; i++) {
-		if (!cards[i].usable || cards[i].want_from != cards[i].want_to)
+		if (!cards[i].usable ||
+		    cards[i].planned_from != cards[i].planned_to)
 			continue;
 		pool[left++] = &cards[i];
 		memory += cards[i].memory_mb;
@@ -170,7 +172,7 @@
 static int lay_assign_group(const struct lay_model *model,
 			    struct lay_card **group, int count)
 {
-	double wanted = lay_wanted(model);
+	double wanted = lay_target_tokens(model);
 	int assigned = 0;
 	int used;
 	int step;
@@ -204,7 +206,7 @@
 	int i;
 
 	while (used < count && used < LAY_CARDS_A_COPY && left > 0) {
-		widths[used] = lay_beside(model, copy[used], wanted);
+		widths[used] = lay_layers_beside(model, copy[used], wanted);
 		if (widths[used] > left)
 			widths[used] = left;
 		left -= widths[used];
@@ -214,15 +216,16 @@
 		return 0;
 	lay_even_out(copy, used, widths);
 	for (i = 0; i < used; i++) {
-		copy[i]->want_from = position;
+		copy[i]->planned_from = position;
 		position += widths[i];
-		copy[i]->want_to = position;
+		copy[i]->planned_to = position;
 	}
 	/* The last card backs the one before it up with what it has left. */
-	copy[used - 1]->want_from =
-		model->layers - lay_beside(model, copy[used - 1], wanted);
-	if (copy[used - 1]->want_from < 0)
-		copy[used - 1]->want_from = 0;
+	copy[used - 1]->planned_from =
+		model->layers -
+		lay_layers_beside(model, copy[used - 1], wanted);
+	if (copy[used - 1]->planned_from < 0)
+		copy[used - 1]->planned_from = 0;
 	return used;
 }
 
@@ -253,24 +256,24 @@
 }
 
 /* Returns the tokens for which a card is to have memory. */
-double lay_wanted(const struct lay_model *model)
+double lay_target_tokens(const struct lay_model *model)
 {
-	return LAY_PEAK * model->places * model->request_tokens;
+	return LAY_PEAK * model->slots * model->request_tokens;
 }
 
 /* Returns the layers that fit beside the memory of so many tokens. */
-int lay_beside(const struct lay_model *model, const struct lay_card *card,
-	       double tokens)
+int lay_layers_beside(const struct lay_model *model,
+		      const struct lay_card *card, double tokens)
 {
 	int fit = (int)(card->memory_mb /
 			(model->layer_mb + tokens * model->token_mb));
-	int most = lay_most(model, card);
+	int most = lay_max_layers(model, card);
 
 	return fit < most ? fit : most;
 }
 
 /* Returns the most layers that a card may hold. */
-int lay_most(const struct lay_model *model, const struct lay_card *card)
+int lay_max_layers(const struct lay_model *model, const struct lay_card *card)
 {
 	return (int)(card->memory_mb * LAY_CARD_SHARE / model->layer_mb);
 }
@@ -302,7 +305,7 @@
 static double lay_layer_cost(const struct lay_model *model,
 			     const struct lay_card *card)
 {
-	int most = lay_most(model, card);
+	int most = lay_max_layers(model, card);
 
 	return card->step_factor * model->layer_us +
 	       model->hop_us / (most > 0 ? most : 1);
--- a/src/lay_balance.c
+++ b/src/lay_balance.c
@@ -72,8 +72,9 @@
  * Returns how much a data centre can run: the tokens of its least layer, and
  * a part of those that are left there after the loss of one card.
  */
-double lay_value(const struct lay_model *model, const struct lay_card *cards,
-		 int count, int centre, int *weakest)
+double lay_capacity_score(const struct lay_model *model,
+			  const struct lay_card *cards, int count, int centre,
+			  int *weakest)
 {
 	struct lay_tally tally;
 
@@ -123,14 +124,14 @@
 	best.value = value * (1 + gain);
 	for (i = 0; i < count; i++) {
 		if (cards[i].centre == centre && cards[i].usable &&
-		    cards[i].want_from < cards[i].want_to)
+		    cards[i].planned_from < cards[i].planned_to)
 			lay_try_card(model, &tally, cards, i, weakest,
 				     fresh ? 0 : value, &best);
 	}
 	if (best.card < 0)
 		return false;
-	cards[best.card].want_from = best.from;
-	cards[best.card].want_to = best.to;
+	cards[best.card].planned_from = best.from;
+	cards[best.card].planned_to = best.to;
 	return true;
 }
 
@@ -147,7 +148,7 @@
 	for (i = 0; i < count; i++) {
 		if (cards[i].centre != centre || !cards[i].usable)
 			continue;
-		for (k = cards[i].want_from; k < cards[i].want_to; k++)
+		for (k = cards[i].planned_from; k < cards[i].planned_to; k++)
 			lay_add(tally, k, i, lay_part(model, &cards[i], k));
 	}
 }
@@ -234,8 +235,8 @@
 {
 	const struct lay_card *was = &cards[at];
 	struct lay_card moved = *was;
-	int now = was->want_to - was->want_from;
-	int most = lay_most(model, was);
+	int now = was->planned_to - was->planned_from;
+	int most = lay_max_layers(model, was);
 	double value;
 	int width;
 	int from;
@@ -246,8 +247,8 @@
 		for (from = weakest - width + 1; from <= weakest; from++) {
 			if (from < 0 || from + width > model->layers)
 				continue;
-			moved.want_from = from;
-			moved.want_to = from + width;
+			moved.planned_from = from;
+			moved.planned_to = from + width;
 			value = lay_worth_moved(model, tally, was, &moved, at);
 			if (value <= best->value ||
 			    !lay_may_leave(model, tally, was, &moved, least))
@@ -270,9 +271,9 @@
 
 	for (i = 0; i < count; i++) {
 		if (cards[i].centre == centre && cards[i].usable &&
-		    (cards[i].moving || cards[i].suspect ||
-		     cards[i].from != cards[i].want_from ||
-		     cards[i].to != cards[i].want_to))
+		    (cards[i].order_pending || cards[i].suspect ||
+		     cards[i].from != cards[i].planned_from ||
+		     cards[i].to != cards[i].planned_to))
 			return false;
 	}
 	return true;
@@ -289,7 +290,7 @@
 {
 	int k;
 
-	for (k = was->want_from; k < was->want_to; k++) {
+	for (k = was->planned_from; k < was->planned_to; k++) {
 		if (!lay_holds(moved, k) &&
 		    tally->sum[k] - lay_part(model, was, k) < least)
 			return false;
@@ -299,7 +300,7 @@
 
 static bool lay_holds(const struct lay_card *card, int layer)
 {
-	return layer >= card->want_from && layer < card->want_to;
+	return layer >= card->planned_from && layer < card->planned_to;
 }
 
 /*
@@ -309,10 +310,10 @@
 static double lay_part(const struct lay_model *model,
 		       const struct lay_card *card, int layer)
 {
-	int held = card->want_to - card->want_from;
+	int held = card->planned_to - card->planned_from;
 	double tokens = (card->memory_mb - held * model->layer_mb) /
 			(held * model->token_mb);
-	double places = model->places * model->request_tokens;
+	double places = model->slots * model->request_tokens;
 
 	if (tokens < 0)
 		tokens = 0;
--- a/src/lay_reassign.c
+++ b/src/lay_reassign.c
@@ -23,17 +23,17 @@
 
 	for (i = 0; i < count; i++) {
 		if (cards[i].centre == centre && cards[i].usable &&
-		    cards[i].moving)
+		    cards[i].order_pending)
 			return false;
 	}
 	for (i = 0; i < count; i++) {
 		if (cards[i].centre != centre || !cards[i].usable)
 			continue;
-		cards[i].want_from = 0;
-		cards[i].want_to = 0;
+		cards[i].planned_from = 0;
+		cards[i].planned_to = 0;
 	}
 	lay_assign_centre(model, cards, count, centre);
-	if (!lay_is_whole(model, cards, count, centre))
+	if (!lay_is_complete(model, cards, count, centre))
 		return false;
 	lay_keep_order(cards, count, centre);
 	return true;
@@ -79,13 +79,13 @@
 		wanted[i] = kind[i];
 	qsort(wanted, (size_t)size, sizeof(struct lay_card *), lay_by_wanted);
 	for (i = 0; i < size; i++) {
-		from[i] = wanted[i]->want_from;
-		to[i] = wanted[i]->want_to;
+		from[i] = wanted[i]->planned_from;
+		to[i] = wanted[i]->planned_to;
 	}
 	qsort(kind, (size_t)size, sizeof(struct lay_card *), lay_by_held);
 	for (i = 0; i < size; i++) {
-		kind[i]->want_from = from[i];
-		kind[i]->want_to = to[i];
+		kind[i]->planned_from = from[i];
+		kind[i]->planned_to = to[i];
 	}
 }
 
@@ -102,6 +102,7 @@
 	const struct lay_card *x = *(struct lay_card *const *)a;
 	const struct lay_card *y = *(struct lay_card *const *)b;
 
-	return x->want_from != y->want_from ? x->want_from - y->want_from
-					    : (x > y) - (x < y);
+	return x->planned_from != y->planned_from
+		       ? x->planned_from - y->planned_from
+		       : (x > y) - (x < y);
 }
--- a/src/lay_repair.c
+++ b/src/lay_repair.c
@@ -30,9 +30,9 @@
 static void lay_restore(struct lay_card *cards, int count,
 			const struct lay_want *saved);
 static void lay_lacks(const struct lay_model *model, double *cover);
-static void lay_cover(const struct lay_model *model,
-		      const struct lay_card *cards, int count, int centre,
-		      double *cover);
+static void lay_sum_memory(const struct lay_model *model,
+			   const struct lay_card *cards, int count, int centre,
+			   double *cover);
 static void lay_widen(const struct lay_model *model, struct lay_card *cards,
 		      int count, int centre);
 static void lay_move(const struct lay_model *model, struct lay_card *cards,
@@ -57,7 +57,8 @@
 	int i;
 
 	for (i = 0; i < count; i++) {
-		if (cards[i].usable && cards[i].want_from == cards[i].want_to)
+		if (cards[i].usable &&
+		    cards[i].planned_from == cards[i].planned_to)
 			lay_fill(model, cards, count, &cards[i]);
 	}
 	for (centre = 0; widen && centre < LAY_CENTRES_MAX; centre++) {
@@ -94,8 +95,8 @@
 	int i;
 
 	for (i = 0; i < count; i++) {
-		saved[i].from = cards[i].want_from;
-		saved[i].to = cards[i].want_to;
+		saved[i].from = cards[i].planned_from;
+		saved[i].to = cards[i].planned_to;
 	}
 }
 
@@ -105,19 +106,19 @@
 	int i;
 
 	for (i = 0; i < count; i++) {
-		cards[i].want_from = saved[i].from;
-		cards[i].want_to = saved[i].to;
+		cards[i].planned_from = saved[i].from;
+		cards[i].planned_to = saved[i].to;
 	}
 }
 
 /* Tells whether every layer is to have a holder in a data centre. */
-bool lay_is_whole(const struct lay_model *model, const struct lay_card *cards,
-		  int count, int centre)
+bool lay_is_complete(const struct lay_model *model,
+		     const struct lay_card *cards, int count, int centre)
 {
 	double cover[LAY_LAYERS_MAX] = { 0 };
 	int i;
 
-	lay_cover(model, cards, count, centre, cover);
+	lay_sum_memory(model, cards, count, centre, cover);
 	for (i = 0; i < model->layers && cover[i] > 0; i++)
 		;
 	return i == model->layers;
@@ -147,19 +148,19 @@
 	double all[LAY_LAYERS_MAX] = { 0 };
 	double alone[LAY_LAYERS_MAX] = { 0 };
 	double best = -1;
-	double wanted = lay_wanted(model);
+	double wanted = lay_target_tokens(model);
 	double lacks;
 	int width;
 	int start;
 	int i;
 
-	width = lay_beside(model, card, wanted);
+	width = lay_layers_beside(model, card, wanted);
 	if (width < 1)
 		width = 1;
 	if (width > model->layers)
 		width = model->layers;
-	lay_cover(model, cards, count, card->centre, near);
-	lay_cover(model, cards, count, -1, all);
+	lay_sum_memory(model, cards, count, card->centre, near);
+	lay_sum_memory(model, cards, count, -1, all);
 	lay_lacks(model, near);
 	lay_lacks(model, all);
 	lay_alone(model, cards, count, card->centre, alone);
@@ -171,21 +172,22 @@
 				 LAY_ELSEWHERE * all[i];
 		if (lacks > best) {
 			best = lacks;
-			card->want_from = start;
-			card->want_to = start + width;
+			card->planned_from = start;
+			card->planned_to = start + width;
 		}
 	}
 	/*
 	 * A hole that is not closed whole serves nobody; but a card without
 	 * memory for requests serves few, so the rest is left to others.
 	 */
-	width = lay_beside(model, card, wanted * LAY_BACK_UP);
-	while (card->want_to < model->layers && near[card->want_to] >= 1 &&
-	       card->want_to - card->want_from < width)
-		card->want_to++;
-	while (card->want_from > 0 && near[card->want_from - 1] >= 1 &&
-	       card->want_to - card->want_from < width)
-		card->want_from--;
+	width = lay_layers_beside(model, card, wanted * LAY_BACK_UP);
+	while (card->planned_to < model->layers &&
+	       near[card->planned_to] >= 1 &&
+	       card->planned_to - card->planned_from < width)
+		card->planned_to++;
+	while (card->planned_from > 0 && near[card->planned_from - 1] >= 1 &&
+	       card->planned_to - card->planned_from < width)
+		card->planned_from--;
 }
 
 /*
@@ -203,10 +205,10 @@
 	int k;
 
 	for (i = 0; i < count; i++) {
-		held = cards[i].want_to - cards[i].want_from;
+		held = cards[i].planned_to - cards[i].planned_from;
 		if (!cards[i].usable || held <= 0 || cards[i].centre != centre)
 			continue;
-		for (k = cards[i].want_from; k < cards[i].want_to; k++) {
+		for (k = cards[i].planned_from; k < cards[i].planned_to; k++) {
 			holders[k]++;
 			alone[k] = 1.0 / held;
 		}
@@ -239,9 +241,9 @@
  * Sums for each layer the request memory of its holders, in one data centre
  * or in all (centre -1), with the plan as it stands.
  */
-static void lay_cover(const struct lay_model *model,
-		      const struct lay_card *cards, int count, int centre,
-		      double *cover)
+static void lay_sum_memory(const struct lay_model *model,
+			   const struct lay_card *cards, int count, int centre,
+			   double *cover)
 {
 	double part;
 	int held;
@@ -249,12 +251,12 @@
 	int k;
 
 	for (i = 0; i < count; i++) {
-		held = cards[i].want_to - cards[i].want_from;
+		held = cards[i].planned_to - cards[i].planned_from;
 		if (!cards[i].usable || held <= 0 ||
 		    (centre >= 0 && cards[i].centre != centre))
 			continue;
 		part = (cards[i].memory_mb - held * model->layer_mb) / held;
-		for (k = cards[i].want_from; k < cards[i].want_to; k++)
+		for (k = cards[i].planned_from; k < cards[i].planned_to; k++)
 			cover[k] += part > 1 ? part : 1;
 	}
 }
@@ -274,7 +276,7 @@
 	bool grew;
 	int i;
 
-	lay_cover(model, cards, count, centre, cover);
+	lay_sum_memory(model, cards, count, centre, cover);
 	for (i = 0; i < model->layers && cover[i] <= 0; i++)
 		;
 	if (i == model->layers)
@@ -283,22 +285,22 @@
 		grew = false;
 		for (i = 0; i < count; i++) {
 			card = &cards[i];
-			most = lay_most(model, card);
+			most = lay_max_layers(model, card);
 			if (!card->usable || card->centre != centre ||
-			    card->want_from == card->want_to ||
-			    card->want_to - card->want_from >= most)
+			    card->planned_from == card->planned_to ||
+			    card->planned_to - card->planned_from >= most)
 				continue;
-			position = card->want_to;
+			position = card->planned_to;
 			if (position < model->layers && cover[position] <= 0) {
 				cover[position] = 1;
-				card->want_to++;
+				card->planned_to++;
 				grew = true;
 				continue;
 			}
-			position = card->want_from - 1;
+			position = card->planned_from - 1;
 			if (position >= 0 && cover[position] <= 0) {
 				cover[position] = 1;
-				card->want_from--;
+				card->planned_from--;
 				grew = true;
 			}
 		}
@@ -330,10 +332,10 @@
 	if (!lay_first_hole(model, cards, count, centre, &hole_from, &hole_to))
 		return;
 	for (i = 0; i < count; i++) {
-		width = cards[i].want_to - cards[i].want_from;
+		width = cards[i].planned_to - cards[i].planned_from;
 		if (cards[i].centre != centre || !cards[i].usable ||
-		    cards[i].from != cards[i].want_from ||
-		    cards[i].to != cards[i].want_to ||
+		    cards[i].from != cards[i].planned_from ||
+		    cards[i].to != cards[i].planned_to ||
 		    width < hole_to - hole_from)
 			continue;
 		from = lay_window(model, &cards[i], hole_from, hole_to);
@@ -350,9 +352,9 @@
 	}
 	if (best < 0)
 		return;
-	width = cards[best].want_to - cards[best].want_from;
-	cards[best].want_from = best_from;
-	cards[best].want_to = best_from + width;
+	width = cards[best].planned_to - cards[best].planned_from;
+	cards[best].planned_from = best_from;
+	cards[best].planned_to = best_from + width;
 }
 
 /* Finds the first run of layers that nobody of a data centre is to hold. */
@@ -364,7 +366,7 @@
 	bool any = false;
 	int i;
 
-	lay_cover(model, cards, count, centre, cover);
+	lay_sum_memory(model, cards, count, centre, cover);
 	for (i = 0; i < model->layers; i++)
 		any |= cover[i] > 0;
 	for (*from = 0; *from < model->layers && cover[*from] > 0; (*from)++)
@@ -378,8 +380,8 @@
 static int lay_window(const struct lay_model *model,
 		      const struct lay_card *card, int from, int to)
 {
-	int width = card->want_to - card->want_from;
-	int start = card->want_from;
+	int width = card->planned_to - card->planned_from;
+	int start = card->planned_from;
 
 	if (start > from)
 		start = from;
@@ -398,13 +400,14 @@
 	int layer;
 	int i;
 
-	for (layer = cards[at].want_from; layer < cards[at].want_to; layer++) {
+	for (layer = cards[at].planned_from; layer < cards[at].planned_to;
+	     layer++) {
 		held = layer >= from && layer < to;
 		for (i = 0; i < count && !held; i++)
 			held = i != at && cards[i].usable &&
 			       cards[i].centre == cards[at].centre &&
-			       cards[i].want_from <= layer &&
-			       cards[i].want_to > layer;
+			       cards[i].planned_from <= layer &&
+			       cards[i].planned_to > layer;
 		if (!held)
 			return false;
 	}
--- a/src/plr.c
+++ b/src/plr.c
@@ -103,7 +103,7 @@
 	int i;
 
 	count = plr_cards(edge, service, cards, workers, now);
-	fresh = lay_is_fresh(cards, count);
+	fresh = lay_is_empty(cards, count);
 	if (fresh && now - edge->workers.last_added_us < PLR_SETTLE_US)
 		return;
 	for (i = 0; i < edge->centre_count; i++) {
@@ -119,8 +119,8 @@
 		 hole && now - *hole_since_us > PLR_WIDEN_US);
 	plr_balance(edge, index, &model, cards, count, fresh, now);
 	for (i = 0; i < count; i++) {
-		range = (struct wire_range){ cards[i].want_from,
-					     cards[i].want_to };
+		range = (struct wire_range){ cards[i].planned_from,
+					     cards[i].planned_to };
 		if (range.from == range.to ||
 		    (range.from == workers[i]->layers.from &&
 		     range.to == workers[i]->layers.to))
@@ -152,14 +152,14 @@
 static void plr_log_cover(struct edge *edge, const struct lay_model *model,
 			  const struct lay_card *cards, int count, int64_t now)
 {
-	struct lay_cover cover;
+	struct lay_bottleneck cover;
 	int i;
 
 	if (now < edge->placer.cover_log_us)
 		return;
 	edge->placer.cover_log_us = now + PLR_COVER_US;
 	for (i = 0; i < edge->centre_count; i++) {
-		lay_least(model, cards, count, i, &cover);
+		lay_find_bottleneck(model, cards, count, i, &cover);
 		jlog(LOG_PLR_COVER,
 		     "\"data_centre\":\"%s\",\"workers\":%d,"
 		     "\"least_layer\":%d,\"holders\":%d,\"tokens\":%.0f",
@@ -176,7 +176,7 @@
 	model.layers = engine->layers;
 	model.layer_mb = engine->layer_mb;
 	model.token_mb = engine->token_bytes / 1e6 / engine->layers;
-	model.places = engine->slots;
+	model.slots = engine->slots;
 	model.request_tokens =
 		engine->usual_prompt + engine->usual_answer / 2.0;
 	model.layer_us = engine->step_ms * MAG_US_PER_MS / engine->layers;
@@ -210,10 +210,10 @@
 		card->step_factor = kind->step_factor;
 		card->from = wk->ordered ? wk->order.from : wk->layers.from;
 		card->to = wk->ordered ? wk->order.to : wk->layers.to;
-		card->want_from = card->from;
-		card->want_to = card->to;
+		card->planned_from = card->from;
+		card->planned_to = card->to;
 		card->usable = true;
-		card->moving = wk->ordered || wk->busy;
+		card->order_pending = wk->ordered || wk->busy;
 		card->suspect = wk->suspected || wk->unresponsive;
 	}
 	return count;
