--- a/src/wk.c
+++ b/src/wk.c
@@ -5,60 +5,68 @@
 #include "wk.h"
 
 /*
- * A suspect gets nothing new for this long at first and twice as long after
- * each further failure: a restart takes some seconds, and a worker that goes
- * down and up by turns must not be given streams at each turn.
+ * A suspect gets no new work for this long, and for twice as long after each
+ * further failure, up to three doublings.  A restart takes some seconds, and a
+ * worker that alternates between up and down must not be given streams each
+ * time it is up.
  */
-#define WK_SUSPECT_US	  (1500 * MAG_US_PER_MS)
-#define WK_SUSPECT_DOUBLE 3
+#define WK_SUSPECT_US	     (1500 * MAG_US_PER_MS)
+#define WK_SUSPECT_DOUBLINGS 3
 /*
- * A worker that refused gets nothing new for this long, because it is short of
- * memory or worse, and each further request would spend a second send: streams
- * end every few milliseconds, and a report that tells why takes 200 ms.
+ * A worker that refused a request gets no new work for this long.  It is short
+ * of memory or worse, and each further request would cost a second send.
+ * Streams end every few milliseconds; a report that tells the reason takes 200
+ * ms.
  */
-#define WK_HOLD_OFF_US (200 * MAG_US_PER_MS)
+#define WK_PAUSE_US (200 * MAG_US_PER_MS)
 /*
- * Twice as long after each further refusal, up to 1.6 s: a worker that gives
- * layers up, or leaves without a word, answers questions and refuses for
- * seconds.
+ * The pause doubles with each further refusal, up to 1.6 s: a worker that
+ * releases layers, or shuts down without notice, answers probes but refuses
+ * requests for seconds.
  */
-#define WK_HOLD_DOUBLE 3
+#define WK_PAUSE_DOUBLINGS 3
 /*
- * A worker that breaks so many requests in a row off before their first event
- * is not trusted, though it answers questions: by chance, of a worker that
- * loses 3 answers in 100, that happens once in 37,000 requests.
+ * A worker that breaks off this many requests in a row before their first event
+ * is distrusted even if it answers probes.  A worker that loses 3 answers in
+ * 100 reaches this number by chance once in 37,000 requests.
  */
-#define WK_BROKEN_MAX 3
-/* For this long at first; twice as long if the next request breaks, too. */
-#define WK_DISTRUST_US	   MAG_US_PER_S
-#define WK_DISTRUST_DOUBLE 3
+#define WK_BREAKS_MAX 3
 /*
- * A sound worker answers a question within 5 ms, 8 ms from another data
- * centre.  One that has not done so yet gets nothing new: while a data centre
- * is being cut off, streams that leave one of its workers would be sent to the
- * next, and spend the runs that their route allows there.
+ * Duration of the first distrust; it doubles if the next request breaks off,
+ * too, up to three times.
  */
-#define WK_ANSWER_US (15 * MAG_US_PER_MS)
+#define WK_DISTRUST_US	      MAG_US_PER_S
+#define WK_DISTRUST_DOUBLINGS 3
 /*
- * So long after the store came back from a copy, entries that a list has of
- * workers that were gone before count for nothing: they have not lapsed yet.
+ * A healthy worker answers a probe within 5 ms, or 8 ms from another data
+ * centre.  A worker whose probe is overdue gets no new work.  Otherwise, while
+ * a data centre is being cut off, streams that leave one of its workers would
+ * be sent to the next one there and use up the attempts that their route
+ * allows.
  */
-#define WK_PAST_US (10 * MAG_US_PER_S)
-/* Weight of the newest outcome in the smoothed figures. */
-#define WK_SMOOTH 0.1
-
-static void wk_take_entry(struct wk *wk, const struct wire_worker *worker,
-			  int64_t now);
-static void wk_take_copy(struct wk *wk, const struct wire_worker *worker,
-			 int64_t now);
-static bool wk_is_past(const struct wk_table *table,
-		       const struct wire_worker *worker, int64_t now);
-static void wk_add_past(struct wk_table *table, const struct wk *wk,
-			int64_t now);
-static void wk_settle_address(struct wk_table *table, struct wk *wk);
-static void wk_forget(struct wk_table *table, struct wk *wk);
+#define WK_PROBE_OVERDUE_US (15 * MAG_US_PER_MS)
+/*
+ * For this long after the store was restored from an older backup, listed
+ * entries of workers that were gone before are ignored, because these entries
+ * have not expired yet.
+ */
+#define WK_IGNORE_GONE_US (10 * MAG_US_PER_S)
+/* Weight of the newest sample in the moving averages. */
+#define WK_SMOOTHING 0.1
+
+static void wk_update(struct wk *wk, const struct wire_worker *worker,
+		      int64_t now);
+static void wk_update_from_backup(struct wk *wk,
+				  const struct wire_worker *worker,
+				  int64_t now);
+static bool wk_is_known_gone(const struct wk_table *table,
+			     const struct wire_worker *worker, int64_t now);
+static void wk_remember_gone(struct wk_table *table, const struct wk *wk,
+			     int64_t now);
+static void wk_resolve_address(struct wk_table *table, struct wk *wk);
+static void wk_free(struct wk_table *table, struct wk *wk);
 static void wk_log_suspect(const struct wk *wk, const char *why,
-			   int64_t hold_us, int times);
+			   int64_t duration_us, int times);
 
 void wk_init(struct wk_table *table, struct hc *hc)
 {
@@ -68,7 +76,7 @@
 	table->max_connections = 64;
 }
 
-/* Begins to read a whole list; wk_list_end tells who is missing from it. */
+/* Begins a whole listing; wk_list_end removes the workers that it lacks. */
 void wk_list_begin(struct wk_table *table)
 {
 	struct wk *wk;
@@ -78,13 +86,13 @@
 		wk->in_listing = false;
 }
 
-/* Takes an entry of the list, new or changed. */
+/* Adds or updates a worker from an entry of the list. */
 int wk_list_put(struct wk_table *table, const struct wire_worker *worker,
 		int64_t now, struct wk **out)
 {
 	struct wk *wk = wk_by_id(table, worker->id);
 
-	if (table->listing && wk_is_past(table, worker, now))
+	if (table->listing && wk_is_known_gone(table, worker, now))
 		return WK_E_STALE;
 	if (wk && strcmp(wk->entry.address, worker->address) != 0) {
 		/* The same name at another address is another process. */
@@ -117,18 +125,19 @@
 		     wk->layers.from, wk->layers.to);
 	}
 	if (table->listing && table->settling)
-		wk_take_copy(wk, worker, now);
+		wk_update_from_backup(wk, worker, now);
 	else
-		wk_take_entry(wk, worker, now);
-	wk_settle_address(table, wk);
+		wk_update(wk, worker, now);
+	wk_resolve_address(table, wk);
 	if (out)
 		*out = wk;
 	return WK_OK;
 }
 
 /*
- * Workers that the whole list lacks are gone from gone_us on.  A store that has
- * just come back from a copy lacks what was written since.
+ * Ends a listing: workers that it lacks are considered gone from gone_us on.
+ * None is removed while the store settles after a restore, because an older
+ * backup lacks the entries that were written since.
  */
 void wk_list_end(struct wk_table *table, int64_t gone_us, int64_t now)
 {
@@ -143,20 +152,23 @@
 	}
 }
 
-/* The store has come back from an older copy. */
+/* Notes that the store was restored from an older backup. */
 void wk_store_restored(struct wk_table *table, int64_t now)
 {
 	table->settling = true;
 	table->restored_us = now;
 }
 
-/* All have written again: the next list is taken as it stands. */
+/*
+ * Notes that all workers have written their entries again after a restore: from
+ * now on, listings are authoritative.
+ */
 void wk_store_settled(struct wk_table *table)
 {
 	table->settling = false;
 }
 
-/* Returns how many workers the list that was read last lacks. */
+/* Returns how many listed workers were missing from the last listing. */
 int wk_count_missing(const struct wk_table *table)
 {
 	const struct wk *wk;
@@ -167,7 +179,7 @@
 	return missing;
 }
 
-/* An entry was removed: the worker is taken for gone from gone_us on. */
+/* Removes an entry: the worker is considered gone from gone_us on. */
 void wk_remove(struct wk_table *table, const char *id, int64_t gone_us,
 	       int64_t now)
 {
@@ -177,12 +189,12 @@
 		return;
 	wk->listed = false;
 	wk->gone_us = gone_us;
-	wk_add_past(table, wk, now);
+	wk_remember_gone(table, wk, now);
 	jlog(LOG_WK_GONE, "\"worker\":\"%s\",\"in_ms\":%d", wk->entry.id,
 	     (int)((gone_us - now) / MAG_US_PER_MS));
 }
 
-/* Ends limits that lapsed; frees workers that are gone and nobody points at. */
+/* Expires rate limits, and frees workers that are gone and not referenced. */
 void wk_tick(struct wk_table *table, int64_t now)
 {
 	struct wk *wk;
@@ -192,7 +204,7 @@
 		wk_expire_limit(wk, now);
 		if (wk->listed || wk->refs > 0 || now < wk->gone_us)
 			continue;
-		wk_forget(table, wk);
+		wk_free(table, wk);
 	}
 }
 
@@ -207,7 +219,10 @@
 	return NULL;
 }
 
-/* Returns the listed worker at an address; addresses are used again. */
+/*
+ * Returns the listed worker at an address, else any other one that had it;
+ * addresses are reused.
+ */
 struct wk *wk_by_address(const struct wk_table *table, const char *address)
 {
 	struct wk *found = NULL;
@@ -222,7 +237,7 @@
 	return found;
 }
 
-/* Tells whether a worker is neither gone nor leaving. */
+/* Tells whether a worker is neither gone nor draining nor replaced. */
 bool wk_alive(const struct wk *wk, int64_t now)
 {
 	if (wk->entry.draining || wk->replaced)
@@ -233,93 +248,95 @@
 /* Tells whether a worker may get new work. */
 bool wk_usable(const struct wk *wk, int64_t now)
 {
-	bool waits = wk->probing && now - wk->probed_us > WK_ANSWER_US;
+	bool overdue = wk->probing && now - wk->probed_us > WK_PROBE_OVERDUE_US;
 
-	return wk_alive(wk, now) && !wk->suspected && !waits &&
+	return wk_alive(wk, now) && !wk->suspected && !overdue &&
 	       now >= wk->paused_until_us && now >= wk->distrust_until_us;
 }
 
 /*
- * Notes that a worker seems dead or stuck.  It gets nothing new for a while;
- * after that a report of its own, or an answer, has to clear it.
+ * Notes that a worker seems dead or stuck.  It gets no new work for a while;
+ * after that a report or another answer has to clear it.
  */
 void wk_suspect(struct wk *wk, int64_t now, const char *why)
 {
-	int64_t hold = mag_backoff(WK_SUSPECT_US, wk->suspect_count,
-				   WK_SUSPECT_DOUBLE);
+	int64_t duration_us = mag_backoff(WK_SUSPECT_US, wk->suspect_count,
+					  WK_SUSPECT_DOUBLINGS);
 
 	if (now < wk->suspect_until_us)
 		return;
-	wk->suspect_until_us = now + hold;
+	wk->suspect_until_us = now + duration_us;
 	wk->suspect_count++;
 	wk->suspected = true;
 	wk->to_announce = wk->suspect_count == 1;
 	hc_host_drop_idle(wk->host);
-	wk_log_suspect(wk, why, hold, wk->suspect_count);
+	wk_log_suspect(wk, why, duration_us, wk->suspect_count);
 }
 
-/* Gives a worker nothing new for a moment, while it is asked how it is. */
+/* Gives a worker no new work for a moment, while it is being probed. */
 void wk_pause(struct wk *wk, int64_t now)
 {
-	wk->paused_until_us = now + WK_HOLD_OFF_US;
+	wk->paused_until_us = now + WK_PAUSE_US;
 }
 
-/* A worker refused a request of ours once more. */
+/* Notes that a worker refused a request of ours. */
 void wk_on_refusal(struct wk *wk, int64_t now)
 {
-	/* Those that were on their way together count as one. */
+	/* Refusals of requests that were in flight together count as one. */
 	if (now < wk->paused_until_us)
 		return;
-	wk->paused_until_us =
-		now + mag_backoff(WK_HOLD_OFF_US, wk->refusals, WK_HOLD_DOUBLE);
+	wk->paused_until_us = now + mag_backoff(WK_PAUSE_US, wk->refusals,
+						WK_PAUSE_DOUBLINGS);
 	wk->refusals++;
 }
 
-/* A worker began a request: it refuses no more. */
+/* Notes that a worker began a request: the refusals have ended. */
 void wk_on_start(struct wk *wk)
 {
 	wk->refusals = 0;
 }
 
 /*
- * A request to this worker broke off before its first event.  A worker whose
- * answers to questions are sound may fail all requests, or those of some
- * callers; sent to it, each spends a second send, and streams that may run
- * only twice are lost.  What counts is how requests end.
+ * Notes that a request to this worker broke off before its first event.  A
+ * worker that answers probes may still fail all requests, or those of some
+ * callers.  Each request sent to it costs a second send, and streams that may
+ * run only twice are lost.  Therefore the outcome of requests counts here, not
+ * that of probes.
  */
 void wk_on_break(struct wk *wk, int64_t now)
 {
-	int64_t hold;
+	int64_t duration_us;
 
 	wk->consecutive_breaks++;
 	if (now < wk->distrust_until_us ||
-	    (wk->distrust_count == 0 && wk->consecutive_breaks < WK_BROKEN_MAX))
+	    (wk->distrust_count == 0 && wk->consecutive_breaks < WK_BREAKS_MAX))
 		return;
-	hold = mag_backoff(WK_DISTRUST_US, wk->distrust_count,
-			   WK_DISTRUST_DOUBLE);
-	wk->distrust_until_us = now + hold;
+	duration_us = mag_backoff(WK_DISTRUST_US, wk->distrust_count,
+				  WK_DISTRUST_DOUBLINGS);
+	wk->distrust_until_us = now + duration_us;
 	wk->distrust_count++;
-	wk_log_suspect(wk, "requests break off", hold, wk->consecutive_breaks);
+	wk_log_suspect(wk, "requests break off", duration_us,
+		       wk->consecutive_breaks);
 }
 
 static void wk_log_suspect(const struct wk *wk, const char *why,
-			   int64_t hold_us, int times)
+			   int64_t duration_us, int times)
 {
 	jlog(LOG_WK_SUSPECT,
 	     "\"worker\":\"%s\",\"address\":\"%s\",\"why\":\"%s\","
 	     "\"for_ms\":%d,\"times\":%d",
 	     wk->entry.id, wk->entry.address, why,
-	     (int)(hold_us / MAG_US_PER_MS), times);
+	     (int)(duration_us / MAG_US_PER_MS), times);
 }
 
-/* A request to this worker came to its first event, or to its answer. */
+/* Notes that a request to this worker reached its first event or its answer. */
 void wk_on_success(struct wk *wk)
 {
 	wk->consecutive_breaks = 0;
 	wk->distrust_count = 0;
 }
 
-/* The worker has proved that it works. */
+/* Clears a suspicion, after the worker has proved that it works. */
 void wk_clear_suspicion(struct wk *wk)
 {
 	if (!wk->suspected)
@@ -331,26 +348,29 @@
 	     wk->entry.id, wk->entry.address);
 }
 
-/* Notes how a request ended at a worker, and how long it took. */
+/* Adds a request's outcome and duration to the moving averages. */
 void wk_add_result(struct wk *wk, bool good, int64_t took_us)
 {
-	wk->failure_rate += WK_SMOOTH * ((good ? 0 : 1) - wk->failure_rate);
+	wk->failure_rate += WK_SMOOTHING * ((good ? 0 : 1) - wk->failure_rate);
 	if (!good)
 		return;
 	if (wk->response_us <= 0)
 		wk->response_us = (double)took_us;
-	wk->response_us += WK_SMOOTH * ((double)took_us - wk->response_us);
+	wk->response_us += WK_SMOOTHING * ((double)took_us - wk->response_us);
 }
 
-/* Remembers a request whose answer broke off at a worker; the oldest goes. */
-void wk_add_interrupted(struct wk *wk, const uint8_t print[MAG_DIGEST_BYTES],
+/*
+ * Remembers a request whose answer broke off at a worker, replacing the oldest.
+ */
+void wk_add_interrupted(struct wk *wk,
+			const uint8_t fingerprint[MAG_DIGEST_BYTES],
 			int64_t now)
 {
-	struct wk_interrupted *victim = &wk->interrupted[wk->interrupted_next];
+	struct wk_interrupted *slot = &wk->interrupted[wk->interrupted_next];
 
 	wk->interrupted_next = (wk->interrupted_next + 1) % WK_INTERRUPTED_MAX;
-	memcpy(victim->fingerprint, print, MAG_DIGEST_BYTES);
-	victim->at_us = now;
+	memcpy(slot->fingerprint, fingerprint, MAG_DIGEST_BYTES);
+	slot->at_us = now;
 }
 
 struct wk *wk_ref(struct wk *wk)
@@ -365,61 +385,61 @@
 }
 
 /*
- * Takes an entry of a store that has just come back from a copy: it shows that
- * the worker is there, and that it leaves, and nothing else of one that is
- * known; its state may be an old one.
+ * Updates a worker from an entry of a store that was restored from an older
+ * backup.  Of a known worker such an entry proves only that it exists and, if
+ * it says so, that it drains; the rest may be out of date.
  */
-static void wk_take_copy(struct wk *wk, const struct wire_worker *worker,
-			 int64_t now)
+static void wk_update_from_backup(struct wk *wk,
+				  const struct wire_worker *worker, int64_t now)
 {
 	struct wire_worker known = wk->entry;
 
 	if (worker->born_ms > known.born_ms) {
-		wk_take_entry(wk, worker, now);
+		wk_update(wk, worker, now);
 		return;
 	}
 	if (worker->born_ms == known.born_ms)
 		known.draining |= worker->draining;
-	wk_take_entry(wk, &known, now);
+	wk_update(wk, &known, now);
 }
 
-/* Tells whether an entry names a worker that is known to be gone. */
-static bool wk_is_past(const struct wk_table *table,
-		       const struct wire_worker *worker, int64_t now)
+/* Tells whether an entry names a worker that was already known to be gone. */
+static bool wk_is_known_gone(const struct wk_table *table,
+			     const struct wire_worker *worker, int64_t now)
 {
-	const struct wk_gone *past;
+	const struct wk_gone *gone;
 	int i;
 
-	if (!table->restored_us || now - table->restored_us > WK_PAST_US)
+	if (!table->restored_us || now - table->restored_us > WK_IGNORE_GONE_US)
 		return false;
 	for (i = 0; i < WK_GONE_MAX; i++) {
-		past = &table->gone[i];
-		if (past->gone_us && past->gone_us <= table->restored_us &&
-		    worker->born_ms <= past->born_ms &&
-		    strcmp(past->id, worker->id) == 0)
+		gone = &table->gone[i];
+		if (gone->gone_us && gone->gone_us <= table->restored_us &&
+		    worker->born_ms <= gone->born_ms &&
+		    strcmp(gone->id, worker->id) == 0)
 			return true;
 	}
 	return false;
 }
 
-static void wk_add_past(struct wk_table *table, const struct wk *wk,
-			int64_t now)
+static void wk_remember_gone(struct wk_table *table, const struct wk *wk,
+			     int64_t now)
 {
-	struct wk_gone *past = &table->gone[table->gone_next];
+	struct wk_gone *gone = &table->gone[table->gone_next];
 
 	table->gone_next = (table->gone_next + 1) % WK_GONE_MAX;
-	mag_copy_name(past->id, sizeof(past->id), wk->entry.id);
-	past->born_ms = wk->entry.born_ms;
-	past->gone_us = now;
+	mag_copy_name(gone->id, sizeof(gone->id), wk->entry.id);
+	gone->born_ms = wk->entry.born_ms;
+	gone->gone_us = now;
 }
 
-static void wk_take_entry(struct wk *wk, const struct wire_worker *worker,
-			  int64_t now)
+static void wk_update(struct wk *wk, const struct wire_worker *worker,
+		      int64_t now)
 {
-	bool reborn = worker->born_ms != wk->entry.born_ms;
-	bool leaving = wk->entry.draining && !reborn;
-	bool moved = worker->layers.from != wk->entry.layers.from ||
-		     worker->layers.to != wk->entry.layers.to;
+	bool restarted = worker->born_ms != wk->entry.born_ms;
+	bool leaving = wk->entry.draining && !restarted;
+	bool layers_changed = worker->layers.from != wk->entry.layers.from ||
+			      worker->layers.to != wk->entry.layers.to;
 
 	wk->in_listing = true;
 	wk->listed = true;
@@ -428,8 +448,10 @@
 		wk->leaving_us = now;
 		jlog(LOG_WK_LEAVING, "\"worker\":\"%s\"", worker->id);
 	}
-	if (reborn) {
-		/* It lost its layers, its orders and its faults. */
+	if (restarted) {
+		/*
+		 * A restarted process has lost its layers, orders and faults.
+		 */
 		jlog(LOG_WK_RESTARTED, "\"worker\":\"%s\",\"born_ms\":%lld",
 		     worker->id, (long long)worker->born_ms);
 		wk->orders_taken = -1;
@@ -443,7 +465,7 @@
 		wk_on_success(wk);
 		hc_host_drop_idle(wk->host);
 	}
-	if (reborn || moved) {
+	if (restarted || layers_changed) {
 		wk->layers = worker->layers;
 		wk->layers_changed_us = now;
 	}
@@ -451,18 +473,19 @@
 	    wk->layers.to == wk->order.to)
 		wk->ordered = false;
 	wk->entry = *worker;
-	/* Who leaves does not come back under the same start. */
+	/* A process that has begun to drain does not return to service. */
 	wk->entry.draining |= leaving;
 }
 
 /*
- * Of two workers that are listed at one address the younger one has it.  A
- * worker that crashed comes back under a new name before its old entry lapses;
- * requests that are sent by the old entry's layers meet the new worker, which
- * holds none, and each of them is refused.  An entry of a service that nobody
- * has, of another writer, takes no worker out.
+ * Of two workers that are listed at one address, the one that started later
+ * owns it.  A worker that crashed is restarted under a new name before its old
+ * entry expires.  Requests that are routed by the old entry's layers reach the
+ * new worker, which holds none, and are refused.  Entries of different services
+ * are not compared, so that an entry that another writer adds for an unknown
+ * service takes no worker out of use.
  */
-static void wk_settle_address(struct wk_table *table, struct wk *wk)
+static void wk_resolve_address(struct wk_table *table, struct wk *wk)
 {
 	struct wk *other;
 
@@ -480,7 +503,7 @@
 	}
 }
 
-static void wk_forget(struct wk_table *table, struct wk *wk)
+static void wk_free(struct wk_table *table, struct wk *wk)
 {
 	cds_list_del(&wk->node);
 	table->count--;
--- a/src/wk.h
+++ b/src/wk.h
@@ -2,9 +2,10 @@
 #define WK_H
 
 /*
- * The table of workers: what the store's list says of each, and what this
- * instance has seen of it since.  The list is one witness: a worker that is
- * listed may be dead, and one that answers wrongly may call itself healthy.
+ * Table of the workers: what the store's list says of each one, and what this
+ * instance has observed since.  Neither source is trusted alone: a listed
+ * worker may be dead, and a worker that fails requests may report itself
+ * healthy.
  */
 
 #include <stdbool.h>
@@ -19,7 +20,7 @@
 #define WK_INTERRUPTED_MAX 32
 #define WK_GONE_MAX	   256
 
-/* A request that ran on a worker when its answer broke off. */
+/* A request that was running on a worker when its answer broke off. */
 struct wk_interrupted {
 	uint8_t fingerprint[MAG_DIGEST_BYTES];
 	int64_t at_us;
@@ -27,68 +28,87 @@
 
 struct wk {
 	struct cds_list_head node;
-	struct wire_worker entry; /* as the list says */
+	struct wire_worker entry; /* as listed in the store */
 	struct hc_host *host;
-	int refs;	       /* requests and calls that point here */
-	int64_t first_seen_us; /* for the first time */
-	bool listed;	       /* the store's list has it */
-	bool in_listing;       /* in the listing that is being read */
-	bool replaced;	       /* a younger worker is listed at its address */
-	int64_t gone_us;       /* taken for gone from then on; MAG_NEVER */
-	int64_t leaving_us;    /* its leaving was first seen; MAG_NEVER */
-
-	struct wire_range layers;  /* newest word: list, report or answer */
+	int refs; /* requests and calls that reference the worker */
+	int64_t first_seen_us; /* when the worker was first listed */
+	bool listed;	       /* it has an entry in the store's list */
+	bool in_listing;       /* it is in the listing that is being read */
+	bool replaced;	       /* a later start is listed at its address */
+	int64_t gone_us;       /* considered gone from then on; MAG_NEVER */
+	int64_t leaving_us;    /* when it was first seen draining; MAG_NEVER */
+
+	/* The newest known range, from the list, a report or an answer. */
+	struct wire_range layers;
 	int64_t orders_taken;	   /* -1: unknown */
-	int64_t layers_changed_us; /* when the list last changed them */
-	int64_t reported_us;	   /* of the last report, 0: none */
-	bool busy;		   /* with an order, by the last report */
-	double slowdown;	   /* 1: as fast as its kind */
-	int64_t slowdown_us;	   /* when that was learned, 0: never */
-	double reported_held;	   /* memory in use, by the last report */
-	int reported_first_hops; /* requests there as the first worker, likewise
-				  */
-
-	int64_t paused_until_us;  /* it refused: nothing new until then */
-	int refusals;		  /* since it began a request of ours last */
-	int64_t suspect_until_us; /* gets nothing new until then */
-	int suspect_count;	  /* in a row */
-	bool suspected;		  /* the suspicion ran out, nothing proved */
-	bool to_announce;	/* peers have not heard of the suspicion yet */
-	int64_t announced_us;	/* when they were told, 0: never */
-	double failure_rate;	/* of late requests, smoothed */
-	int consecutive_breaks; /* requests that it broke off, no event since */
-	int distrust_count;	/* in a row */
-	int64_t distrust_until_us; /* gets nothing, whatever it says */
-	double response_us;	   /* time of an answer, smoothed */
-
-	int first_hops;		  /* requests of ours that it took */
-	int peer_first_hops;	  /* of other instances, by their word */
-	double held;		  /* tokens x layers that our requests hold */
-	double recent_held;	  /* that we took since peers were added up */
-	double peer_held;	  /* those of other instances */
-	int64_t prefill_until_us; /* prompts of repaired chains that it reads */
-	int64_t last_event_us;	  /* an event of ours came through it last */
-	bool probing;		  /* a question to it is on its way */
-	bool unresponsive;	/* it has not answered that question in time */
-	int probes_since_event; /* questions since an event of ours came through
-				 */
-	int64_t probed_us;	/* when it was asked last */
-
-	struct thr thr;		   /* the rate limit that it names */
-	int64_t next_limit_log_us; /* no line on a mere change before then */
-
-	int64_t died_us; /* its connections were refused or broke; 0: never */
-	/* What to suspect if it turns out that the worker died. */
+	int64_t layers_changed_us; /* when the list last changed the range */
+	int64_t reported_us;	   /* time of the last report; 0: none */
+	bool busy;	      /* carrying out an order, by the last report */
+	double slowdown;      /* 1: as fast as others of its kind */
+	int64_t slowdown_us;  /* when the slowdown was reported; 0: never */
+	double reported_held; /* memory in use, by the last report */
+	/* Requests whose first hop is there, by the last report. */
+	int reported_first_hops;
+
+	int64_t paused_until_us; /* after a refusal: no new work until then */
+	int refusals; /* refusals since it last began a request of ours */
+	int64_t suspect_until_us; /* suspect: no new work until then */
+	int suspect_count; /* suspicions since the last one was cleared */
+	/*
+	 * Set by wk_suspect until wk_clear_suspicion, also after
+	 * suspect_until_us: the worker has to prove first that it works.
+	 */
+	bool suspected;
+	bool to_announce;	/* the suspicion was not sent to peers yet */
+	int64_t announced_us;	/* when peers were told; 0: never */
+	double failure_rate;	/* of recent requests, smoothed */
+	int consecutive_breaks; /* requests broken off since the last event */
+	int distrust_count;	/* consecutive times of distrust */
+	/* No new work until then, whatever the worker reports of itself. */
+	int64_t distrust_until_us;
+	double response_us; /* response time, smoothed */
+
+	int first_hops;	     /* our requests whose first hop is there */
+	int peer_first_hops; /* those of other instances, as they report */
+	double held;	     /* memory of our requests, tokens x layers */
+	/*
+	 * The part of held that was added since the peers' figures were last
+	 * summed.
+	 */
+	double recent_held;
+	double peer_held; /* memory of other instances' requests */
+	/*
+	 * When it will have read the prompts of the chains that were assigned
+	 * to it.
+	 */
+	int64_t prefill_until_us;
+	int64_t last_event_us;	/* when an event of ours last came through it */
+	bool probing;		/* a probe is in flight */
+	bool unresponsive;	/* that probe is overdue */
+	int probes_since_event; /* probes since last_event_us */
+	int64_t probed_us;	/* when it was last probed */
+
+	struct thr thr; /* the rate limit that it names */
+	/* Changed and unreadable limits are not logged before then. */
+	int64_t next_limit_log_us;
+
+	/* When its connections were refused or broken off; 0: never. */
+	int64_t died_us;
+	/*
+	 * Requests to suspect of the crash if the worker turns out to be dead.
+	 */
 	struct wk_interrupted interrupted[WK_INTERRUPTED_MAX];
 	int interrupted_next;
 
-	/* The placer's order that may not have been carried out yet. */
+	/*
+	 * The placer's last order, while it may not have been carried out yet.
+	 */
 	bool ordered;
 	int64_t ordered_us;
 	struct wire_range order;
 };
 
-/* A worker that was gone, by its entry or for want of one. */
+/* A worker whose entry was removed, or was missing from a whole listing. */
 struct wk_gone {
 	char id[WIRE_ID_MAX];
 	int64_t born_ms;
@@ -97,30 +117,32 @@
 
 struct wk_table {
 	struct cds_list_head workers;
-	struct wk_gone gone[WK_GONE_MAX]; /* the oldest is replaced */
+	struct wk_gone gone[WK_GONE_MAX]; /* a ring: the oldest is replaced */
 	int gone_next;
-	bool listing;  /* entries are read from a list, not as they change */
-	bool settling; /* the store has just come back from an older copy */
-	int64_t restored_us; /* when that was seen last; 0: never */
+	bool listing; /* a whole list is being read, not single changes */
+	/*
+	 * The store was restored from an older backup, and the workers have not
+	 * all written their entries again.
+	 */
+	bool settling;
+	int64_t restored_us; /* when the last restore was seen; 0: never */
 	struct hc *hc;
 	int count;
-	int64_t last_added_us; /* when a worker was last seen for the first time
-				*/
-	int max_connections;   /* that this instance may have to one worker */
+	int64_t last_added_us; /* when a new worker was last added */
+	int max_connections;   /* to one worker */
 };
 
 enum wk_err {
 	WK_OK = 0,
 	WK_E_MEMORY = -1,
 	WK_E_ADDRESS = -2,
-	WK_E_STALE =
-		-3, /* the entry is of a copy, and what it names was gone */
+	WK_E_STALE = -3, /* of an older backup, for a worker that is gone */
 };
 
-/* To what a worker answered. */
+/* What a worker's answer belongs to. */
 enum wk_answer {
-	WK_ANSWER_SUCCESS, /* to a request, with a success of its own */
-	WK_ANSWER_OTHER,   /* to a request, or an order on one */
+	WK_ANSWER_SUCCESS, /* a request, with a success status of its own */
+	WK_ANSWER_OTHER,   /* a request otherwise, or an order about one */
 	WK_ANSWER_PROBE,
 	WK_ANSWER_ORDER,
 };
@@ -149,7 +171,8 @@
 void wk_on_break(struct wk *wk, int64_t now);
 void wk_on_success(struct wk *wk);
 void wk_add_result(struct wk *wk, bool good, int64_t took_us);
-void wk_add_interrupted(struct wk *wk, const uint8_t print[MAG_DIGEST_BYTES],
+void wk_add_interrupted(struct wk *wk,
+			const uint8_t fingerprint[MAG_DIGEST_BYTES],
 			int64_t now);
 enum thr_change wk_apply_limit(struct wk *wk, const struct wire_limit *limit,
 			       enum wk_answer answer, int64_t sent_us,
--- a/src/wk_limit.c
+++ b/src/wk_limit.c
@@ -3,7 +3,7 @@
 #include "jlog.h"
 #include "wk.h"
 
-/* Changed and unreadable limits of a worker are logged this often at most. */
+/* Interval between log lines on a worker's changed or unreadable limits. */
 #define WK_LIMIT_LOG_US MAG_US_PER_S
 
 static const char *const wk_limit_sources[] = {
@@ -17,8 +17,8 @@
 			 const char *source, int64_t now);
 
 /*
- * Takes what an answer to something sent at sent_us says of the worker's rate
- * limit.  Only a sound answer to a request ends a limit: refusals may come
+ * Applies what an answer says of the worker's rate limit; the request, probe or
+ * order was sent at sent_us.  Only a success ends a limit: a refusal may come
  * from another worker of the chain.
  */
 enum thr_change wk_apply_limit(struct wk *wk, const struct wire_limit *limit,
@@ -40,7 +40,7 @@
 	return change;
 }
 
-/* Takes a limit that the worker named to another router at named_us. */
+/* Applies a limit that the worker named to another router at named_us. */
 void wk_apply_peer_limit(struct wk *wk, double limit, int64_t named_us,
 			 int64_t now)
 {
@@ -50,14 +50,14 @@
 		wk_log_limit(wk, change, "peer", now);
 }
 
-/* Ends a limit that was not named again for long. */
+/* Ends a limit that the worker has not named again for too long. */
 void wk_expire_limit(struct wk *wk, int64_t now)
 {
 	if (thr_lapse(&wk->thr, now) == THR_ENDED)
 		wk_log_limit(wk, THR_ENDED, "", now);
 }
 
-/* Logs a change; THR_SAME stands for a limit that cannot be read. */
+/* Logs a change; THR_SAME means that the limit was unreadable. */
 static void wk_log_limit(struct wk *wk, enum thr_change change,
 			 const char *source, int64_t now)
 {
--- a/src/wkp.c
+++ b/src/wkp.c
@@ -10,54 +10,56 @@
 #include "wkp.h"
 
 /*
- * A worker that lives answers a question in a few milliseconds; what has not
- * come by then is a dead or silent worker.
+ * A live worker answers a probe within a few milliseconds; one that has not
+ * answered after this time is dead or hung.
  */
-#define WKP_ANSWER_US (350 * MAG_US_PER_MS)
-#define WKP_AGAIN_US  (100 * MAG_US_PER_MS)
+#define WKP_PROBE_TIMEOUT_US  (350 * MAG_US_PER_MS)
+#define WKP_PROBE_INTERVAL_US (100 * MAG_US_PER_MS)
 /*
- * A sound worker answers within a few milliseconds, from another data centre,
- * too.  One that is unresponsive for longer keeps streams waiting that are
- * silent already: they are moved before their pause makes them late.  Should it
- * turn out that only a packet was lost, a repair was made in vain and the
- * worker is cleared.
+ * A healthy worker answers within a few milliseconds, also from another data
+ * centre.  One that has been unresponsive for longer holds up streams that are
+ * already silent; they are moved before the gap makes their events late.  If
+ * only a packet was lost, the repair was unnecessary and the worker is cleared.
  */
 #define WKP_UNRESPONSIVE_US (20 * MAG_US_PER_MS)
 
-/* Reports are as of some hundred milliseconds ago. */
+/* Reports describe a state of some hundred milliseconds ago. */
 #define WKP_REPORT_LAG_US (500 * MAG_US_PER_MS)
 /*
- * A worker slower than its kind by this factor gets few requests, so that
- * nothing but a question shows when it is well again.
+ * A worker that is slower than its kind by this factor gets so few requests
+ * that only a probe shows when it has recovered.
  */
-#define WKP_SLOW	  1.3
-#define WKP_SLOW_AGAIN_US MAG_US_PER_S
-/* A request whose answer broke off so long before may be to blame. */
-#define WKP_VICTIM_US (2 * MAG_US_PER_S)
+#define WKP_SLOW_FACTOR	  1.3
+#define WKP_SLOW_PROBE_US MAG_US_PER_S
+/*
+ * A request whose answer broke off at most this long before the worker's death
+ * may have caused it.
+ */
+#define WKP_INTERRUPTED_US (2 * MAG_US_PER_S)
 
-/* Workers that died within this time may have a cause in common. */
-#define WKP_TOGETHER_US MAG_US_PER_S
+/* Workers that die within this time may have a common cause. */
+#define WKP_COMMON_CAUSE_US MAG_US_PER_S
 
 struct wkp_call {
 	struct edge *edge;
 	struct wk *wk;
 	int status;
 	bool engine;
-	bool fresh; /* on a connection of its own */
+	bool fresh; /* on a new connection */
 	struct evbuffer *body;
 };
 
 static bool wkp_on_headers(void *user, const struct hc_answer *answer);
 static void wkp_on_body(void *user, const void *bytes, size_t len);
 static void wkp_on_end(void *user, enum hc_end end);
-static void wkp_start(struct edge *edge, struct wk *wk, bool fresh,
-		      int64_t now);
-static void wkp_unresponsive(struct wk *wk, int64_t now);
-static void wkp_silent(struct edge *edge, struct wk *wk, enum hc_end end,
-		       int64_t now);
-static int wkp_lost_together(const struct edge *edge, int64_t now);
-static void wkp_died(struct edge *edge, struct wk *wk, int64_t now);
-static void wkp_report(struct wkp_call *call, int64_t now);
+static void wkp_send_probe(struct edge *edge, struct wk *wk, bool fresh,
+			   int64_t now);
+static void wkp_mark_unresponsive(struct wk *wk, int64_t now);
+static void wkp_on_probe_failure(struct edge *edge, struct wk *wk,
+				 enum hc_end end, int64_t now);
+static int wkp_count_recent_deaths(const struct edge *edge, int64_t now);
+static void wkp_on_death(struct edge *edge, struct wk *wk, int64_t now);
+static void wkp_apply_report(struct wkp_call *call, int64_t now);
 
 static const struct hc_ops wkp_ops = {
 	.headers = wkp_on_headers,
@@ -65,7 +67,7 @@
 	.ended = wkp_on_end,
 };
 
-/* Takes the rate limit that any answer of a worker names, or does not name. */
+/* Applies the rate limit that an answer of a worker names, or omits. */
 void wkp_apply_limit(struct edge *edge, struct wk *wk,
 		     const struct hc_answer *answer, enum wk_answer kind,
 		     int64_t sent_us)
@@ -78,18 +80,20 @@
 }
 
 /*
- * Asks an engine for its report, or a plain worker for its health.  One
- * question at a time, and not again at once: each one is paid for.
+ * Probes a worker: asks an engine for its report, a plain worker for its
+ * health.  There is one probe at a time, and a minimum interval between them,
+ * because each one counts against the worker's rate limit.
  */
 void wkp_probe(struct edge *edge, struct wk *wk, int64_t now)
 {
-	if (!wk->probing && now - wk->probed_us >= WKP_AGAIN_US &&
+	if (!wk->probing && now - wk->probed_us >= WKP_PROBE_INTERVAL_US &&
 	    thr_may_ask(&wk->thr, wk->probed_us, now))
-		wkp_start(edge, wk, false, now);
+		wkp_send_probe(edge, wk, false, now);
 }
 
-/* Sends a question, on a new connection if fresh is set. */
-static void wkp_start(struct edge *edge, struct wk *wk, bool fresh, int64_t now)
+/* Sends a probe, on a new connection if fresh is set. */
+static void wkp_send_probe(struct edge *edge, struct wk *wk, bool fresh,
+			   int64_t now)
 {
 	int service =
 		edge->rt ? rt_service_named(edge->rt, wk->entry.service) : -1;
@@ -118,8 +122,8 @@
 	send.ops = &wkp_ops;
 	send.user = call;
 	send.fresh = fresh;
-	send.connect_by_us = now + WKP_ANSWER_US;
-	send.deadline_us = now + WKP_ANSWER_US;
+	send.connect_by_us = now + WKP_PROBE_TIMEOUT_US;
+	send.deadline_us = now + WKP_PROBE_TIMEOUT_US;
 	met_add(&edge->met, MET_PROBES);
 	if (!send.request || hc_start(wk->host, &send, &started)) {
 		evbuffer_free(call->body);
@@ -133,7 +137,10 @@
 	wk->probed_us = now;
 }
 
-/* Asks suspects whose time is over; their answer clears them. */
+/*
+ * Marks overdue probes; probes slow workers, and suspects whose time is over:
+ * an answer clears these.
+ */
 void wkp_tick(struct edge *edge, int64_t now)
 {
 	struct wk *wk;
@@ -142,10 +149,10 @@
 		if (wk->probing && !wk->unresponsive &&
 		    now - wk->probed_us >= WKP_UNRESPONSIVE_US &&
 		    now - edge->late_us >= WKP_UNRESPONSIVE_US)
-			wkp_unresponsive(wk, now);
-		if (wk->slowdown > WKP_SLOW && wk_alive(wk, now) &&
-		    now - wk->slowdown_us >= WKP_SLOW_AGAIN_US &&
-		    now - wk->probed_us >= WKP_SLOW_AGAIN_US)
+			wkp_mark_unresponsive(wk, now);
+		if (wk->slowdown > WKP_SLOW_FACTOR && wk_alive(wk, now) &&
+		    now - wk->slowdown_us >= WKP_SLOW_PROBE_US &&
+		    now - wk->probed_us >= WKP_SLOW_PROBE_US)
 			wkp_probe(edge, wk, now);
 		if (wk->suspected && now >= wk->suspect_until_us &&
 		    wk_alive(wk, now))
@@ -153,8 +160,8 @@
 	}
 }
 
-/* A question has not been answered in the usual time; eq moves streams. */
-static void wkp_unresponsive(struct wk *wk, int64_t now)
+/* Marks a worker whose probe is overdue; eq moves its streams. */
+static void wkp_mark_unresponsive(struct wk *wk, int64_t now)
 {
 	wk->unresponsive = true;
 	wk_pause(wk, now);
@@ -191,85 +198,93 @@
 	if (end == HC_WHOLE)
 		wk->unresponsive = false;
 	if (end == HC_WHOLE && call->engine) {
-		wkp_report(call, now);
+		wkp_apply_report(call, now);
 	} else if (end == HC_WHOLE) {
 		if (call->status == 200)
 			wk_clear_suspicion(wk);
 	} else if (end == HC_BROKEN && !call->fresh) {
 		/*
-		 * Workers drop idle connections without notice, and links
-		 * reset them; that says nothing of the worker.
+		 * Workers close idle connections without notice, and links
+		 * reset them; that says nothing about the worker.
 		 */
-		wkp_start(edge, wk, true, now);
+		wkp_send_probe(edge, wk, true, now);
 	} else {
-		wkp_silent(edge, wk, end, now);
+		wkp_on_probe_failure(edge, wk, end, now);
 	}
 	evbuffer_free(call->body);
 	free(call);
 }
 
-/* A worker did not answer: it is suspected, and what waits for it is moved. */
-static void wkp_silent(struct edge *edge, struct wk *wk, enum hc_end end,
-		       int64_t now)
+/*
+ * Handles a failed probe: suspects the worker and moves the streams that wait
+ * for it.
+ */
+static void wkp_on_probe_failure(struct edge *edge, struct wk *wk,
+				 enum hc_end end, int64_t now)
 {
 	wk->suspect_until_us = 0;
-	wk_suspect(wk, now, "no answer to a question");
+	wk_suspect(wk, now, "no answer to a probe");
 	eq_on_suspect(edge, wk, now);
-	/* Silence may be a freeze; a closed port is a death. */
+	/*
+	 * Silence may be a freeze; a closed port means that the process died.
+	 */
 	if (end == HC_UNSENT || end == HC_BROKEN)
-		wkp_died(edge, wk, now);
+		wkp_on_death(edge, wk, now);
 }
 
 /* Returns how many workers died within the last second. */
-static int wkp_lost_together(const struct edge *edge, int64_t now)
+static int wkp_count_recent_deaths(const struct edge *edge, int64_t now)
 {
 	struct wk *wk;
 	int lost = 0;
 
 	cds_list_for_each_entry (wk, &edge->workers.workers, node)
-		lost += wk->died_us && now - wk->died_us < WKP_TOGETHER_US;
+		lost += wk->died_us && now - wk->died_us < WKP_COMMON_CAUSE_US;
 	return lost;
 }
 
 /*
- * A worker takes no connection, or drops it: it died, maybe of a request that
- * it ran.  That request would be sent again, by its caller too, and take one
- * worker after the other with it.  All that ran there come under suspicion;
- * one that was the only suspect there for the second time is refused.
+ * Handles the death of a worker, which refuses or drops connections.  A request
+ * that ran on it may have caused the crash.  That request would be sent again,
+ * also by its caller, and crash one worker after the other.  All requests that
+ * ran there become suspects; a request that was the only suspect there for the
+ * second time is refused.
  */
-static void wkp_died(struct edge *edge, struct wk *wk, int64_t now)
+static void wkp_on_death(struct edge *edge, struct wk *wk, int64_t now)
 {
-	struct wk_interrupted *victim;
+	struct wk_interrupted *candidate;
 	int suspects = 0;
 	bool suspect;
 	int i;
 
 	wk->died_us = now;
-	if (quar_have_common_cause(wkp_lost_together(edge, now))) {
+	if (quar_have_common_cause(wkp_count_recent_deaths(edge, now))) {
 		memset(wk->interrupted, 0, sizeof(wk->interrupted));
 		return;
 	}
 	for (i = 0; i < WK_INTERRUPTED_MAX; i++) {
-		victim = &wk->interrupted[i];
-		if (victim->at_us && now - victim->at_us < WKP_VICTIM_US &&
-		    quar_check(edge->quar, victim->fingerprint, now) !=
+		candidate = &wk->interrupted[i];
+		if (candidate->at_us &&
+		    now - candidate->at_us < WKP_INTERRUPTED_US &&
+		    quar_check(edge->quar, candidate->fingerprint, now) !=
 			    QUAR_CLEAR)
 			suspects++;
 	}
 	for (i = 0; i < WK_INTERRUPTED_MAX; i++) {
-		victim = &wk->interrupted[i];
-		if (!victim->at_us || now - victim->at_us >= WKP_VICTIM_US)
+		candidate = &wk->interrupted[i];
+		if (!candidate->at_us ||
+		    now - candidate->at_us >= WKP_INTERRUPTED_US)
 			continue;
-		suspect = quar_check(edge->quar, victim->fingerprint, now) !=
+		suspect = quar_check(edge->quar, candidate->fingerprint, now) !=
 			  QUAR_CLEAR;
-		quar_lost_endpoint(edge->quar, victim->fingerprint, 0,
+		quar_lost_endpoint(edge->quar, candidate->fingerprint, 0,
 				   suspects == (suspect ? 1 : 0), now);
-		victim->at_us = 0;
+		candidate->at_us = 0;
 	}
 }
 
-/* Takes an engine's report; it is some hundred milliseconds old. */
-static void wkp_report(struct wkp_call *call, int64_t now)
+/* Applies an engine's report, which is some hundred milliseconds old. */
+static void wkp_apply_report(struct wkp_call *call, int64_t now)
 {
 	static struct wire_report report;
 	size_t len = evbuffer_get_length(call->body);
@@ -288,7 +303,7 @@
 	wk->orders_taken = report.orders_taken;
 	wk->slowdown = report.slowdown > 0 ? report.slowdown : 1;
 	wk->slowdown_us = now;
-	/* A report is older than an entry that has just come. */
+	/* A list entry that has just come is newer than the report. */
 	if (now - wk->layers_changed_us > WKP_REPORT_LAG_US)
 		wk->layers = report.layers;
 	if (wk->ordered && !report.busy && wk->layers.from == wk->order.from &&
--- a/src/wkp.h
+++ b/src/wkp.h
@@ -1,7 +1,7 @@
 #ifndef WKP_H
 #define WKP_H
 
-/* Asks workers about their state, and hears what they say. */
+/* Probes workers and applies their reports. */
 
 #include <stdint.h>
 
