--- a/src/chn.h
+++ b/src/chn.h
@@ -2,15 +2,15 @@
 #define CHN_H
 
 /*
- * Chooses the chain of workers for one stream: hops whose ranges tile all
- * layers once and in order, at the least expected time for a token, under
- * the memory that is left.  Pure: all that it knows is in its arguments.
+ * Chooses the chain of workers for one stream: hops whose ranges cover all
+ * layers exactly once and in order, with the least expected time per token,
+ * within the free memory.  Pure: the result depends only on the arguments.
  *
- * Load pattern: at the evening's peak a data centre's accelerators hold about
- * a third of the streams that fit; when a worker or a data centre is lost,
- * its streams press into the rest within a second.  Memory binds before
- * arithmetic does, so a chain is refused where it would pass the memory
- * limit, and memory has a price (chn_price.c) before it is reached.
+ * Load pattern: at the evening peak a data centre's accelerators hold about a
+ * third of the streams that fit.  When a worker or a data centre is lost, its
+ * streams move to the others within a second.  Memory runs out before compute
+ * does, so a chain that would exceed the memory limit is refused, and memory
+ * has a price (chn_price.c) before the limit is reached.
  */
 
 #include <stdbool.h>
@@ -23,18 +23,18 @@
 #define CHN_CENTRES_MAX 32
 #define CHN_WORKERS_MAX 4096
 
-/* Time between two workers of a data centre for one token. */
+/* Network time of one token between two workers of a data centre. */
 #define CHN_HOP_US 250
-/* Share of a worker's request memory that is given away. */
+/* Part of a worker's request memory that chains may use. */
 #define CHN_MEMORY_LIMIT 0.92
-/* The same for requests that give way to others. */
+/* The same for requests that yield to others. */
 #define CHN_YIELD_LIMIT 0.86
 
 enum chn_err {
 	CHN_OK = 0,
-	CHN_E_NO_CHAIN = -1, /* no usable workers hold every layer */
-	CHN_E_MEMORY = -2,   /* some layer has no room for the request */
-	CHN_E_SLOTS = -3,    /* no worker takes another request as the first */
+	CHN_E_NO_CHAIN = -1, /* the usable workers lack some layer */
+	CHN_E_MEMORY = -2,   /* some layer has no memory for the request */
+	CHN_E_SLOTS = -3,    /* no first worker has a free slot */
 };
 
 struct chn_worker {
@@ -42,33 +42,40 @@
 	int centre; /* data centre, from 0 */
 	int from;   /* layers [from, to) that it holds */
 	int to;
-	double layer_us;     /* time of one layer for one token */
-	double memory;	     /* tokens x layers that it can hold */
-	double held;	     /* of these, given away so far */
-	int first_hops_left; /* requests that it still takes as the first */
-	/* For a repair: the part of the stream that it runs already. */
+	double layer_us;     /* time of one token in one layer */
+	double memory;	     /* capacity, tokens x layers */
+	double held;	     /* the part of it that is in use */
+	int first_hops_left; /* free slots for requests that begin there */
+	/* In a repair: layers of this stream that the worker already runs. */
 	int retained_from;
 	int retained_to;
-	double prefill_us; /* time to read the stream so far through a layer */
-	double prefill_backlog_us; /* reading that it has to do before */
+	/* Time to read the stream's tokens so far through one layer. */
+	double prefill_us;
+	/* Time to read the prompts that are queued there already. */
+	double prefill_backlog_us;
 };
 
 struct chn_request {
 	int layers;
-	int centre;	  /* of this instance, -1: unknown */
-	double tokens;	  /* that the request is expected to hold at its end */
+	int centre;	  /* of this instance; -1: unknown */
+	double tokens;	  /* expected tokens of the request at its end */
 	double hop_us;	  /* time between two workers of a data centre */
-	double centre_us; /* between two data centres */
-	bool yields;	  /* leaves the last memory to others */
-	bool may_cross_centres; /* a hop between data centres is allowed */
-	double remote_entry_us; /* price of a first worker in another one */
-	bool price_prefill; /* its events are due: reading is part of the price
-			     */
+	double centre_us; /* time between two data centres */
+	/* The request uses memory only up to CHN_YIELD_LIMIT. */
+	bool yields;
+	bool may_cross_centres; /* hops between data centres are allowed */
+	/* Price of a first worker outside the instance's data centre. */
+	double remote_entry_us;
+	/*
+	 * The stream's events are due, so the time to read its prompt is part
+	 * of the price.
+	 */
+	bool price_prefill;
 };
 
-/* The first hop of a chain under repair, which stays as it is. */
+/* The first hop of a chain under repair; it stays unchanged. */
 struct chn_first_hop {
-	int to;	    /* it runs [0, to) */
+	int to;	    /* it runs layers [0, to) */
 	int centre; /* data centre of its worker */
 };
 
@@ -82,14 +89,14 @@
 	struct chn_hop hops[CHN_HOPS_MAX];
 	int count;
 	int crossings;	     /* hops between data centres */
-	double token_us;     /* expected time of a token */
-	double memory_price; /* price of what it holds; 0: all workers are idle
-			      */
+	double token_us;     /* expected time per token */
+	double memory_price; /* of the memory used; 0: all workers are idle */
 };
 
-int chn_choose(const struct chn_request *want, const struct chn_worker *workers,
-	       int count, struct chn_chain *chain);
-int chn_repair(const struct chn_request *want,
+int chn_choose(const struct chn_request *request,
+	       const struct chn_worker *workers, int count,
+	       struct chn_chain *chain);
+int chn_repair(const struct chn_request *request,
 	       const struct chn_first_hop *first,
 	       const struct chn_worker *workers, int count,
 	       struct chn_chain *chain);
--- a/src/chn_price.c
+++ b/src/chn_price.c
@@ -3,26 +3,29 @@
 #include "chn_int.h"
 
 /*
- * Price of a full worker's memory: a stream that would hold nothing but full
- * memory counts as if it took so many times as long.
+ * Price of a full worker's memory: a stream that used only full workers would
+ * cost as much as one that takes this many times as long.
  */
 #define CHN_PRICE_FULL 8.0
-/* How steeply the price rises: its growth from an empty to a full worker. */
+/*
+ * Steepness of the price: the ratio of its slopes at a full and an empty
+ * worker.
+ */
 #define CHN_PRICE_GROWTH 64.0
 
-static double chn_layer_us(const struct chn_request *want,
+static double chn_layer_us(const struct chn_request *request,
 			   const struct chn_worker *worker);
 static double chn_scarcity(const struct chn_worker *worker);
 
 /*
  * Sets the price of a layer's memory on each worker.
  *
- * Load pattern: in a rush all memory is taken, and what counts is how many
- * streams it serves in a second.  A stream holds its memory on each worker
- * until its last token, so fast memory behind a slow hop is wasted: it is
- * worth as much more as its streams would be over sooner.  With this price,
- * chains stay among workers of like speed, and slow ones get streams of their
- * own before the fast ones are full.
+ * Load pattern: during a burst all memory is in use, and the throughput depends
+ * on how many streams it serves in a second.  A stream holds its memory on each
+ * worker until its last token, so the memory of a fast worker is wasted in a
+ * chain with a slow hop.  The price of a worker's memory therefore grows with
+ * its speed.  With this price, chains consist of workers of similar speed, and
+ * slow workers get streams of their own before the fast ones are full.
  */
 void chn_price_workers(struct chn_walk *walk)
 {
@@ -44,22 +47,25 @@
 	}
 }
 
-/* Returns what a chain costs: its time, and its memory for that time. */
+/* Returns the cost of a chain: its time, and its memory for that time. */
 double chn_price_of_chain(const struct chn_chain *chain)
 {
 	return chain->token_us * (1 + chain->memory_price);
 }
 
-/* Returns a token's time in one layer, its part of the next hop included. */
-static double chn_layer_us(const struct chn_request *want,
+/*
+ * Returns the time of a token in one layer, including a proportional part of
+ * the next hop.
+ */
+static double chn_layer_us(const struct chn_request *request,
 			   const struct chn_worker *worker)
 {
 	int held = worker->to - worker->from;
 
-	return worker->layer_us + (held > 0 ? want->hop_us / held : 0);
+	return worker->layer_us + (held > 0 ? request->hop_us / held : 0);
 }
 
-/* Returns the price of memory by how much of it is taken. */
+/* Returns the price of memory for the part of it that is in use. */
 static double chn_scarcity(const struct chn_worker *worker)
 {
 	double used;
--- a/src/chn_walk.c
+++ b/src/chn_walk.c
@@ -2,27 +2,28 @@
 
 #include "chn_int.h"
 
-static void chn_boundaries(struct chn_walk *walk);
+static void chn_set_boundaries(struct chn_walk *walk);
 static void chn_relax(struct chn_walk *walk, int position, int worker);
-static double chn_enter(const struct chn_walk *walk, int position, int worker,
-			int *before);
-static bool chn_keeps(const struct chn_worker *worker, int from, int to);
-static double chn_read_cost(const struct chn_worker *worker, int from, int to);
-static bool chn_has_room(const struct chn_request *want,
+static double chn_entry_cost(const struct chn_walk *walk, int position,
+			     int worker, int *previous_centre);
+static bool chn_retains(const struct chn_worker *worker, int from, int to);
+static double chn_prefill_cost(const struct chn_worker *worker, int from,
+			       int to);
+static bool chn_has_room(const struct chn_request *request,
 			 const struct chn_worker *worker, int layers);
-static int chn_trace(const struct chn_walk *walk, int centre,
-		     struct chn_chain *chain);
+static int chn_backtrack(const struct chn_walk *walk, int centre,
+			 struct chn_chain *chain);
 static void chn_merge_repeats(struct chn_chain *chain);
 
-/* Prepares a search over some workers. */
-int chn_walk_begin(struct chn_walk *walk, const struct chn_request *want,
+/* Prepares a search over a list of workers. */
+int chn_walk_begin(struct chn_walk *walk, const struct chn_request *request,
 		   const struct chn_worker *workers, int count)
 {
 	int i;
 
-	if (want->layers > CHN_LAYERS_MAX || count > CHN_WORKERS_MAX)
+	if (request->layers > CHN_LAYERS_MAX || count > CHN_WORKERS_MAX)
 		return CHN_E_NO_CHAIN;
-	walk->request = want;
+	walk->request = request;
 	walk->workers = workers;
 	walk->count = count;
 	walk->centres = 1;
@@ -32,15 +33,15 @@
 		if (workers[i].centre >= walk->centres)
 			walk->centres = workers[i].centre + 1;
 	}
-	chn_boundaries(walk);
+	chn_set_boundaries(walk);
 	walk->use_memory = true;
 	walk->start = 0;
 	walk->start_centre = 0;
 	return CHN_OK;
 }
 
-/* Hops begin and end only where some worker's range does. */
-static void chn_boundaries(struct chn_walk *walk)
+/* Hops begin and end only where the range of some worker does. */
+static void chn_set_boundaries(struct chn_walk *walk)
 {
 	int i;
 
@@ -89,100 +90,106 @@
 	}
 	if (centre < 0)
 		return CHN_E_NO_CHAIN;
-	return chn_trace(walk, centre, chain);
+	return chn_backtrack(walk, centre, chain);
 }
 
 /* Tries every hop of a worker that begins at a position. */
 static void chn_relax(struct chn_walk *walk, int position, int worker)
 {
 	const struct chn_worker *w = &walk->workers[worker];
-	double layer = w->layer_us + walk->weight_us * walk->price[worker];
+	double layer_cost = w->layer_us + walk->weight_us * walk->price[worker];
 	struct chn_step *step;
-	double enter;
+	double entry_cost;
 	double cost;
-	int before;
+	int previous_centre;
 	int end;
 
-	enter = chn_enter(walk, position, worker, &before);
-	if (enter >= CHN_INFINITE_COST)
+	entry_cost = chn_entry_cost(walk, position, worker, &previous_centre);
+	if (entry_cost >= CHN_INFINITE_COST)
 		return;
 	for (end = position + 1; end <= w->to && end <= walk->request->layers;
 	     end++) {
 		if (!walk->boundary[end])
 			continue;
-		if (walk->use_memory && !chn_keeps(w, position, end) &&
+		if (walk->use_memory && !chn_retains(w, position, end) &&
 		    !chn_has_room(walk->request, w, end - position))
 			continue;
-		cost = enter + layer * (end - position);
+		cost = entry_cost + layer_cost * (end - position);
 		if (walk->start > 0 || walk->request->price_prefill)
-			cost += chn_read_cost(w, position, end);
+			cost += chn_prefill_cost(w, position, end);
 		step = &walk->best[end][w->centre];
 		if (cost >= step->cost)
 			continue;
 		step->cost = cost;
 		step->worker = worker;
 		step->start = position;
-		step->previous_centre = before;
+		step->previous_centre = previous_centre;
 	}
 }
 
-/* Returns the cost of all before a hop, and of handing on to it. */
-static double chn_enter(const struct chn_walk *walk, int position, int worker,
-			int *before)
+/* Returns the cost of all hops before this one and of the transfer to it. */
+static double chn_entry_cost(const struct chn_walk *walk, int position,
+			     int worker, int *previous_centre)
 {
-	const struct chn_request *want = walk->request;
+	const struct chn_request *request = walk->request;
 	const struct chn_worker *w = &walk->workers[worker];
 	double best = CHN_INFINITE_COST;
 	double cost;
 	int i;
 
-	*before = -1;
+	*previous_centre = -1;
 	if (position == 0) {
 		if (w->first_hops_left <= 0)
 			return CHN_INFINITE_COST;
-		return want->centre == w->centre ? 0 : want->remote_entry_us;
+		return request->centre == w->centre ? 0
+						    : request->remote_entry_us;
 	}
 	for (i = 0; i < walk->centres; i++) {
 		cost = walk->best[position][i].cost;
 		if (cost >= CHN_INFINITE_COST ||
-		    (i != w->centre && !want->may_cross_centres))
+		    (i != w->centre && !request->may_cross_centres))
 			continue;
-		cost += i == w->centre ? want->hop_us : want->centre_us;
+		cost += i == w->centre ? request->hop_us : request->centre_us;
 		if (cost < best) {
 			best = cost;
-			*before = i;
+			*previous_centre = i;
 		}
 	}
 	return best;
 }
 
-/* Tells whether a worker runs just these layers of the stream already. */
-static bool chn_keeps(const struct chn_worker *worker, int from, int to)
+/* Tells whether a worker already runs exactly these layers of the stream. */
+static bool chn_retains(const struct chn_worker *worker, int from, int to)
 {
 	return worker->retained_from == from && worker->retained_to == to;
 }
 
-/* Time until a worker has read the stream so far through new layers. */
-static double chn_read_cost(const struct chn_worker *worker, int from, int to)
+/*
+ * Returns the time until a worker has read the stream so far through layers
+ * that it does not run yet.
+ */
+static double chn_prefill_cost(const struct chn_worker *worker, int from,
+			       int to)
 {
-	if (chn_keeps(worker, from, to))
+	if (chn_retains(worker, from, to))
 		return 0;
 	return worker->prefill_backlog_us + worker->prefill_us * (to - from);
 }
 
-static bool chn_has_room(const struct chn_request *want,
+static bool chn_has_room(const struct chn_request *request,
 			 const struct chn_worker *worker, int layers)
 {
-	double limit = want->yields ? CHN_YIELD_LIMIT : CHN_MEMORY_LIMIT;
+	double limit = request->yields ? CHN_YIELD_LIMIT : CHN_MEMORY_LIMIT;
 
-	return worker->held + want->tokens * layers <= worker->memory * limit;
+	return worker->held + request->tokens * layers <=
+	       worker->memory * limit;
 }
 
-/* Writes the hops down from the last one back to the first. */
-static int chn_trace(const struct chn_walk *walk, int centre,
-		     struct chn_chain *chain)
+/* Follows the hops back from the last one and stores them in order. */
+static int chn_backtrack(const struct chn_walk *walk, int centre,
+			 struct chn_chain *chain)
 {
-	struct chn_hop back[CHN_LAYERS_MAX];
+	struct chn_hop reversed[CHN_LAYERS_MAX];
 	const struct chn_step *step;
 	int position = walk->request->layers;
 	double cost = walk->best[position][centre].cost;
@@ -196,9 +203,9 @@
 		if (step->previous_centre >= 0 &&
 		    step->previous_centre != centre)
 			chain->crossings++;
-		back[count].ref = walk->workers[step->worker].ref;
-		back[count].from = step->start;
-		back[count].to = position;
+		reversed[count].ref = walk->workers[step->worker].ref;
+		reversed[count].from = step->start;
+		reversed[count].to = position;
 		chain->memory_price +=
 			walk->price[step->worker] * (position - step->start);
 		count++;
@@ -208,7 +215,7 @@
 	if (count > CHN_HOPS_MAX)
 		return CHN_E_NO_CHAIN;
 	for (i = 0; i < count; i++)
-		chain->hops[i] = back[count - 1 - i];
+		chain->hops[i] = reversed[count - 1 - i];
 	chain->count = count;
 	chain->token_us = cost - walk->weight_us * chain->memory_price;
 	chn_merge_repeats(chain);
@@ -216,9 +223,9 @@
 }
 
 /*
- * A worker may stand in a chain only once.  Where the cheapest way leaves a
- * worker and comes back, it runs what lies between, too: its range has no
- * gap.
+ * A worker may appear in a chain only once.  Where the cheapest path leaves a
+ * worker and returns to it, that worker also runs the layers between: its range
+ * has no gaps.
  */
 static void chn_merge_repeats(struct chn_chain *chain)
 {
--- a/src/plr.c
+++ b/src/plr.c
@@ -13,38 +13,39 @@
 
 #define PLR_CARDS_MAX 4096
 /*
- * Workers that start together register within a second or so.  Copies are
- * assigned once no new one has come for this long: assigned over half of them,
- * the layers would leave no memory for requests, and a worker gives none up.
+ * Workers that start together register within about a second.  Copies are
+ * planned only when no new worker has come for this long.  Planned over half of
+ * the workers, the layers would leave no memory for requests, and a worker does
+ * not release layers.
  */
 #define PLR_SETTLE_US (1200 * MAG_US_PER_MS)
 /*
- * A hole in a data centre's copy is closed by widening its neighbours only
- * after this long: a worker that crashed is mostly back, and empty, by then,
- * and a widened worker keeps less memory for requests for good.
+ * Neighbours are widened to close a hole in a data centre's copy only after
+ * this delay.  By then a worker that crashed is usually back, without layers,
+ * and a widened worker permanently has less memory for requests.
  */
-#define PLR_WIDEN_US (3 * MAG_US_PER_S)
+#define PLR_WIDEN_DELAY_US (3 * MAG_US_PER_S)
 /*
- * How often a card may be moved to where its data centre holds least.  What
- * the move before has brought shows in the list a second after its end.
+ * Interval between moves of cards to the layers with the least capacity.  The
+ * result of a move is visible in the list a second after its end.
  */
-#define PLR_BALANCE_US MAG_US_PER_S
-/* How often the cover of the layers is logged. */
-#define PLR_COVER_US (2 * MAG_US_PER_S)
+#define PLR_BALANCE_INTERVAL_US MAG_US_PER_S
+/* Interval between log lines on the bottleneck layers. */
+#define PLR_LOG_INTERVAL_US (2 * MAG_US_PER_S)
 /*
- * A worker that comes while its data centre lacks nothing waits so long for
- * its layers: in a release the new one starts first and the old one leaves a
- * moment later, and what it leaves is what the new one should hold.
+ * A new worker waits this long for its layers while its data centre lacks none.
+ * In a rolling update the new worker starts first and the old one leaves a
+ * moment later; the new one should get the layers of the old one.
  */
-#define PLR_SPARE_US (1800 * MAG_US_PER_MS)
-#define PLR_ORDER_US (600 * MAG_US_PER_MS)
-/* A worker that is busy with an order is asked again after this. */
-#define PLR_ASK_US (700 * MAG_US_PER_MS)
+#define PLR_SPARE_WAIT_US    (1800 * MAG_US_PER_MS)
+#define PLR_ORDER_TIMEOUT_US (600 * MAG_US_PER_MS)
+/* Interval between probes of a worker that is busy with an order. */
+#define PLR_PROBE_INTERVAL_US (700 * MAG_US_PER_MS)
 /*
- * An order without an effect is given again after this; a late one may still
- * arrive, and does no harm: it names the same layers and the order count.
+ * An order without effect is sent again after this time.  A late duplicate does
+ * no harm: it names the same layers and the same order count.
  */
-#define PLR_AGAIN_US (2500 * MAG_US_PER_MS)
+#define PLR_REORDER_US (2500 * MAG_US_PER_MS)
 
 struct plr_call {
 	struct edge *edge;
@@ -52,17 +53,20 @@
 	int status;
 };
 
-static void plr_service(struct edge *edge, int index, int64_t now);
+static void plr_plan_service(struct edge *edge, int index, int64_t now);
 static void plr_balance(struct edge *edge, int index,
 			const struct lay_model *model, struct lay_card *cards,
-			int count, bool fresh, int64_t now);
-static void plr_log_cover(struct edge *edge, const struct lay_model *model,
-			  const struct lay_card *cards, int count, int64_t now);
+			int count, bool initial, int64_t now);
+static void plr_log_bottlenecks(struct edge *edge,
+				const struct lay_model *model,
+				const struct lay_card *cards, int count,
+				int64_t now);
 static struct lay_model plr_model(const struct rt_engine *engine);
-static int plr_cards(struct edge *edge, const struct rt_service *service,
-		     struct lay_card *cards, struct wk **workers, int64_t now);
-static void plr_order(struct edge *edge, struct wk *wk,
-		      const struct wire_range *range, int64_t now);
+static int plr_list_cards(struct edge *edge, const struct rt_service *service,
+			  struct lay_card *cards, struct wk **workers,
+			  int64_t now);
+static void plr_send_order(struct edge *edge, struct wk *wk,
+			   const struct wire_range *range, int64_t now);
 static bool plr_on_headers(void *user, const struct hc_answer *answer);
 static void plr_on_body(void *user, const void *bytes, size_t len);
 static void plr_on_end(void *user, enum hc_end end);
@@ -73,7 +77,7 @@
 	.ended = plr_on_end,
 };
 
-/* Plans and orders while this instance holds the placer's lease. */
+/* Plans and sends orders while this instance holds the placer's lease. */
 void plr_tick(struct edge *edge, int64_t now)
 {
 	int i;
@@ -83,12 +87,12 @@
 		return;
 	for (i = 0; i < edge->rt->service_count && i < EDGE_SERVICES_MAX; i++) {
 		if (edge->rt->services[i].has_engine)
-			plr_service(edge, i, now);
+			plr_plan_service(edge, i, now);
 	}
 }
 
-/* Plans one service's layers and gives the orders that are missing. */
-static void plr_service(struct edge *edge, int index, int64_t now)
+/* Plans one service's layers and sends the orders that the plan requires. */
+static void plr_plan_service(struct edge *edge, int index, int64_t now)
 {
 	const struct rt_service *service = &edge->rt->services[index];
 	int64_t *hole_since_us = &edge->placer.hole_since_us[index];
@@ -98,13 +102,13 @@
 	struct wire_range range;
 	bool holes[EDGE_CENTRES_MAX];
 	bool hole = false;
-	bool fresh;
+	bool initial;
 	int count;
 	int i;
 
-	count = plr_cards(edge, service, cards, workers, now);
-	fresh = lay_is_empty(cards, count);
-	if (fresh && now - edge->workers.last_added_us < PLR_SETTLE_US)
+	count = plr_list_cards(edge, service, cards, workers, now);
+	initial = lay_is_empty(cards, count);
+	if (initial && now - edge->workers.last_added_us < PLR_SETTLE_US)
 		return;
 	for (i = 0; i < edge->centre_count; i++) {
 		holes[i] = lay_has_hole(&model, cards, count, i);
@@ -114,10 +118,10 @@
 		*hole_since_us = 0;
 	else if (!*hole_since_us)
 		*hole_since_us = now;
-	plr_log_cover(edge, &model, cards, count, now);
+	plr_log_bottlenecks(edge, &model, cards, count, now);
 	lay_plan(&model, cards, count,
-		 hole && now - *hole_since_us > PLR_WIDEN_US);
-	plr_balance(edge, index, &model, cards, count, fresh, now);
+		 hole && now - *hole_since_us > PLR_WIDEN_DELAY_US);
+	plr_balance(edge, index, &model, cards, count, initial, now);
 	for (i = 0; i < count; i++) {
 		range = (struct wire_range){ cards[i].planned_from,
 					     cards[i].planned_to };
@@ -125,50 +129,53 @@
 		    (range.from == workers[i]->layers.from &&
 		     range.to == workers[i]->layers.to))
 			continue;
-		if (!fresh && now - workers[i]->first_seen_us < PLR_SPARE_US &&
+		if (!initial &&
+		    now - workers[i]->first_seen_us < PLR_SPARE_WAIT_US &&
 		    !holes[cards[i].centre])
 			continue;
-		plr_order(edge, workers[i], &range, now);
+		plr_send_order(edge, workers[i], &range, now);
 	}
 }
 
-/* Moves cards, now and then, to where their data centre holds the least. */
+/* Moves cards to the layers with the least capacity, once in an interval. */
 static void plr_balance(struct edge *edge, int index,
 			const struct lay_model *model, struct lay_card *cards,
-			int count, bool fresh, int64_t now)
+			int count, bool initial, int64_t now)
 {
 	int64_t *next_us = &edge->placer.balance_us[index];
 
-	if (!fresh && now < *next_us)
+	if (!initial && now < *next_us)
 		return;
-	*next_us = now + PLR_BALANCE_US;
-	lay_balance(model, cards, count, fresh);
+	*next_us = now + PLR_BALANCE_INTERVAL_US;
+	lay_balance(model, cards, count, initial);
 }
 
 /*
- * Says for each data centre how many tokens its least held layer has room
- * for: zero is a hole, and a figure far below the others is a bottleneck.
+ * Logs for each data centre how many tokens the layer with the least memory has
+ * room for.  Zero is a hole; a figure far below the others' is a bottleneck.
  */
-static void plr_log_cover(struct edge *edge, const struct lay_model *model,
-			  const struct lay_card *cards, int count, int64_t now)
+static void plr_log_bottlenecks(struct edge *edge,
+				const struct lay_model *model,
+				const struct lay_card *cards, int count,
+				int64_t now)
 {
-	struct lay_bottleneck cover;
+	struct lay_bottleneck bottleneck;
 	int i;
 
 	if (now < edge->placer.cover_log_us)
 		return;
-	edge->placer.cover_log_us = now + PLR_COVER_US;
+	edge->placer.cover_log_us = now + PLR_LOG_INTERVAL_US;
 	for (i = 0; i < edge->centre_count; i++) {
-		lay_find_bottleneck(model, cards, count, i, &cover);
+		lay_find_bottleneck(model, cards, count, i, &bottleneck);
 		jlog(LOG_PLR_COVER,
 		     "\"data_centre\":\"%s\",\"workers\":%d,"
 		     "\"least_layer\":%d,\"holders\":%d,\"tokens\":%.0f",
-		     edge->centres[i], cover.cards, cover.layer, cover.holders,
-		     cover.tokens);
+		     edge->centres[i], bottleneck.cards, bottleneck.layer,
+		     bottleneck.holders, bottleneck.tokens);
 	}
 }
 
-/* Describes the model of an engine to the planner. */
+/* Describes an engine's model to the planner. */
 static struct lay_model plr_model(const struct rt_engine *engine)
 {
 	struct lay_model model;
@@ -184,9 +191,10 @@
 	return model;
 }
 
-/* Lists the workers of a service as cards; what is ordered counts as held. */
-static int plr_cards(struct edge *edge, const struct rt_service *service,
-		     struct lay_card *cards, struct wk **workers, int64_t now)
+/* Lists the workers of a service as cards; ordered layers count as held. */
+static int plr_list_cards(struct edge *edge, const struct rt_service *service,
+			  struct lay_card *cards, struct wk **workers,
+			  int64_t now)
 {
 	const struct rt_kind *kind;
 	struct lay_card *card;
@@ -220,25 +228,25 @@
 }
 
 /*
- * Orders a worker to hold layers.  The order carries the count of orders that
- * the worker has taken, so that it is refused if another one came between;
- * the lease is checked last, because this process may have been paused.
+ * Orders a worker to hold layers.  The order carries the number of orders that
+ * the worker has accepted, so that it is refused if another order came between.
+ * The lease is checked last, because this process may have been paused.
  */
-static void plr_order(struct edge *edge, struct wk *wk,
-		      const struct wire_range *range, int64_t now)
+static void plr_send_order(struct edge *edge, struct wk *wk,
+			   const struct wire_range *range, int64_t now)
 {
 	struct hc_send send = { 0 };
 	struct plr_call *call;
 	struct hc_call *started;
 	char body[256];
 
-	if (wk->ordered && now - wk->ordered_us < PLR_AGAIN_US)
+	if (wk->ordered && now - wk->ordered_us < PLR_REORDER_US)
 		return;
 	if (wk->suspected && now < wk->suspect_until_us)
 		return;
 	if (wk->orders_taken < 0 || wk->busy ||
 	    (wk->ordered && wk->reported_us < wk->ordered_us)) {
-		if (now - wk->probed_us >= PLR_ASK_US)
+		if (now - wk->probed_us >= PLR_PROBE_INTERVAL_US)
 			wkp_probe(edge, wk, now);
 		return;
 	}
@@ -252,8 +260,8 @@
 		pl_call_encode("POST", PL_ORDER_PATH, wk->entry.address, body);
 	send.ops = &plr_ops;
 	send.user = call;
-	send.connect_by_us = now + PLR_ORDER_US;
-	send.deadline_us = now + PLR_ORDER_US;
+	send.connect_by_us = now + PLR_ORDER_TIMEOUT_US;
+	send.deadline_us = now + PLR_ORDER_TIMEOUT_US;
 	if (!send.request || !pres_is_placer(edge->pres, clk_boot_us()) ||
 	    hc_start(wk->host, &send, &started)) {
 		free(call);
@@ -295,7 +303,10 @@
 	struct wk *wk = call->wk;
 
 	if (end == HC_WHOLE && call->status / 100 != 2) {
-		/* It was not taken: the state it rested on has changed. */
+		/*
+		 * The order was refused: the state that it was based on has
+		 * changed.
+		 */
 		wk->ordered = false;
 		wk->orders_taken = -1;
 	}
--- a/src/plr.h
+++ b/src/plr.h
@@ -1,7 +1,9 @@
 #ifndef PLR_H
 #define PLR_H
 
-/* The placer: the holder of its lease orders workers to hold layers. */
+/*
+ * The placer: the instance that holds its lease orders workers to load layers.
+ */
 
 #include <stdint.h>
 
--- a/src/wk.h
+++ b/src/wk.h
@@ -94,15 +94,11 @@
 
 	/* When its connections were refused or broken off; 0: never. */
 	int64_t died_us;
-	/*
-	 * Requests to suspect of the crash if the worker turns out to be dead.
-	 */
+	/* Requests that may have caused its death, if it turns out dead. */
 	struct wk_interrupted interrupted[WK_INTERRUPTED_MAX];
 	int interrupted_next;
 
-	/*
-	 * The placer's last order, while it may not have been carried out yet.
-	 */
+	/* The placer's last order, until it is known to be carried out. */
 	bool ordered;
 	int64_t ordered_us;
 	struct wire_range order;
