--- a/src/lay.c
+++ b/src/lay.c
@@ -4,18 +4,22 @@
 #include "lay_int.h"
 
 /*
- * Requests for which a copy keeps memory, as a part of a first worker's
- * places.  Fewer layers a card would keep more, but make every chain longer
- * and slower, and slow streams hold their memory for longer.
+ * Number of requests that a copy reserves memory for, as a fraction of a first
+ * worker's slots.  With fewer layers per card there would be memory for more
+ * requests, but all chains would be longer and slower, and slow streams hold
+ * their memory for longer.
  */
-#define LAY_PEAK 0.7
-/* Share of one card's memory that its layers may take at most. */
-#define LAY_CARD_SHARE 0.85
-/* A chain has at most 32 hops; copies stay below it with some to spare. */
-#define LAY_CARDS_A_COPY 26
-/* How much less memory for requests is wanted where layers do not fit. */
-#define LAY_SHRINK 0.93
-#define LAY_STEPS  40
+#define LAY_PEAK_LOAD 0.7
+/* Maximum fraction of a card's memory for its layers. */
+#define LAY_LAYERS_FRACTION 0.85
+/* A chain has at most 32 hops; copies stay below that, with a margin. */
+#define LAY_COPY_CARDS_MAX 26
+/*
+ * Factor, and number of steps, by which the target for request memory is
+ * lowered while the layers do not fit.
+ */
+#define LAY_TARGET_FACTOR 0.93
+#define LAY_TARGET_STEPS  40
 
 static int lay_assign_all(const struct lay_model *model, struct lay_card *cards,
 			  int count);
@@ -24,18 +28,20 @@
 static int lay_assign_group(const struct lay_model *model,
 			    struct lay_card **group, int count);
 static int lay_assign_copy(const struct lay_model *model,
-			   struct lay_card **copy, int count, double wanted);
-static void lay_even_out(struct lay_card **copy, int count, int *widths);
-static void lay_sort(const struct lay_model *model, struct lay_card **group,
-		     int count);
+			   struct lay_card **copy, int count,
+			   double target_tokens);
+static void lay_spread_evenly(struct lay_card **copy, int count, int *widths);
+static void lay_sort_by_cost(const struct lay_model *model,
+			     struct lay_card **group, int count);
 static double lay_layer_cost(const struct lay_model *model,
 			     const struct lay_card *card);
 
 /*
- * Sets what each card is to hold.  While nobody holds anything, whole copies
- * are assigned; cards that are left, or that come later, take the layers that
- * lack the most.  If widen is set, holders beside a hole take it over, or a
- * card that others back up moves there.
+ * Plans what each card is to hold.  While no card holds anything, whole copies
+ * are planned.  Cards that are left over or come later get the layers with the
+ * largest deficit.  If widen is set, holes (layers without a holder) are
+ * closed: the cards beside a hole take it over, or a card whose layers others
+ * hold as well moves there.
  */
 void lay_plan(const struct lay_model *model, struct lay_card *cards, int count,
 	      bool widen)
@@ -54,7 +60,7 @@
 	lay_repair(model, cards, count, widen);
 }
 
-/* Finds the layer of a data centre with room for the fewest tokens. */
+/* Finds the layer of a data centre that has memory for the fewest tokens. */
 void lay_find_bottleneck(const struct lay_model *model,
 			 const struct lay_card *cards, int count, int centre,
 			 struct lay_bottleneck *cover)
@@ -104,8 +110,8 @@
 }
 
 /*
- * Assigns copies in each data centre that has room, and over what is left in
- * all of them; returns how many cards it took.
+ * Plans copies in each data centre that has room for one, then over the cards
+ * left in all of them together.  Returns how many cards it used.
  */
 static int lay_assign_all(const struct lay_model *model, struct lay_card *cards,
 			  int count)
@@ -124,7 +130,7 @@
 		memory += cards[i].memory_mb;
 	}
 	if (left > 0 &&
-	    memory * LAY_CARD_SHARE >= model->layers * model->layer_mb)
+	    memory * LAY_LAYERS_FRACTION >= model->layers * model->layer_mb)
 		assigned += lay_assign_group(model, pool, left);
 	return assigned;
 }
@@ -141,8 +147,8 @@
 }
 
 /*
- * Assigns whole copies over a data centre's cards, if they have room for one;
- * returns how many cards it took.
+ * Plans whole copies over a data centre's cards if they have room for one.
+ * Returns how many cards it used.
  */
 int lay_assign_centre(const struct lay_model *model, struct lay_card *cards,
 		      int count, int centre)
@@ -158,55 +164,57 @@
 		group[size++] = &cards[i];
 		memory += cards[i].memory_mb;
 	}
-	if (memory * LAY_CARD_SHARE < model->layers * model->layer_mb)
+	if (memory * LAY_LAYERS_FRACTION < model->layers * model->layer_mb)
 		return 0;
 	return lay_assign_group(model, group, size);
 }
 
 /*
- * Assigns copies one after the other, each over the fastest cards that are
- * left, until these hold no whole one.  Where not even the first copy fits
- * beside the wanted memory for requests, less memory is wanted.  Returns how
- * many cards it took.
+ * Plans one copy after the other, each over the fastest cards that are left,
+ * until these have no room for a whole one.  If not even the first copy fits
+ * together with the target memory for requests, the target is lowered.  Returns
+ * how many cards it used.
  */
 static int lay_assign_group(const struct lay_model *model,
 			    struct lay_card **group, int count)
 {
-	double wanted = lay_target_tokens(model);
+	double target_tokens = lay_target_tokens(model);
 	int assigned = 0;
 	int used;
 	int step;
 
-	lay_sort(model, group, count);
-	for (step = 0; step < LAY_STEPS && assigned == 0; step++) {
-		assigned = lay_assign_copy(model, group, count, wanted);
+	lay_sort_by_cost(model, group, count);
+	for (step = 0; step < LAY_TARGET_STEPS && assigned == 0; step++) {
+		assigned = lay_assign_copy(model, group, count, target_tokens);
 		if (assigned == 0)
-			wanted *= LAY_SHRINK;
+			target_tokens *= LAY_TARGET_FACTOR;
 	}
 	used = assigned;
 	while (used > 0 && assigned < count) {
 		used = lay_assign_copy(model, group + assigned,
-				       count - assigned, wanted);
+				       count - assigned, target_tokens);
 		assigned += used;
 	}
 	return assigned;
 }
 
 /*
- * Assigns all layers over the first cards of a list; returns how many it took,
- * 0 if the layers do not fit.
+ * Plans all layers over the first cards of a list.  Returns how many cards it
+ * used, 0 if the layers do not fit.
  */
 static int lay_assign_copy(const struct lay_model *model,
-			   struct lay_card **copy, int count, double wanted)
+			   struct lay_card **copy, int count,
+			   double target_tokens)
 {
-	int widths[LAY_CARDS_A_COPY];
+	int widths[LAY_COPY_CARDS_MAX];
 	int left = model->layers;
 	int position = 0;
 	int used = 0;
 	int i;
 
-	while (used < count && used < LAY_CARDS_A_COPY && left > 0) {
-		widths[used] = lay_layers_beside(model, copy[used], wanted);
+	while (used < count && used < LAY_COPY_CARDS_MAX && left > 0) {
+		widths[used] =
+			lay_layers_beside(model, copy[used], target_tokens);
 		if (widths[used] > left)
 			widths[used] = left;
 		left -= widths[used];
@@ -214,26 +222,28 @@
 	}
 	if (left > 0)
 		return 0;
-	lay_even_out(copy, used, widths);
+	lay_spread_evenly(copy, used, widths);
 	for (i = 0; i < used; i++) {
 		copy[i]->planned_from = position;
 		position += widths[i];
 		copy[i]->planned_to = position;
 	}
-	/* The last card backs the one before it up with what it has left. */
+	/*
+	 * The last card uses its remaining memory to back up the one before it.
+	 */
 	copy[used - 1]->planned_from =
 		model->layers -
-		lay_layers_beside(model, copy[used - 1], wanted);
+		lay_layers_beside(model, copy[used - 1], target_tokens);
 	if (copy[used - 1]->planned_from < 0)
 		copy[used - 1]->planned_from = 0;
 	return used;
 }
 
 /*
- * Spreads the layers of like cards evenly over them, so that none has less
+ * Spreads the layers of identical cards evenly over them, so that none has less
  * memory for requests than another.
  */
-static void lay_even_out(struct lay_card **copy, int count, int *widths)
+static void lay_spread_evenly(struct lay_card **copy, int count, int *widths)
 {
 	int first = 0;
 	int sum;
@@ -255,32 +265,32 @@
 	}
 }
 
-/* Returns the tokens for which a card is to have memory. */
+/* Returns the tokens that each card should have memory for. */
 double lay_target_tokens(const struct lay_model *model)
 {
-	return LAY_PEAK * model->slots * model->request_tokens;
+	return LAY_PEAK_LOAD * model->slots * model->request_tokens;
 }
 
-/* Returns the layers that fit beside the memory of so many tokens. */
+/* Returns the layers that fit together with the memory of so many tokens. */
 int lay_layers_beside(const struct lay_model *model,
 		      const struct lay_card *card, double tokens)
 {
 	int fit = (int)(card->memory_mb /
 			(model->layer_mb + tokens * model->token_mb));
-	int most = lay_max_layers(model, card);
+	int max_layers = lay_max_layers(model, card);
 
-	return fit < most ? fit : most;
+	return fit < max_layers ? fit : max_layers;
 }
 
-/* Returns the most layers that a card may hold. */
+/* Returns the maximum of layers that a card may hold. */
 int lay_max_layers(const struct lay_model *model, const struct lay_card *card)
 {
-	return (int)(card->memory_mb * LAY_CARD_SHARE / model->layer_mb);
+	return (int)(card->memory_mb * LAY_LAYERS_FRACTION / model->layer_mb);
 }
 
-/* Orders cards by what a layer costs on them, equal ones as they came. */
-static void lay_sort(const struct lay_model *model, struct lay_card **group,
-		     int count)
+/* Sorts cards by their cost per layer; the sort is stable. */
+static void lay_sort_by_cost(const struct lay_model *model,
+			     struct lay_card **group, int count)
 {
 	struct lay_card *card;
 	int at;
@@ -299,14 +309,15 @@
 }
 
 /*
- * Returns a token's time in one layer of a full card, its part of the way to
- * the next card included: a small card makes a chain longer.
+ * Returns the time of a token in one layer of a full card, including a
+ * proportional part of the hop to the next card: small cards make a chain
+ * longer.
  */
 static double lay_layer_cost(const struct lay_model *model,
 			     const struct lay_card *card)
 {
-	int most = lay_max_layers(model, card);
+	int max_layers = lay_max_layers(model, card);
 
 	return card->step_factor * model->layer_us +
-	       model->hop_us / (most > 0 ? most : 1);
+	       model->hop_us / (max_layers > 0 ? max_layers : 1);
 }
--- a/src/lay_balance.c
+++ b/src/lay_balance.c
@@ -3,74 +3,77 @@
 #include "lay_int.h"
 
 /*
- * Load pattern: workers are lost for good, taken away or replaced, and each
- * data centre ends with some layer that a single card holds.  All streams of
- * the data centre pass that card: they wait for its memory, or for a place at
- * the only first worker, while other layers have three holders, and the next
- * loss breaks every one of them.  A card is moved from where most is held.
+ * Load pattern: workers are permanently lost, removed or replaced, until some
+ * layer of a data centre has a single holder.  All streams of the data centre
+ * pass through that card.  They wait for its memory, or for a slot if it is the
+ * only first worker, while other layers have three holders, and the next loss
+ * breaks all of them.  Balancing moves a card there from the layers that are
+ * held most.
  */
 
 /*
- * Weight of what is left after the worst single loss beside what there is
- * now: a loss comes a few times in a day, the load is always there.
+ * Weight of the capacity after the worst single loss, relative to the present
+ * capacity: a loss happens a few times a day, the load is always there.
  */
-#define LAY_SURVIVES 0.5
-/* A card may become so many layers wider or narrower by its move. */
-#define LAY_RESIZE 2
+#define LAY_LOSS_WEIGHT 0.5
+/* Largest change of a card's width in a move, in layers. */
+#define LAY_RESIZE_MAX 2
 /*
- * Gain for which a card is moved, as a part of what there is.  Nothing is
- * loaded yet when copies are assigned; later a move takes a holder away until
- * its requests have ended and the layers are read, some seconds.
+ * Minimum gain of a move, as a fraction of the present capacity.  In an initial
+ * plan no layers are loaded yet.  Later a move takes a holder away until its
+ * requests have ended and the new layers are read, some seconds.
  */
-#define LAY_GAIN_FRESH 0.02
-#define LAY_GAIN       0.2
-/* Moves in a data centre's freshly assigned copies; each takes a pass. */
-#define LAY_MOVES_FRESH 16
+#define LAY_GAIN_INITIAL 0.02
+#define LAY_GAIN	 0.2
+/* Maximum of moves per data centre in an initial plan; each takes a pass. */
+#define LAY_MOVES_INITIAL 16
 
-/* What a data centre's cards hold of each layer, in tokens. */
+/* Memory of a data centre's cards for each layer, in tokens. */
 struct lay_tally {
 	double sum[LAY_LAYERS_MAX];
-	double most[LAY_LAYERS_MAX]; /* by one card */
-	double next[LAY_LAYERS_MAX]; /* by another one */
-	int owner[LAY_LAYERS_MAX];   /* of the most, -1: none */
+	double largest[LAY_LAYERS_MAX];	       /* of the card with the most */
+	double second_largest[LAY_LAYERS_MAX]; /* of the next one */
+	int largest_card[LAY_LAYERS_MAX]; /* the one with the most; -1: none */
 };
 
-struct lay_best {
+struct lay_best_move {
 	double value;
 	int card;
 	int from;
 	int to;
 };
 
-static bool lay_balance_one(const struct lay_model *model,
-			    struct lay_card *cards, int count, int centre,
-			    double gain, bool fresh);
-static void lay_count(const struct lay_model *model,
-		      const struct lay_card *cards, int count, int centre,
-		      struct lay_tally *tally);
-static void lay_add(struct lay_tally *tally, int layer, int card, double part);
-static double lay_worth(const struct lay_model *model,
+static bool lay_make_best_move(const struct lay_model *model,
+			       struct lay_card *cards, int count, int centre,
+			       double gain, bool initial);
+static void lay_tally_centre(const struct lay_model *model,
+			     const struct lay_card *cards, int count,
+			     int centre, struct lay_tally *tally);
+static void lay_tally_add(struct lay_tally *tally, int layer, int card,
+			  double tokens);
+static double lay_score(const struct lay_model *model,
 			const struct lay_tally *tally, int *weakest);
-static double lay_worth_moved(const struct lay_model *model,
-			      const struct lay_tally *tally,
-			      const struct lay_card *was,
-			      const struct lay_card *moved, int at);
+static double lay_score_after_move(const struct lay_model *model,
+				   const struct lay_tally *tally,
+				   const struct lay_card *current,
+				   const struct lay_card *moved, int index);
 static void lay_try_card(const struct lay_model *model,
 			 const struct lay_tally *tally,
-			 const struct lay_card *cards, int at, int weakest,
-			 double least, struct lay_best *best);
-static bool lay_settled(const struct lay_card *cards, int count, int centre);
+			 const struct lay_card *cards, int index, int weakest,
+			 double required, struct lay_best_move *best);
+static bool lay_is_settled(const struct lay_card *cards, int count, int centre);
 static bool lay_holds(const struct lay_card *card, int layer);
-static double lay_part(const struct lay_model *model,
-		       const struct lay_card *card, int layer);
-static bool lay_may_leave(const struct lay_model *model,
+static double lay_layer_tokens(const struct lay_model *model,
+			       const struct lay_card *card, int layer);
+static bool lay_can_spare(const struct lay_model *model,
 			  const struct lay_tally *tally,
-			  const struct lay_card *was,
-			  const struct lay_card *moved, double least);
+			  const struct lay_card *current,
+			  const struct lay_card *moved, double required);
 
 /*
- * Returns how much a data centre can run: the tokens of its least layer, and
- * a part of those that are left there after the loss of one card.
+ * Returns the capacity of a data centre: the tokens of its bottleneck layer,
+ * plus a fraction of the least that is left of any layer after the loss of one
+ * card.
  */
 double lay_capacity_score(const struct lay_model *model,
 			  const struct lay_card *cards, int count, int centre,
@@ -78,47 +81,47 @@
 {
 	struct lay_tally tally;
 
-	lay_count(model, cards, count, centre, &tally);
-	return lay_worth(model, &tally, weakest);
+	lay_tally_centre(model, cards, count, centre, &tally);
+	return lay_score(model, &tally, weakest);
 }
 
 /*
- * Moves cards to where their data centres can run the least.  On a fresh plan
- * as long as that helps; else one card at a time, and only where all that was
- * ordered is held.
+ * Moves cards to the layers where their data centres have the least capacity.
+ * In an initial plan this continues while it helps; later it moves one card at
+ * a time, and only in data centres where all orders are carried out.
  */
 void lay_balance(const struct lay_model *model, struct lay_card *cards,
-		 int count, bool fresh)
+		 int count, bool initial)
 {
-	double gain = fresh ? LAY_GAIN_FRESH : LAY_GAIN;
-	int moves = fresh ? LAY_MOVES_FRESH : 1;
+	double gain = initial ? LAY_GAIN_INITIAL : LAY_GAIN;
+	int moves = initial ? LAY_MOVES_INITIAL : 1;
 	int centre;
 	int i;
 
 	for (centre = 0; centre < LAY_CENTRES_MAX; centre++) {
-		if (!fresh && !lay_settled(cards, count, centre))
+		if (!initial && !lay_is_settled(cards, count, centre))
 			continue;
 		for (i = 0; i < moves; i++) {
-			if (!lay_balance_one(model, cards, count, centre, gain,
-					     fresh))
+			if (!lay_make_best_move(model, cards, count, centre,
+						gain, initial))
 				break;
 		}
 	}
 }
 
 /* Makes the move of one card that gains the most; false if none does. */
-static bool lay_balance_one(const struct lay_model *model,
-			    struct lay_card *cards, int count, int centre,
-			    double gain, bool fresh)
+static bool lay_make_best_move(const struct lay_model *model,
+			       struct lay_card *cards, int count, int centre,
+			       double gain, bool initial)
 {
-	struct lay_best best = { 0, -1, 0, 0 };
+	struct lay_best_move best = { 0, -1, 0, 0 };
 	struct lay_tally tally;
 	double value;
 	int weakest;
 	int i;
 
-	lay_count(model, cards, count, centre, &tally);
-	value = lay_worth(model, &tally, &weakest);
+	lay_tally_centre(model, cards, count, centre, &tally);
+	value = lay_score(model, &tally, &weakest);
 	if (value <= 0)
 		return false;
 	best.value = value * (1 + gain);
@@ -126,7 +129,7 @@
 		if (cards[i].centre == centre && cards[i].usable &&
 		    cards[i].planned_from < cards[i].planned_to)
 			lay_try_card(model, &tally, cards, i, weakest,
-				     fresh ? 0 : value, &best);
+				     initial ? 0 : value, &best);
 	}
 	if (best.card < 0)
 		return false;
@@ -135,126 +138,134 @@
 	return true;
 }
 
-static void lay_count(const struct lay_model *model,
-		      const struct lay_card *cards, int count, int centre,
-		      struct lay_tally *tally)
+static void lay_tally_centre(const struct lay_model *model,
+			     const struct lay_card *cards, int count,
+			     int centre, struct lay_tally *tally)
 {
 	int i;
 	int k;
 
 	memset(tally, 0, sizeof(*tally));
 	for (k = 0; k < LAY_LAYERS_MAX; k++)
-		tally->owner[k] = -1;
+		tally->largest_card[k] = -1;
 	for (i = 0; i < count; i++) {
 		if (cards[i].centre != centre || !cards[i].usable)
 			continue;
 		for (k = cards[i].planned_from; k < cards[i].planned_to; k++)
-			lay_add(tally, k, i, lay_part(model, &cards[i], k));
+			lay_tally_add(tally, k, i,
+				      lay_layer_tokens(model, &cards[i], k));
 	}
 }
 
-static void lay_add(struct lay_tally *tally, int layer, int card, double part)
+static void lay_tally_add(struct lay_tally *tally, int layer, int card,
+			  double tokens)
 {
-	tally->sum[layer] += part;
-	if (tally->owner[layer] < 0 || part > tally->most[layer]) {
-		tally->next[layer] = tally->most[layer];
-		tally->most[layer] = part;
-		tally->owner[layer] = card;
-	} else if (part > tally->next[layer]) {
-		tally->next[layer] = part;
+	tally->sum[layer] += tokens;
+	if (tally->largest_card[layer] < 0 || tokens > tally->largest[layer]) {
+		tally->second_largest[layer] = tally->largest[layer];
+		tally->largest[layer] = tokens;
+		tally->largest_card[layer] = card;
+	} else if (tokens > tally->second_largest[layer]) {
+		tally->second_largest[layer] = tokens;
 	}
 }
 
-/* Values what is held; weakest is the layer that needs a holder the most. */
-static double lay_worth(const struct lay_model *model,
+/* Scores the present holders; weakest is the layer that needs a holder most. */
+static double lay_score(const struct lay_model *model,
 			const struct lay_tally *tally, int *weakest)
 {
 	double least = -1;
-	double left = -1;
-	double rank = -1;
-	double survives;
-	double both;
+	double least_after_loss = -1;
+	double lowest = -1;
+	double after_loss;
+	double combined;
 	int k;
 
 	*weakest = 0;
 	for (k = 0; k < model->layers; k++) {
-		survives = tally->sum[k] - tally->most[k];
-		both = tally->sum[k] + LAY_SURVIVES * survives;
+		after_loss = tally->sum[k] - tally->largest[k];
+		combined = tally->sum[k] + LAY_LOSS_WEIGHT * after_loss;
 		if (least < 0 || tally->sum[k] < least)
 			least = tally->sum[k];
-		if (left < 0 || survives < left)
-			left = survives;
-		if (rank < 0 || both < rank) {
-			rank = both;
+		if (least_after_loss < 0 || after_loss < least_after_loss)
+			least_after_loss = after_loss;
+		if (lowest < 0 || combined < lowest) {
+			lowest = combined;
 			*weakest = k;
 		}
 	}
-	return least + LAY_SURVIVES * left;
+	return least + LAY_LOSS_WEIGHT * least_after_loss;
 }
 
-/* Values what would be held after the move of one card. */
-static double lay_worth_moved(const struct lay_model *model,
-			      const struct lay_tally *tally,
-			      const struct lay_card *was,
-			      const struct lay_card *moved, int at)
+/* Scores the holders as they would be after the move of one card. */
+static double lay_score_after_move(const struct lay_model *model,
+				   const struct lay_tally *tally,
+				   const struct lay_card *current,
+				   const struct lay_card *moved, int index)
 {
 	double least = -1;
-	double left = -1;
-	double most;
-	double part;
+	double least_after_loss = -1;
+	double largest;
+	double tokens;
 	double sum;
 	int k;
 
 	for (k = 0; k < model->layers; k++) {
 		sum = tally->sum[k];
-		if (lay_holds(was, k))
-			sum -= lay_part(model, was, k);
-		most = tally->owner[k] == at ? tally->next[k] : tally->most[k];
+		if (lay_holds(current, k))
+			sum -= lay_layer_tokens(model, current, k);
+		largest = tally->largest_card[k] == index
+				  ? tally->second_largest[k]
+				  : tally->largest[k];
 		if (lay_holds(moved, k)) {
-			part = lay_part(model, moved, k);
-			sum += part;
-			if (part > most)
-				most = part;
+			tokens = lay_layer_tokens(model, moved, k);
+			sum += tokens;
+			if (tokens > largest)
+				largest = tokens;
 		}
 		if (least < 0 || sum < least)
 			least = sum;
-		if (left < 0 || sum - most < left)
-			left = sum - most;
+		if (least_after_loss < 0 || sum - largest < least_after_loss)
+			least_after_loss = sum - largest;
 	}
-	return least + LAY_SURVIVES * left;
+	return least + LAY_LOSS_WEIGHT * least_after_loss;
 }
 
 /*
- * Tries all windows of one card that hold the weakest layer; least is what the
- * others must hold meanwhile of what it gives up.
+ * Tries all windows of one card that contain the weakest layer.  The other
+ * cards must have memory for at least required tokens in the layers that the
+ * card gives up, while it moves.
  */
 static void lay_try_card(const struct lay_model *model,
 			 const struct lay_tally *tally,
-			 const struct lay_card *cards, int at, int weakest,
-			 double least, struct lay_best *best)
+			 const struct lay_card *cards, int index, int weakest,
+			 double required, struct lay_best_move *best)
 {
-	const struct lay_card *was = &cards[at];
-	struct lay_card moved = *was;
-	int now = was->planned_to - was->planned_from;
-	int most = lay_max_layers(model, was);
+	const struct lay_card *current = &cards[index];
+	struct lay_card moved = *current;
+	int current_width = current->planned_to - current->planned_from;
+	int max_width = lay_max_layers(model, current);
 	double value;
 	int width;
 	int from;
 
-	for (width = now - LAY_RESIZE; width <= now + LAY_RESIZE; width++) {
-		if (width < 1 || width > most || width > model->layers)
+	for (width = current_width - LAY_RESIZE_MAX;
+	     width <= current_width + LAY_RESIZE_MAX; width++) {
+		if (width < 1 || width > max_width || width > model->layers)
 			continue;
 		for (from = weakest - width + 1; from <= weakest; from++) {
 			if (from < 0 || from + width > model->layers)
 				continue;
 			moved.planned_from = from;
 			moved.planned_to = from + width;
-			value = lay_worth_moved(model, tally, was, &moved, at);
+			value = lay_score_after_move(model, tally, current,
+						     &moved, index);
 			if (value <= best->value ||
-			    !lay_may_leave(model, tally, was, &moved, least))
+			    !lay_can_spare(model, tally, current, &moved,
+					   required))
 				continue;
 			best->value = value;
-			best->card = at;
+			best->card = index;
 			best->from = from;
 			best->to = from + width;
 		}
@@ -262,10 +273,10 @@
 }
 
 /*
- * Tells whether a data centre holds what it is to hold, as far as is known: of
- * a suspect it is not, and what it holds may hang on the card that would move.
+ * Tells whether a data centre is known to hold what it is to hold.  For a
+ * suspect this is unknown, and a layer may depend on the card that would move.
  */
-static bool lay_settled(const struct lay_card *cards, int count, int centre)
+static bool lay_is_settled(const struct lay_card *cards, int count, int centre)
 {
 	int i;
 
@@ -280,19 +291,20 @@
 }
 
 /*
- * Tells whether the others can do without a card while it moves: what it
- * gives up is held by them for as many tokens as are asked for.
+ * Tells whether the other cards suffice while a card moves: they have memory
+ * for the required tokens in each layer that it gives up.
  */
-static bool lay_may_leave(const struct lay_model *model,
+static bool lay_can_spare(const struct lay_model *model,
 			  const struct lay_tally *tally,
-			  const struct lay_card *was,
-			  const struct lay_card *moved, double least)
+			  const struct lay_card *current,
+			  const struct lay_card *moved, double required)
 {
 	int k;
 
-	for (k = was->planned_from; k < was->planned_to; k++) {
+	for (k = current->planned_from; k < current->planned_to; k++) {
 		if (!lay_holds(moved, k) &&
-		    tally->sum[k] - lay_part(model, was, k) < least)
+		    tally->sum[k] - lay_layer_tokens(model, current, k) <
+			    required)
 			return false;
 	}
 	return true;
@@ -304,18 +316,18 @@
 }
 
 /*
- * Returns the tokens for which a card has room in one of its layers.  The
- * first layer's holders are first workers, whose places bind, too.
+ * Returns how many tokens a card has memory for in one of its layers.  The
+ * holders of the first layer are first workers, whose slots are limited, too.
  */
-static double lay_part(const struct lay_model *model,
-		       const struct lay_card *card, int layer)
+static double lay_layer_tokens(const struct lay_model *model,
+			       const struct lay_card *card, int layer)
 {
 	int held = card->planned_to - card->planned_from;
 	double tokens = (card->memory_mb - held * model->layer_mb) /
 			(held * model->token_mb);
-	double places = model->slots * model->request_tokens;
+	double slot_tokens = model->slots * model->request_tokens;
 
 	if (tokens < 0)
 		tokens = 0;
-	return layer == 0 && tokens > places ? places : tokens;
+	return layer == 0 && tokens > slot_tokens ? slot_tokens : tokens;
 }
--- a/src/lay_reassign.c
+++ b/src/lay_reassign.c
@@ -3,19 +3,20 @@
 #include "lay_int.h"
 
 /*
- * Load pattern: a data centre with one copy loses a large card for good.  Each
- * layer had one holder, so no neighbour can grow over the hole and no card can
- * leave its place; the data centre would serve nothing for the rest of the
- * day, and press on the others' memory.  Its cards are assigned anew then.
- * Those of a kind keep their order, so that each loads as little as may be.
+ * Load pattern: a data centre with one copy permanently loses a large card.
+ * Each layer had one holder, so no neighbour can grow over the hole and no card
+ * can be moved.  The data centre would serve nothing for the rest of the day,
+ * and its load would fill the memory of the others.  Its cards are therefore
+ * planned from scratch.  Cards of one kind keep their order, so that each loads
+ * as few new layers as possible.
  */
 
-static void lay_keep_order(struct lay_card *cards, int count, int centre);
-static void lay_keep_order_of(struct lay_card **kind, int size);
-static int lay_by_held(const void *a, const void *b);
-static int lay_by_wanted(const void *a, const void *b);
+static void lay_preserve_order(struct lay_card *cards, int count, int centre);
+static void lay_preserve_order_of_kind(struct lay_card **kind, int size);
+static int lay_compare_held(const void *a, const void *b);
+static int lay_compare_planned(const void *a, const void *b);
 
-/* Leaves what is wanted in any state if it returns false. */
+/* On failure, the plan is left in an undefined state. */
 bool lay_reassign(const struct lay_model *model, struct lay_card *cards,
 		  int count, int centre)
 {
@@ -35,14 +36,15 @@
 	lay_assign_centre(model, cards, count, centre);
 	if (!lay_is_complete(model, cards, count, centre))
 		return false;
-	lay_keep_order(cards, count, centre);
+	lay_preserve_order(cards, count, centre);
 	return true;
 }
 
-/* Swaps what was assigned among cards of a kind, by the order of what they
- * hold.
+/*
+ * Permutes the planned ranges among cards of one kind, so that they are in the
+ * same order as the ranges that these cards hold.
  */
-static void lay_keep_order(struct lay_card *cards, int count, int centre)
+static void lay_preserve_order(struct lay_card *cards, int count, int centre)
 {
 	struct lay_card *kind[LAY_CARDS_MAX];
 	int size;
@@ -58,38 +60,39 @@
 			    cards[k].memory_mb != cards[i].memory_mb ||
 			    cards[k].step_factor != cards[i].step_factor)
 				continue;
-			/* A kind is done with its first card. */
+			/* A kind is handled at its first card. */
 			if (k < i)
 				break;
 			kind[size++] = &cards[k];
 		}
 		if (k == count)
-			lay_keep_order_of(kind, size);
+			lay_preserve_order_of_kind(kind, size);
 	}
 }
 
-static void lay_keep_order_of(struct lay_card **kind, int size)
+static void lay_preserve_order_of_kind(struct lay_card **kind, int size)
 {
-	struct lay_card *wanted[LAY_CARDS_MAX];
+	struct lay_card *planned[LAY_CARDS_MAX];
 	int from[LAY_CARDS_MAX];
 	int to[LAY_CARDS_MAX];
 	int i;
 
 	for (i = 0; i < size; i++)
-		wanted[i] = kind[i];
-	qsort(wanted, (size_t)size, sizeof(struct lay_card *), lay_by_wanted);
+		planned[i] = kind[i];
+	qsort(planned, (size_t)size, sizeof(struct lay_card *),
+	      lay_compare_planned);
 	for (i = 0; i < size; i++) {
-		from[i] = wanted[i]->planned_from;
-		to[i] = wanted[i]->planned_to;
+		from[i] = planned[i]->planned_from;
+		to[i] = planned[i]->planned_to;
 	}
-	qsort(kind, (size_t)size, sizeof(struct lay_card *), lay_by_held);
+	qsort(kind, (size_t)size, sizeof(struct lay_card *), lay_compare_held);
 	for (i = 0; i < size; i++) {
 		kind[i]->planned_from = from[i];
 		kind[i]->planned_to = to[i];
 	}
 }
 
-static int lay_by_held(const void *a, const void *b)
+static int lay_compare_held(const void *a, const void *b)
 {
 	const struct lay_card *x = *(struct lay_card *const *)a;
 	const struct lay_card *y = *(struct lay_card *const *)b;
@@ -97,7 +100,7 @@
 	return x->from != y->from ? x->from - y->from : (x > y) - (x < y);
 }
 
-static int lay_by_wanted(const void *a, const void *b)
+static int lay_compare_planned(const void *a, const void *b)
 {
 	const struct lay_card *x = *(struct lay_card *const *)a;
 	const struct lay_card *y = *(struct lay_card *const *)b;
--- a/src/lay_repair.c
+++ b/src/lay_repair.c
@@ -1,53 +1,54 @@
 #include "lay_int.h"
 
-/* Weight of what all data centres lack beside what one lacks. */
-#define LAY_ELSEWHERE 0.05
+/* Weight of the deficit in all data centres relative to that in one. */
+#define LAY_ALL_CENTRES_WEIGHT 0.05
 /*
- * Part of the wanted tokens that a card must hold when it has taken over its
- * neighbours' layers: by then streams go to other copies, too.
+ * Fraction of the target tokens that a card must still have memory for after it
+ * has taken over its neighbours' layers: by then streams also use other copies.
  */
-#define LAY_BACK_UP 0.6
-/* Weights, beside a layer that lacks all memory, of one without a holder... */
-#define LAY_HOLE 10.0
-/* ...and of a card that nobody backs up. */
-#define LAY_ALONE 4.0
-
-/* What a card was to hold before something was tried. */
-struct lay_want {
+#define LAY_TAKEOVER_FRACTION 0.6
+/* Added weight of a layer without a holder; a deficit weighs at most 1. */
+#define LAY_HOLE_WEIGHT 10.0
+/* Added weight of all layers of a card that no other card backs up. */
+#define LAY_UNBACKED_WEIGHT 4.0
+
+/* A card's planned range before a tentative change. */
+struct lay_saved_range {
 	int from;
 	int to;
 };
 
-static void lay_fill(const struct lay_model *model, struct lay_card *cards,
-		     int count, struct lay_card *card);
-static void lay_alone(const struct lay_model *model,
-		      const struct lay_card *cards, int count, int centre,
-		      double *alone);
-static void lay_close(const struct lay_model *model, struct lay_card *cards,
-		      int count, int centre);
+static void lay_fill_card(const struct lay_model *model, struct lay_card *cards,
+			  int count, struct lay_card *card);
+static void lay_weigh_unbacked(const struct lay_model *model,
+			       const struct lay_card *cards, int count,
+			       int centre, double *unbacked);
+static void lay_close_holes(const struct lay_model *model,
+			    struct lay_card *cards, int count, int centre);
 static void lay_save(const struct lay_card *cards, int count,
-		     struct lay_want *saved);
+		     struct lay_saved_range *saved);
 static void lay_restore(struct lay_card *cards, int count,
-			const struct lay_want *saved);
-static void lay_lacks(const struct lay_model *model, double *cover);
+			const struct lay_saved_range *saved);
+static void lay_set_deficits(const struct lay_model *model, double *memory);
 static void lay_sum_memory(const struct lay_model *model,
 			   const struct lay_card *cards, int count, int centre,
-			   double *cover);
-static void lay_widen(const struct lay_model *model, struct lay_card *cards,
-		      int count, int centre);
-static void lay_move(const struct lay_model *model, struct lay_card *cards,
-		     int count, int centre);
+			   double *memory);
+static void lay_widen_neighbours(const struct lay_model *model,
+				 struct lay_card *cards, int count, int centre);
+static void lay_move_redundant_card(const struct lay_model *model,
+				    struct lay_card *cards, int count,
+				    int centre);
 static bool lay_first_hole(const struct lay_model *model,
 			   const struct lay_card *cards, int count, int centre,
 			   int *from, int *to);
-static int lay_window(const struct lay_model *model,
-		      const struct lay_card *card, int from, int to);
-static bool lay_can_leave(const struct lay_card *cards, int count, int at,
-			  int from, int to);
+static int lay_nearest_window(const struct lay_model *model,
+			      const struct lay_card *card, int from, int to);
+static bool lay_can_move(const struct lay_card *cards, int count, int index,
+			 int from, int to);
 
 /*
- * Repairs what the plan lacks after workers came and went: empty cards take the
- * window that lacks the most; if widen is set, holes are closed by the cards
+ * Repairs the plan after workers came and went.  Empty cards get the window
+ * with the largest deficit.  If widen is set, holes are closed by the cards
  * beside them, or by one that others back up.
  */
 void lay_repair(const struct lay_model *model, struct lay_card *cards,
@@ -59,29 +60,30 @@
 	for (i = 0; i < count; i++) {
 		if (cards[i].usable &&
 		    cards[i].planned_from == cards[i].planned_to)
-			lay_fill(model, cards, count, &cards[i]);
+			lay_fill_card(model, cards, count, &cards[i]);
 	}
 	for (centre = 0; widen && centre < LAY_CENTRES_MAX; centre++) {
 		if (lay_has_hole(model, cards, count, centre))
-			lay_close(model, cards, count, centre);
+			lay_close_holes(model, cards, count, centre);
 	}
 }
 
 /*
- * Closes a data centre's holes whole, or not at all: a hole that is made
- * smaller serves nobody and takes memory.  The fewest loads come first.
+ * Closes all holes of a data centre or none: a hole that is only made smaller
+ * still serves nobody, and costs memory.  The methods are tried in the order of
+ * how many layers they load, fewest first.
  */
-static void lay_close(const struct lay_model *model, struct lay_card *cards,
-		      int count, int centre)
+static void lay_close_holes(const struct lay_model *model,
+			    struct lay_card *cards, int count, int centre)
 {
-	struct lay_want saved[LAY_CARDS_MAX];
+	struct lay_saved_range saved[LAY_CARDS_MAX];
 
 	lay_save(cards, count, saved);
-	lay_widen(model, cards, count, centre);
+	lay_widen_neighbours(model, cards, count, centre);
 	if (!lay_has_hole(model, cards, count, centre))
 		return;
 	lay_restore(cards, count, saved);
-	lay_move(model, cards, count, centre);
+	lay_move_redundant_card(model, cards, count, centre);
 	if (!lay_has_hole(model, cards, count, centre))
 		return;
 	lay_restore(cards, count, saved);
@@ -90,7 +92,7 @@
 }
 
 static void lay_save(const struct lay_card *cards, int count,
-		     struct lay_want *saved)
+		     struct lay_saved_range *saved)
 {
 	int i;
 
@@ -101,7 +103,7 @@
 }
 
 static void lay_restore(struct lay_card *cards, int count,
-			const struct lay_want *saved)
+			const struct lay_saved_range *saved)
 {
 	int i;
 
@@ -111,22 +113,22 @@
 	}
 }
 
-/* Tells whether every layer is to have a holder in a data centre. */
+/* Tells whether the plan has a holder for every layer in a data centre. */
 bool lay_is_complete(const struct lay_model *model,
 		     const struct lay_card *cards, int count, int centre)
 {
-	double cover[LAY_LAYERS_MAX] = { 0 };
+	double memory[LAY_LAYERS_MAX] = { 0 };
 	int i;
 
-	lay_sum_memory(model, cards, count, centre, cover);
-	for (i = 0; i < model->layers && cover[i] > 0; i++)
+	lay_sum_memory(model, cards, count, centre, memory);
+	for (i = 0; i < model->layers && memory[i] > 0; i++)
 		;
 	return i == model->layers;
 }
 
 /*
- * Tells whether some layer of a data centre that is to hold any is to have no
- * holder; before a plan, what is wanted is what is held.
+ * Tells whether a data centre whose cards are to hold any layers lacks a holder
+ * for some layer.  Before planning, the planned ranges equal those held.
  */
 bool lay_has_hole(const struct lay_model *model, const struct lay_card *cards,
 		  int count, int centre)
@@ -138,66 +140,70 @@
 }
 
 /*
- * Gives an empty card the window of layers in which its data centre lacks the
- * most; what all data centres lack decides between equal ones.
+ * Gives an empty card the window of layers with the largest deficit in its data
+ * centre; the deficit in all data centres decides between equal windows.
  */
-static void lay_fill(const struct lay_model *model, struct lay_card *cards,
-		     int count, struct lay_card *card)
+static void lay_fill_card(const struct lay_model *model, struct lay_card *cards,
+			  int count, struct lay_card *card)
 {
-	double near[LAY_LAYERS_MAX] = { 0 };
-	double all[LAY_LAYERS_MAX] = { 0 };
-	double alone[LAY_LAYERS_MAX] = { 0 };
+	double centre_deficit[LAY_LAYERS_MAX] = { 0 };
+	double total_deficit[LAY_LAYERS_MAX] = { 0 };
+	double unbacked[LAY_LAYERS_MAX] = { 0 };
 	double best = -1;
-	double wanted = lay_target_tokens(model);
-	double lacks;
+	double target_tokens = lay_target_tokens(model);
+	double deficit;
 	int width;
 	int start;
 	int i;
 
-	width = lay_layers_beside(model, card, wanted);
+	width = lay_layers_beside(model, card, target_tokens);
 	if (width < 1)
 		width = 1;
 	if (width > model->layers)
 		width = model->layers;
-	lay_sum_memory(model, cards, count, card->centre, near);
-	lay_sum_memory(model, cards, count, -1, all);
-	lay_lacks(model, near);
-	lay_lacks(model, all);
-	lay_alone(model, cards, count, card->centre, alone);
+	lay_sum_memory(model, cards, count, card->centre, centre_deficit);
+	lay_sum_memory(model, cards, count, -1, total_deficit);
+	lay_set_deficits(model, centre_deficit);
+	lay_set_deficits(model, total_deficit);
+	lay_weigh_unbacked(model, cards, count, card->centre, unbacked);
 	for (start = 0; start + width <= model->layers; start++) {
-		lacks = 0;
+		deficit = 0;
 		for (i = start; i < start + width; i++)
-			lacks += LAY_HOLE * (near[i] >= 1) +
-				 LAY_ALONE * alone[i] + near[i] +
-				 LAY_ELSEWHERE * all[i];
-		if (lacks > best) {
-			best = lacks;
+			deficit += LAY_HOLE_WEIGHT * (centre_deficit[i] >= 1) +
+				   LAY_UNBACKED_WEIGHT * unbacked[i] +
+				   centre_deficit[i] +
+				   LAY_ALL_CENTRES_WEIGHT * total_deficit[i];
+		if (deficit > best) {
+			best = deficit;
 			card->planned_from = start;
 			card->planned_to = start + width;
 		}
 	}
 	/*
-	 * A hole that is not closed whole serves nobody; but a card without
-	 * memory for requests serves few, so the rest is left to others.
+	 * A hole that is not closed entirely serves nobody, but a card without
+	 * memory for requests serves few.  The rest is left to other cards.
 	 */
-	width = lay_layers_beside(model, card, wanted * LAY_BACK_UP);
+	width = lay_layers_beside(model, card,
+				  target_tokens * LAY_TAKEOVER_FRACTION);
 	while (card->planned_to < model->layers &&
-	       near[card->planned_to] >= 1 &&
+	       centre_deficit[card->planned_to] >= 1 &&
 	       card->planned_to - card->planned_from < width)
 		card->planned_to++;
-	while (card->planned_from > 0 && near[card->planned_from - 1] >= 1 &&
+	while (card->planned_from > 0 &&
+	       centre_deficit[card->planned_from - 1] >= 1 &&
 	       card->planned_to - card->planned_from < width)
 		card->planned_from--;
 }
 
 /*
- * Sets for each layer with one holder in a data centre that holder's part of
- * one card: a window over several narrow cards keeps the loss of any of them
- * from breaking the copy, one over a part of a wide card keeps nothing.
+ * Gives each layer with a single holder in a data centre the weight 1/n, where
+ * n is the number of layers of that card; other layers get 0.  A window over
+ * several narrow cards thus scores more than one over a part of a wide card,
+ * which would not keep the loss of that card from breaking the copy.
  */
-static void lay_alone(const struct lay_model *model,
-		      const struct lay_card *cards, int count, int centre,
-		      double *alone)
+static void lay_weigh_unbacked(const struct lay_model *model,
+			       const struct lay_card *cards, int count,
+			       int centre, double *unbacked)
 {
 	int holders[LAY_LAYERS_MAX] = { 0 };
 	int held;
@@ -210,42 +216,45 @@
 			continue;
 		for (k = cards[i].planned_from; k < cards[i].planned_to; k++) {
 			holders[k]++;
-			alone[k] = 1.0 / held;
+			unbacked[k] = 1.0 / held;
 		}
 	}
 	for (k = 0; k < model->layers; k++) {
 		if (holders[k] != 1)
-			alone[k] = 0;
+			unbacked[k] = 0;
 	}
 }
 
-/* Turns the cover of each layer into what it lacks to the mean, in parts. */
-static void lay_lacks(const struct lay_model *model, double *cover)
+/* Turns the memory of each layer into its deficit as a fraction of the mean. */
+static void lay_set_deficits(const struct lay_model *model, double *memory)
 {
 	double mean = 0;
 	int i;
 
 	for (i = 0; i < model->layers; i++)
-		mean += cover[i] / model->layers;
+		mean += memory[i] / model->layers;
 	for (i = 0; i < model->layers; i++) {
 		if (mean <= 0)
-			cover[i] = 1;
+			memory[i] = 1;
 		else
-			cover[i] = cover[i] < mean ? 1 - cover[i] / mean : 0;
-		/* One layer that nobody holds breaks every chain. */
-		cover[i] *= cover[i];
+			memory[i] = memory[i] < mean ? 1 - memory[i] / mean : 0;
+		/*
+		 * Squared, because a single layer without a holder breaks every
+		 * chain.
+		 */
+		memory[i] *= memory[i];
 	}
 }
 
 /*
- * Sums for each layer the request memory of its holders, in one data centre
- * or in all (centre -1), with the plan as it stands.
+ * Sums for each layer the request memory of its holders in one data centre, or
+ * in all (centre -1), by the current plan.
  */
 static void lay_sum_memory(const struct lay_model *model,
 			   const struct lay_card *cards, int count, int centre,
-			   double *cover)
+			   double *memory)
 {
-	double part;
+	double per_layer_mb;
 	int held;
 	int i;
 	int k;
@@ -255,51 +264,52 @@
 		if (!cards[i].usable || held <= 0 ||
 		    (centre >= 0 && cards[i].centre != centre))
 			continue;
-		part = (cards[i].memory_mb - held * model->layer_mb) / held;
+		per_layer_mb =
+			(cards[i].memory_mb - held * model->layer_mb) / held;
 		for (k = cards[i].planned_from; k < cards[i].planned_to; k++)
-			cover[k] += part > 1 ? part : 1;
+			memory[k] += per_layer_mb > 1 ? per_layer_mb : 1;
 	}
 }
 
 /*
- * Lets the holders beside a hole of a data centre grow into it, each by half
- * and as far as its memory allows.
+ * Widens the cards beside a hole of a data centre alternately, so that each
+ * takes half of it, as far as its memory allows.
  */
-static void lay_widen(const struct lay_model *model, struct lay_card *cards,
-		      int count, int centre)
+static void lay_widen_neighbours(const struct lay_model *model,
+				 struct lay_card *cards, int count, int centre)
 {
-	double cover[LAY_LAYERS_MAX] = { 0 };
+	double memory[LAY_LAYERS_MAX] = { 0 };
 	struct lay_card *card;
-	int most;
+	int max_layers;
 	int position;
 	int step;
 	bool grew;
 	int i;
 
-	lay_sum_memory(model, cards, count, centre, cover);
-	for (i = 0; i < model->layers && cover[i] <= 0; i++)
+	lay_sum_memory(model, cards, count, centre, memory);
+	for (i = 0; i < model->layers && memory[i] <= 0; i++)
 		;
 	if (i == model->layers)
-		return; /* it holds nothing at all */
+		return; /* the data centre holds no layers */
 	for (step = 0; step < model->layers; step++) {
 		grew = false;
 		for (i = 0; i < count; i++) {
 			card = &cards[i];
-			most = lay_max_layers(model, card);
+			max_layers = lay_max_layers(model, card);
 			if (!card->usable || card->centre != centre ||
 			    card->planned_from == card->planned_to ||
-			    card->planned_to - card->planned_from >= most)
+			    card->planned_to - card->planned_from >= max_layers)
 				continue;
 			position = card->planned_to;
-			if (position < model->layers && cover[position] <= 0) {
-				cover[position] = 1;
+			if (position < model->layers && memory[position] <= 0) {
+				memory[position] = 1;
 				card->planned_to++;
 				grew = true;
 				continue;
 			}
 			position = card->planned_from - 1;
-			if (position >= 0 && cover[position] <= 0) {
-				cover[position] = 1;
+			if (position >= 0 && memory[position] <= 0) {
+				memory[position] = 1;
 				card->planned_from--;
 				grew = true;
 			}
@@ -310,13 +320,14 @@
 }
 
 /*
- * Closes a hole that no neighbour can grow into: a card whose layers others
- * of its data centre hold as well moves over it.  Of several the one that has
- * the fewest layers to load goes.  Without this, the loss of one card for good
- * leaves a whole data centre out of service.
+ * Closes a hole that no neighbour can grow into, by moving a card whose layers
+ * others of its data centre hold as well.  Of several such cards the one with
+ * the fewest layers to load is moved.  Without this, a single permanent loss
+ * puts the whole data centre out of service.
  */
-static void lay_move(const struct lay_model *model, struct lay_card *cards,
-		     int count, int centre)
+static void lay_move_redundant_card(const struct lay_model *model,
+				    struct lay_card *cards, int count,
+				    int centre)
 {
 	int best_loads = model->layers + 1;
 	int best = -1;
@@ -338,8 +349,8 @@
 		    cards[i].to != cards[i].planned_to ||
 		    width < hole_to - hole_from)
 			continue;
-		from = lay_window(model, &cards[i], hole_from, hole_to);
-		if (!lay_can_leave(cards, count, i, from, from + width))
+		from = lay_nearest_window(model, &cards[i], hole_from, hole_to);
+		if (!lay_can_move(cards, count, i, from, from + width))
 			continue;
 		loads = 0;
 		for (k = from; k < from + width; k++)
@@ -357,28 +368,28 @@
 	cards[best].planned_to = best_from + width;
 }
 
-/* Finds the first run of layers that nobody of a data centre is to hold. */
+/* Finds the first run of layers without a planned holder in a data centre. */
 static bool lay_first_hole(const struct lay_model *model,
 			   const struct lay_card *cards, int count, int centre,
 			   int *from, int *to)
 {
-	double cover[LAY_LAYERS_MAX] = { 0 };
+	double memory[LAY_LAYERS_MAX] = { 0 };
 	bool any = false;
 	int i;
 
-	lay_sum_memory(model, cards, count, centre, cover);
+	lay_sum_memory(model, cards, count, centre, memory);
 	for (i = 0; i < model->layers; i++)
-		any |= cover[i] > 0;
-	for (*from = 0; *from < model->layers && cover[*from] > 0; (*from)++)
+		any |= memory[i] > 0;
+	for (*from = 0; *from < model->layers && memory[*from] > 0; (*from)++)
 		;
-	for (*to = *from; *to < model->layers && cover[*to] <= 0; (*to)++)
+	for (*to = *from; *to < model->layers && memory[*to] <= 0; (*to)++)
 		;
 	return any && *from < model->layers;
 }
 
-/* Returns where a card of its width holds a hole, nearest to where it is. */
-static int lay_window(const struct lay_model *model,
-		      const struct lay_card *card, int from, int to)
+/* Returns where a card of this width covers a hole, nearest to its place. */
+static int lay_nearest_window(const struct lay_model *model,
+			      const struct lay_card *card, int from, int to)
 {
 	int width = card->planned_to - card->planned_from;
 	int start = card->planned_from;
@@ -392,20 +403,20 @@
 	return start < 0 ? 0 : start;
 }
 
-/* Tells whether others hold what a card would give up. */
-static bool lay_can_leave(const struct lay_card *cards, int count, int at,
-			  int from, int to)
+/* Tells whether others hold all layers that a card would give up. */
+static bool lay_can_move(const struct lay_card *cards, int count, int index,
+			 int from, int to)
 {
 	bool held;
 	int layer;
 	int i;
 
-	for (layer = cards[at].planned_from; layer < cards[at].planned_to;
+	for (layer = cards[index].planned_from; layer < cards[index].planned_to;
 	     layer++) {
 		held = layer >= from && layer < to;
 		for (i = 0; i < count && !held; i++)
-			held = i != at && cards[i].usable &&
-			       cards[i].centre == cards[at].centre &&
+			held = i != index && cards[i].usable &&
+			       cards[i].centre == cards[index].centre &&
 			       cards[i].planned_from <= layer &&
 			       cards[i].planned_to > layer;
 		if (!held)
