--- a/src/chn.h
+++ b/src/chn.h
@@ -34,7 +34,7 @@
 	CHN_OK = 0,
 	CHN_E_NO_CHAIN = -1, /* the usable workers lack some layer */
 	CHN_E_MEMORY = -2,   /* some layer has no memory for the request */
-	CHN_E_SLOTS = -3,    /* no first worker has a free slot */
+	CHN_E_SLOTS = -3,    /* no slot left, or no crossing allowed */
 };
 
 struct chn_worker {
