--- a/regress/check_chn.c
+++ b/regress/check_chn.c
@@ -7,18 +7,18 @@
 #define WORKERS_MAX 128
 #define LINE_MAX_   256
 #define STREAMS_MAX 4096
-/* Tokens that a stream of a rush writes. */
+/* Tokens that a stream of a burst generates. */
 #define RUSH_TOKENS  225
 #define RUSH_STEP_US 1000
-/* How often routers tell each other their load, and how many there are. */
-#define RUSH_TELL_US 200000
-#define RUSH_ROUTERS 8
-/* A refused caller comes back after this, or up to twice as long. */
-#define RUSH_BACK_US 3.2e6
+/* Interval at which routers exchange their loads, and number of routers. */
+#define RUSH_EXCHANGE_US 200000
+#define RUSH_ROUTERS	 8
+/* A refused caller retries after this time, or up to twice as long. */
+#define RUSH_RETRY_US 3.2e6
 
 static struct chn_worker workers[WORKERS_MAX];
 static int count;
-static struct chn_request want;
+static struct chn_request request;
 
 /* "worker CENTRE FROM TO LAYER_US MEMORY HELD FIRSTS_LEFT" */
 static void add_worker(const char *line)
@@ -33,23 +33,23 @@
 }
 
 /* "want LAYERS CENTRE TOKENS CROSS" */
-static void set_want(const char *line)
+static void set_request(const char *line)
 {
 	int cross = 0;
 
-	sscanf(line, "%*s %d %d %lf %d", &want.layers, &want.centre,
-	       &want.tokens, &cross);
-	want.hop_us = 250;
-	want.centre_us = 40000;
-	want.remote_entry_us = 8000;
-	want.may_cross_centres = cross != 0;
+	sscanf(line, "%*s %d %d %lf %d", &request.layers, &request.centre,
+	       &request.tokens, &cross);
+	request.hop_us = 250;
+	request.centre_us = 40000;
+	request.remote_entry_us = 8000;
+	request.may_cross_centres = cross != 0;
 }
 
-/* Chooses, checks that the layers are tiled, and takes the memory. */
-static void choose(FILE *out, int times)
+/* Chooses chains, checks that they cover all layers, and reserves memory. */
+static void choose_chains(FILE *out, int times)
 {
 	static const char *const errors[] = { "ok", "no holders", "no memory",
-					      "no places" };
+					      "no slots" };
 	struct chn_chain chain;
 	int position;
 	int rc = CHN_OK;
@@ -57,7 +57,7 @@
 	int i;
 
 	for (n = 0; n < times; n++) {
-		rc = chn_choose(&want, workers, count, &chain);
+		rc = chn_choose(&request, workers, count, &chain);
 		if (rc)
 			break;
 		position = 0;
@@ -66,10 +66,10 @@
 				fprintf(out, "gap at %d\n", position);
 			position = chain.hops[i].to;
 			workers[chain.hops[i].ref].held +=
-				want.tokens *
+				request.tokens *
 				(chain.hops[i].to - chain.hops[i].from);
 		}
-		if (position != want.layers)
+		if (position != request.layers)
 			fprintf(out, "ends at %d\n", position);
 		workers[chain.hops[0].ref].first_hops_left--;
 		if (times > 1)
@@ -88,9 +88,10 @@
 
 /*
  * "repair TO CENTRE": the first hop, of a worker that is not in the list, runs
- * [0, TO); takes the memory of new parts, and their reading as backlog.
+ * layers [0, TO).  Reserves memory for new hops, and adds their reading to the
+ * backlog.
  */
-static void repair(const char *line, FILE *out)
+static void repair_chain(const char *line, FILE *out)
 {
 	struct chn_first_hop first = { 0, 0 };
 	struct chn_chain chain;
@@ -98,7 +99,7 @@
 	int i;
 
 	sscanf(line, "%*s %d %d", &first.to, &first.centre);
-	if (chn_repair(&want, &first, workers, count, &chain)) {
+	if (chn_repair(&request, &first, workers, count, &chain)) {
 		fprintf(out, "no repair\n");
 		return;
 	}
@@ -109,8 +110,8 @@
 		if (w->retained_from == chain.hops[i].from &&
 		    w->retained_to == chain.hops[i].to)
 			continue;
-		w->held +=
-			want.tokens * (chain.hops[i].to - chain.hops[i].from);
+		w->held += request.tokens *
+			   (chain.hops[i].to - chain.hops[i].from);
 		w->prefill_backlog_us +=
 			w->prefill_us * (chain.hops[i].to - chain.hops[i].from);
 	}
@@ -118,22 +119,22 @@
 }
 
 /*
- * "storm TIMES": so many streams begin anew at once; prints how many of them
- * each first worker takes.
+ * "storm TIMES": so many streams restart at once; prints how many of them begin
+ * at each first worker.
  */
-static void storm(FILE *out, int times)
+static void restart_streams(FILE *out, int times)
 {
-	int taken[CHN_LAYERS_MAX] = { 0 };
+	int started_at[CHN_LAYERS_MAX] = { 0 };
 	struct chn_chain chain;
 	struct chn_worker *w;
 	int n;
 	int i;
 
-	want.price_prefill = true;
+	request.price_prefill = true;
 	for (n = 0; n < times; n++) {
-		if (chn_choose(&want, workers, count, &chain))
+		if (chn_choose(&request, workers, count, &chain))
 			break;
-		taken[chain.hops[0].ref]++;
+		started_at[chain.hops[0].ref]++;
 		for (i = 0; i < chain.count; i++) {
 			w = &workers[chain.hops[i].ref];
 			w->prefill_backlog_us +=
@@ -141,40 +142,40 @@
 				(chain.hops[i].to - chain.hops[i].from);
 		}
 	}
-	want.price_prefill = false;
+	request.price_prefill = false;
 	for (i = 0; i < count; i++) {
-		if (taken[i] > 0)
-			fprintf(out, "worker %d takes %d\n", i, taken[i]);
+		if (started_at[i] > 0)
+			fprintf(out, "worker %d takes %d\n", i, started_at[i]);
 	}
 }
 
-/* A stream of a rush, with what it holds until it ends. */
+/* A running stream of a burst and the memory that it holds. */
 struct rush_stream {
 	struct chn_chain chain;
 	double tokens;
 	int64_t end_us;
-	bool late; /* its caller was refused before */
+	bool is_retry; /* its caller was refused before */
 };
 
 /*
- * Routers that choose in turn.  Each knows its own sends at once, and those of
- * the others as they were when all told each other last.
+ * Routers that choose chains in turn.  Each knows its own sends at once, and
+ * those of the others as of the last exchange of loads.
  */
 static struct rush {
 	struct rush_stream streams[STREAMS_MAX];
 	int running;
-	double held[WORKERS_MAX];	       /* in truth */
-	double told[WORKERS_MAX];	       /* as all told each other last */
-	double own[RUSH_ROUTERS][WORKERS_MAX]; /* since then, by each */
-	int router;			       /* whose turn it is */
+	double held[WORKERS_MAX];		/* actual figures */
+	double exchanged[WORKERS_MAX];		/* as of the last exchange */
+	double sent[RUSH_ROUTERS][WORKERS_MAX]; /* by each router, since then */
+	int router; /* the router whose turn it is */
 	uint64_t seed;
-	double served;		      /* in time */
-	int refused;		      /* by workers that were full */
-	int64_t back_us[STREAMS_MAX]; /* when refused callers come back */
-	int back_count;
+	double served; /* streams that ended, retries not counted */
+	int refused;   /* sends refused by full workers */
+	int64_t retry_us[STREAMS_MAX]; /* when refused callers retry */
+	int retry_count;
 } rush;
 
-/* Returns how long a token takes on a chain, at the pace of its workers. */
+/* Returns the time per token on a chain, at the speed of its workers. */
 static double rush_token_us(const struct chn_chain *chain)
 {
 	const struct chn_hop *hop;
@@ -183,14 +184,14 @@
 
 	for (i = 0; i < chain->count; i++) {
 		hop = &chain->hops[i];
-		us += want.hop_us +
+		us += request.hop_us +
 		      workers[hop->ref].layer_us * (hop->to - hop->from);
 	}
 	return us;
 }
 
-/* Takes the memory of a stream, or gives it back. */
-static void rush_hold(const struct rush_stream *stream, int sign)
+/* Reserves the memory of a stream (sign 1) or releases it (sign -1). */
+static void rush_reserve(const struct rush_stream *stream, int sign)
 {
 	const struct chn_hop *hop;
 	int i;
@@ -202,8 +203,8 @@
 	}
 }
 
-/* Tells whether every worker of a chain has room in truth. */
-static bool rush_fits(const struct rush_stream *stream)
+/* Tells whether every worker of a chain actually has memory for a stream. */
+static bool rush_has_memory(const struct rush_stream *stream)
 {
 	const struct chn_hop *hop;
 	int i;
@@ -218,69 +219,69 @@
 	return true;
 }
 
-/* All routers tell each other what they have sent. */
-static void rush_tell(void)
+/* All routers learn what the others have sent so far. */
+static void rush_exchange_loads(void)
 {
-	memcpy(rush.told, rush.held, sizeof(rush.told));
-	memset(rush.own, 0, sizeof(rush.own));
+	memcpy(rush.exchanged, rush.held, sizeof(rush.exchanged));
+	memset(rush.sent, 0, sizeof(rush.sent));
 }
 
-/* Returns what a router knows to be held by a worker. */
-static double rush_known(int worker, double own, int64_t now)
+/* Returns how much memory of a worker is in use, as far as a router knows. */
+static double rush_estimate(int worker, double sent, int64_t now)
 {
-	struct room_known known = { .own = own,
-				    .recent = own,
-				    .peers = rush.told[worker],
+	struct room_known known = { .own = sent,
+				    .recent = sent,
+				    .peers = rush.exchanged[worker],
 				    .routers = RUSH_ROUTERS };
 
 	return room_held(&known, now);
 }
 
-/* A caller that was refused for the first time comes back late. */
-static void rush_refuse(bool late, int64_t now)
+/* Schedules the retry of a caller that is refused for the first time. */
+static void rush_schedule_retry(bool is_retry, int64_t now)
 {
-	if (late || rush.back_count == STREAMS_MAX)
+	if (is_retry || rush.retry_count == STREAMS_MAX)
 		return;
-	rush.back_us[rush.back_count++] =
+	rush.retry_us[rush.retry_count++] =
 		now +
-		(int64_t)(RUSH_BACK_US * (1 + mag_random_unit(&rush.seed)));
+		(int64_t)(RUSH_RETRY_US * (1 + mag_random_unit(&rush.seed)));
 }
 
 /*
- * The next router starts a stream of a drawn size where it finds room; late
- * ones leave the last of it to others.
+ * The next router starts a stream of random size if it finds memory.  Retries
+ * leave the last memory to others.
  */
-static void rush_start(bool late, int64_t now)
+static void rush_start(bool is_retry, int64_t now)
 {
 	struct rush_stream *stream = &rush.streams[rush.running];
 	double size = 0.2 + 1.6 * mag_random_unit(&rush.seed);
-	struct chn_request wanted = want;
+	struct chn_request scaled = request;
 	const struct chn_hop *hop;
-	double *own;
+	double *sent;
 	int i;
 
 	rush.router = (rush.router + 1) % RUSH_ROUTERS;
-	own = rush.own[rush.router];
+	sent = rush.sent[rush.router];
 	for (i = 0; i < count; i++)
-		workers[i].held = rush_known(i, own[i], now);
-	wanted.tokens *= size;
-	wanted.yields = late;
+		workers[i].held = rush_estimate(i, sent[i], now);
+	scaled.tokens *= size;
+	scaled.yields = is_retry;
 	if (rush.running == STREAMS_MAX ||
-	    chn_choose(&wanted, workers, count, &stream->chain)) {
-		rush_refuse(late, now);
+	    chn_choose(&scaled, workers, count, &stream->chain)) {
+		rush_schedule_retry(is_retry, now);
 		return;
 	}
-	stream->tokens = wanted.tokens;
-	stream->late = late;
-	if (!rush_fits(stream)) {
+	stream->tokens = scaled.tokens;
+	stream->is_retry = is_retry;
+	if (!rush_has_memory(stream)) {
 		rush.refused++;
-		rush_refuse(late, now);
+		rush_schedule_retry(is_retry, now);
 		return;
 	}
-	rush_hold(stream, 1);
+	rush_reserve(stream, 1);
 	for (i = 0; i < stream->chain.count; i++) {
 		hop = &stream->chain.hops[i];
-		own[hop->ref] += stream->tokens * (hop->to - hop->from);
+		sent[hop->ref] += stream->tokens * (hop->to - hop->from);
 	}
 	stream->end_us = now + (int64_t)(rush_token_us(&stream->chain) *
 					 RUSH_TOKENS * size);
@@ -295,30 +296,30 @@
 	for (i = 0; i < rush.running; i++) {
 		if (rush.streams[i].end_us > now)
 			continue;
-		rush_hold(&rush.streams[i], -1);
-		rush.served += counts && !rush.streams[i].late;
+		rush_reserve(&rush.streams[i], -1);
+		rush.served += counts && !rush.streams[i].is_retry;
 		rush.streams[i--] = rush.streams[--rush.running];
 	}
 }
 
-/* Callers that were refused ask once more. */
-static void rush_come_back(int64_t now)
+/* Starts the retries that are due. */
+static void rush_retry(int64_t now)
 {
 	int i;
 
-	for (i = 0; i < rush.back_count; i++) {
-		if (rush.back_us[i] > now)
+	for (i = 0; i < rush.retry_count; i++) {
+		if (rush.retry_us[i] > now)
 			continue;
-		rush.back_us[i--] = rush.back_us[--rush.back_count];
+		rush.retry_us[i--] = rush.retry_us[--rush.retry_count];
 		rush_start(true, now);
 	}
 }
 
 /*
- * Returns how many streams are served in time a second at a rate of arrivals,
- * in the second half of the rush.
+ * Returns how many streams per second are served in time at a rate of arrivals,
+ * measured in the second half of the burst.
  */
-static double rush_goodput(double rate, double seconds, bool comes_back)
+static double rush_goodput(double rate, double seconds, bool retries)
 {
 	int started = 0;
 	int64_t now;
@@ -326,11 +327,11 @@
 	memset(&rush, 0, sizeof(rush));
 	rush.seed = 1;
 	for (now = 0; (double)now < seconds * 1e6; now += RUSH_STEP_US) {
-		if (now % RUSH_TELL_US == 0)
-			rush_tell();
+		if (now % RUSH_EXCHANGE_US == 0)
+			rush_exchange_loads();
 		rush_end(now, (double)now >= seconds * 1e6 / 2);
-		if (comes_back)
-			rush_come_back(now);
+		if (retries)
+			rush_retry(now);
 		for (; started < rate * (double)now / 1e6; started++)
 			rush_start(false, now);
 	}
@@ -339,9 +340,9 @@
 
 /*
  * "rush USUAL RATE SECONDS REFUSALS [back]": streams arrive at a rate and hold
- * their memory until their last token.  Prints whether nine tenths of the
- * goodput at the usual rate are left, and whether workers refuse at most so
- * many sends. With "back", callers that were refused ask once more, too late.
+ * their memory until their last token.  Prints whether the goodput is at least
+ * nine tenths of that at the usual rate, and whether workers refuse at most so
+ * many sends.  With "back", refused callers retry once, too late to be in time.
  */
 static void run_rush(const char *line, FILE *out)
 {
@@ -349,21 +350,25 @@
 	double usual;
 	double rate;
 	double seconds;
-	bool back = strstr(line, "back");
-	int most;
+	bool retries = strstr(line, "back");
+	int max_refusals;
 
 	if (sscanf(line, "%*s %lf %lf %lf %d", &usual, &rate, &seconds,
-		   &most) != 4)
+		   &max_refusals) != 4)
 		return;
-	usual = rush_goodput(usual, seconds, back);
-	goodput = rush_goodput(rate, seconds, back);
+	usual = rush_goodput(usual, seconds, retries);
+	goodput = rush_goodput(rate, seconds, retries);
 	fprintf(out, "goodput %s, %s\n",
 		goodput >= 0.9 * usual ? "holds" : "falls",
-		rush.refused <= most ? "few refusals" : "too many refusals");
+		rush.refused <= max_refusals ? "few refusals"
+					     : "too many refusals");
 }
 
-/* "keeps WORKER FROM TO": the part of the stream that it runs already. */
-static void keep(const char *line)
+/*
+ * "keeps WORKER FROM TO": the layers of the stream that the worker already
+ * runs.
+ */
+static void set_retained(const char *line)
 {
 	int n;
 	int from;
@@ -375,8 +380,8 @@
 	workers[n].retained_to = to;
 }
 
-/* "reads US": every worker reads the stream through a layer in this time. */
-static void set_read(const char *line)
+/* "reads US": time for every worker to read the stream through a layer. */
+static void set_prefill(const char *line)
 {
 	double us = 0;
 	int i;
@@ -408,21 +413,21 @@
 		if (strncmp(line, "worker ", 7) == 0)
 			add_worker(line);
 		else if (strncmp(line, "want ", 5) == 0)
-			set_want(line);
+			set_request(line);
 		else if (sscanf(line, "choose %d", &n) == 1)
-			choose(out, n);
+			choose_chains(out, n);
 		else if (sscanf(line, "storm %d", &n) == 1)
-			storm(out, n);
+			restart_streams(out, n);
 		else if (sscanf(line, "hop %d", &n) == 1)
-			want.hop_us = n;
+			request.hop_us = n;
 		else if (strncmp(line, "rush ", 5) == 0)
 			run_rush(line, out);
 		else if (strncmp(line, "repair ", 7) == 0)
-			repair(line, out);
+			repair_chain(line, out);
 		else if (strncmp(line, "keeps ", 6) == 0)
-			keep(line);
+			set_retained(line);
 		else if (strncmp(line, "reads ", 6) == 0)
-			set_read(line);
+			set_prefill(line);
 		else if (strncmp(line, "held", 4) == 0)
 			print_held(out);
 		else if (sscanf(line, "lose %d", &n) == 1)
--- a/regress/check_lay.c
+++ b/regress/check_lay.c
@@ -8,10 +8,10 @@
 
 static struct lay_card cards[CARDS_MAX];
 static int count;
-/* A token's time in a layer and between workers, as an engine tells it. */
+/* Time of a token in a layer and between workers, as an engine reports it. */
 static struct lay_model model = { .layer_us = 12.75, .hop_us = 250 };
 
-/* Adds N alike cards; "card CENTRE N MEMORY_MB FACTOR [FROM TO]". */
+/* "card CENTRE N MEMORY_MB FACTOR [FROM TO]": adds N identical cards. */
 static void add_cards(const char *line)
 {
 	struct lay_card card = { .usable = true };
@@ -23,8 +23,8 @@
 		cards[count++] = card;
 }
 
-/* Carries the plan out: what is wanted is held. */
-static void hold(void)
+/* Carries out the plan: all cards hold their planned ranges. */
+static void apply_plan(void)
 {
 	int i;
 
@@ -34,10 +34,10 @@
 	}
 }
 
-/* Takes a card out of its data centre, or brings it back empty. */
-static void lose(int i, bool back)
+/* Removes a card from its data centre, or brings it back without layers. */
+static void reset_card(int i, bool usable)
 {
-	cards[i].usable = back;
+	cards[i].usable = usable;
 	cards[i].from = 0;
 	cards[i].to = 0;
 }
@@ -57,40 +57,44 @@
 				: "");
 }
 
-/* Says how each data centre stands; a layer without holder is a hole. */
-static void print_cover(FILE *out, int centre)
+/*
+ * Prints the bottleneck and the capacity of a data centre.  A layer without
+ * holders is a hole.
+ */
+static void print_capacity(FILE *out, int centre)
 {
-	struct lay_bottleneck cover;
+	struct lay_bottleneck bottleneck;
 	double value;
 	int weakest;
 
-	lay_find_bottleneck(&model, cards, count, centre, &cover);
+	lay_find_bottleneck(&model, cards, count, centre, &bottleneck);
 	fprintf(out, "centre %d least layer %d holders %d tokens %.0f\n",
-		centre, cover.layer, cover.holders, cover.tokens);
+		centre, bottleneck.layer, bottleneck.holders,
+		bottleneck.tokens);
 	value = lay_capacity_score(&model, cards, count, centre, &weakest);
 	fprintf(out, "centre %d value %.0f weakest %d\n", centre, value,
 		weakest);
 }
 
-/* Loses each card alone and counts the losses that leave a hole. */
+/* Removes each card in turn and counts the losses that leave a hole. */
 static void print_single_losses(FILE *out, int centre)
 {
-	struct lay_bottleneck cover;
+	struct lay_bottleneck bottleneck;
 	int holes = 0;
-	int all = 0;
+	int losses = 0;
 	int i;
 
 	for (i = 0; i < count; i++) {
 		if (cards[i].centre != centre)
 			continue;
 		cards[i].usable = false;
-		lay_find_bottleneck(&model, cards, count, centre, &cover);
+		lay_find_bottleneck(&model, cards, count, centre, &bottleneck);
 		cards[i].usable = true;
-		all++;
-		holes += cover.holders == 0;
+		losses++;
+		holes += bottleneck.holders == 0;
 	}
 	fprintf(out, "centre %d: %d of %d single losses leave a hole\n", centre,
-		holes, all);
+		holes, losses);
 }
 
 static void drive(FILE *in, FILE *out)
@@ -116,17 +120,17 @@
 			lay_balance(&model, cards, count,
 				    strstr(line, "fresh") != NULL);
 		else if (strncmp(line, "hold", 4) == 0)
-			hold();
+			apply_plan();
 		else if (sscanf(line, "lose %d", &n) == 1)
-			lose(n, false);
+			reset_card(n, false);
 		else if (sscanf(line, "suspect %d", &n) == 1)
 			cards[n].suspect = true;
 		else if (sscanf(line, "cleared %d", &n) == 1)
 			cards[n].suspect = false;
 		else if (sscanf(line, "back %d", &n) == 1)
-			lose(n, true);
+			reset_card(n, true);
 		else if (sscanf(line, "cover %d", &n) == 1)
-			print_cover(out, n);
+			print_capacity(out, n);
 		else if (sscanf(line, "losses %d", &n) == 1)
 			print_single_losses(out, n);
 		else if (strncmp(line, "show", 4) == 0)
--- a/regress/check_wk.c
+++ b/regress/check_wk.c
@@ -9,8 +9,11 @@
 
 static struct wk_table table;
 
-/* "entry ID ADDRESS BORN_MS FROM TO [SERVICE]": an entry of the list. */
-static void put(const char *line, int64_t now)
+/*
+ * "entry ID ADDRESS BORN_MS FROM TO [SERVICE] [leaves]": adds or updates an
+ * entry of the store's list.
+ */
+static void put_entry(const char *line, int64_t now)
 {
 	struct wire_worker worker = { .slots = 8 };
 	long long born;
@@ -25,7 +28,7 @@
 	wk_list_put(&table, &worker, now, NULL);
 }
 
-static void print(FILE *out, int64_t now)
+static void print_workers(FILE *out, int64_t now)
 {
 	struct wk *wk;
 
@@ -42,7 +45,7 @@
 	char text[LINE_MAX_];
 	const struct wk *wk;
 	int64_t now = MAG_US_PER_S;
-	struct wk *left;
+	struct wk *remaining;
 	struct wk *next;
 
 	wk_init(&table, hc);
@@ -51,7 +54,7 @@
 			continue;
 		fprintf(out, "> %s", line);
 		if (strncmp(line, "entry", 5) == 0)
-			put(line, now);
+			put_entry(line, now);
 		else if (sscanf(line, "gone %63s", text) == 1)
 			wk_remove(&table, text, now, now);
 		else if (strncmp(line, "list", 4) == 0)
@@ -66,13 +69,13 @@
 			 (wk = wk_by_id(&table, text)))
 			fprintf(out, "%d-%d\n", wk->layers.from, wk->layers.to);
 		else if (strncmp(line, "who", 3) == 0)
-			print(out, now);
+			print_workers(out, now);
 		else if (sscanf(line, "at %47s", text) == 1 &&
 			 (wk = wk_by_address(&table, text)))
 			fprintf(out, "%s\n", wk->entry.id);
 	}
-	cds_list_for_each_entry_safe (left, next, &table.workers, node)
-		wk_remove(&table, left->entry.id, now, now);
+	cds_list_for_each_entry_safe (remaining, next, &table.workers, node)
+		wk_remove(&table, remaining->entry.id, now, now);
 	wk_tick(&table, now);
 	hc_free(hc);
 	event_base_free(base);
