--- a/src/chn_int.h
+++ b/src/chn_int.h
@@ -22,7 +22,7 @@
 	int count;
 	int centres;
 	bool boundary[CHN_LAYERS_MAX + 1];
-	struct chn_step best[CHN_LAYERS_MAX + 1][CHN_CENTRES_MAX];
+	struct chn_step cheapest[CHN_LAYERS_MAX + 1][CHN_CENTRES_MAX];
 	bool use_memory;
 	int start;	   /* the layers before it stay unchanged */
 	int start_centre;  /* data centre of the worker that runs them */
--- a/src/chn_walk.c
+++ b/src/chn_walk.c
@@ -67,12 +67,12 @@
 
 	for (position = 0; position <= layers; position++) {
 		for (i = 0; i < walk->centres; i++)
-			walk->best[position][i] =
+			walk->cheapest[position][i] =
 				(struct chn_step){ CHN_INFINITE_COST, -1, 0,
 						   -1 };
 	}
 	if (walk->start > 0)
-		walk->best[walk->start][walk->start_centre].cost = 0;
+		walk->cheapest[walk->start][walk->start_centre].cost = 0;
 	for (position = walk->start; position < layers; position++) {
 		if (!walk->boundary[position])
 			continue;
@@ -83,8 +83,8 @@
 		}
 	}
 	for (i = 0; i < walk->centres; i++) {
-		if (walk->best[layers][i].cost < best) {
-			best = walk->best[layers][i].cost;
+		if (walk->cheapest[layers][i].cost < best) {
+			best = walk->cheapest[layers][i].cost;
 			centre = i;
 		}
 	}
@@ -117,7 +117,7 @@
 		cost = entry_cost + layer_cost * (end - position);
 		if (walk->start > 0 || walk->request->price_prefill)
 			cost += chn_prefill_cost(w, position, end);
-		step = &walk->best[end][w->centre];
+		step = &walk->cheapest[end][w->centre];
 		if (cost >= step->cost)
 			continue;
 		step->cost = cost;
@@ -145,7 +145,7 @@
 						    : request->remote_entry_us;
 	}
 	for (i = 0; i < walk->centres; i++) {
-		cost = walk->best[position][i].cost;
+		cost = walk->cheapest[position][i].cost;
 		if (cost >= CHN_INFINITE_COST ||
 		    (i != w->centre && !request->may_cross_centres))
 			continue;
@@ -192,14 +192,14 @@
 	struct chn_hop reversed[CHN_LAYERS_MAX];
 	const struct chn_step *step;
 	int position = walk->request->layers;
-	double cost = walk->best[position][centre].cost;
+	double cost = walk->cheapest[position][centre].cost;
 	int count = 0;
 	int i;
 
 	chain->crossings = 0;
 	chain->memory_price = 0;
 	while (position > walk->start) {
-		step = &walk->best[position][centre];
+		step = &walk->cheapest[position][centre];
 		if (step->previous_centre >= 0 &&
 		    step->previous_centre != centre)
 			chain->crossings++;
--- a/src/wkp.c
+++ b/src/wkp.c
@@ -138,8 +138,8 @@
 }
 
 /*
- * Marks overdue probes; probes slow workers, and suspects whose time is over:
- * an answer clears these.
+ * Marks overdue probes.  Probes slow workers, and suspects whose time is over,
+ * so that an answer clears them.
  */
 void wkp_tick(struct edge *edge, int64_t now)
 {
