--- a/src/lay.c
+++ b/src/lay.c
@@ -228,9 +228,7 @@
 		position += widths[i];
 		copy[i]->planned_to = position;
 	}
-	/*
-	 * The last card uses its remaining memory to back up the one before it.
-	 */
+	/* The last card backs up the one before it with its spare memory. */
 	copy[used - 1]->planned_from =
 		model->layers -
 		lay_layers_beside(model, copy[used - 1], target_tokens);
--- a/src/lay_repair.c
+++ b/src/lay_repair.c
@@ -238,10 +238,7 @@
 			memory[i] = 1;
 		else
 			memory[i] = memory[i] < mean ? 1 - memory[i] / mean : 0;
-		/*
-		 * Squared, because a single layer without a holder breaks every
-		 * chain.
-		 */
+		/* Squared: one layer without a holder breaks every chain. */
 		memory[i] *= memory[i];
 	}
 }
--- a/src/plr.c
+++ b/src/plr.c
@@ -303,10 +303,7 @@
 	struct wk *wk = call->wk;
 
 	if (end == HC_WHOLE && call->status / 100 != 2) {
-		/*
-		 * The order was refused: the state that it was based on has
-		 * changed.
-		 */
+		/* Refused: the state that the order relied on has changed. */
 		wk->ordered = false;
 		wk->orders_taken = -1;
 	}
--- a/src/wk.c
+++ b/src/wk.c
@@ -359,9 +359,7 @@
 	wk->response_us += WK_SMOOTHING * ((double)took_us - wk->response_us);
 }
 
-/*
- * Remembers a request whose answer broke off at a worker, replacing the oldest.
- */
+/* Remembers a request that broke off at a worker; replaces the oldest. */
 void wk_add_interrupted(struct wk *wk,
 			const uint8_t fingerprint[MAG_DIGEST_BYTES],
 			int64_t now)
@@ -449,9 +447,7 @@
 		jlog(LOG_WK_LEAVING, "\"worker\":\"%s\"", worker->id);
 	}
 	if (restarted) {
-		/*
-		 * A restarted process has lost its layers, orders and faults.
-		 */
+		/* The new process has no layers, orders or faults. */
 		jlog(LOG_WK_RESTARTED, "\"worker\":\"%s\",\"born_ms\":%lld",
 		     worker->id, (long long)worker->born_ms);
 		wk->orders_taken = -1;
--- a/src/wkp.c
+++ b/src/wkp.c
@@ -225,9 +225,7 @@
 	wk->suspect_until_us = 0;
 	wk_suspect(wk, now, "no answer to a probe");
 	eq_on_suspect(edge, wk, now);
-	/*
-	 * Silence may be a freeze; a closed port means that the process died.
-	 */
+	/* Silence may be a freeze; a closed port means a dead process. */
 	if (end == HC_UNSENT || end == HC_BROKEN)
 		wkp_on_death(edge, wk, now);
 }
