--- a/src/chn.h
+++ b/src/chn.h
@@ -49,7 +49,7 @@
 	/* In a repair: layers of this stream that the worker already runs. */
 	int retained_from;
 	int retained_to;
-	/* Time to read the stream's tokens so far through one layer. */
+	/* Time to read (prefill) the stream's tokens through one layer. */
 	double prefill_us;
 	/* Time to read the prompts that are queued there already. */
 	double prefill_backlog_us;
