--- a/regress/check_wk.c
+++ b/regress/check_wk.c
@@ -9,8 +9,11 @@
 
 static struct wk_table table;
 
-/* "entry ID ADDRESS BORN_MS FROM TO [SERVICE]": an entry of the list. */
-static void put(const char *line, int64_t now)
+/*
+ * "entry ID ADDRESS BORN_MS FROM TO [SERVICE] [leaves]": adds or updates an
+ * entry of the store's list.
+ */
+static void put_entry(const char *line, int64_t now)
 {
 	struct wire_worker worker = { .slots = 8 };
 	long long born;
@@ -25,12 +28,12 @@
 	wk_list_put(&table, &worker, now, NULL);
 }
 
-static void print(FILE *out, int64_t now)
+static void print_workers(FILE *out, int64_t now)
 {
 	struct wk *wk;
 
 	cds_list_for_each_entry (wk, &table.workers, node)
-		fprintf(out, "%s %s\n", wk->is.id,
+		fprintf(out, "%s %s\n", wk->entry.id,
 			wk_usable(wk, now) ? "gets requests" : "gets none");
 }
 
@@ -42,7 +45,7 @@
 	char text[LINE_MAX_];
 	const struct wk *wk;
 	int64_t now = MAG_US_PER_S;
-	struct wk *left;
+	struct wk *remaining;
 	struct wk *next;
 
 	wk_init(&table, hc);
@@ -51,7 +54,7 @@
 			continue;
 		fprintf(out, "> %s", line);
 		if (strncmp(line, "entry", 5) == 0)
-			put(line, now);
+			put_entry(line, now);
 		else if (sscanf(line, "gone %63s", text) == 1)
 			wk_remove(&table, text, now, now);
 		else if (strncmp(line, "list", 4) == 0)
@@ -59,20 +62,20 @@
 		else if (strncmp(line, "end", 3) == 0)
 			wk_list_end(&table, now, now);
 		else if (strncmp(line, "returned", 8) == 0)
-			wk_returned(&table, now);
+			wk_store_restored(&table, now);
 		else if (strncmp(line, "settled", 7) == 0)
-			wk_settled(&table);
+			wk_store_settled(&table);
 		else if (sscanf(line, "layers %63s", text) == 1 &&
 			 (wk = wk_by_id(&table, text)))
 			fprintf(out, "%d-%d\n", wk->layers.from, wk->layers.to);
 		else if (strncmp(line, "who", 3) == 0)
-			print(out, now);
+			print_workers(out, now);
 		else if (sscanf(line, "at %47s", text) == 1 &&
 			 (wk = wk_by_address(&table, text)))
-			fprintf(out, "%s\n", wk->is.id);
+			fprintf(out, "%s\n", wk->entry.id);
 	}
-	cds_list_for_each_entry_safe (left, next, &table.workers, node)
-		wk_remove(&table, left->is.id, now, now);
+	cds_list_for_each_entry_safe (remaining, next, &table.workers, node)
+		wk_remove(&table, remaining->entry.id, now, now);
 	wk_tick(&table, now);
 	hc_free(hc);
 	event_base_free(base);
--- a/src/wk.c
+++ b/src/wk.c
@@ -5,130 +5,139 @@
 #include "wk.h"
 
 /*
- * A suspect gets nothing new for this long at first and twice as long after
- * each further failure: a restart takes some seconds, and a worker that goes
- * down and up by turns must not be given streams at each turn.
+ * A suspect gets no new work for this long, and for twice as long after each
+ * further failure, up to three doublings.  A restart takes some seconds, and a
+ * worker that alternates between up and down must not be given streams each
+ * time it is up.
  */
-#define WK_SUSPECT_US	  (1500 * MAG_US_PER_MS)
-#define WK_SUSPECT_DOUBLE 3
+#define WK_SUSPECT_US	     (1500 * MAG_US_PER_MS)
+#define WK_SUSPECT_DOUBLINGS 3
 /*
- * A worker that refused gets nothing new for this long, because it is short of
- * memory or worse, and each further request would spend a second send: streams
- * end every few milliseconds, and a report that tells why takes 200 ms.
+ * A worker that refused a request gets no new work for this long.  It is short
+ * of memory or worse, and each further request would cost a second send.
+ * Streams end every few milliseconds; a report that tells the reason takes 200
+ * ms.
  */
-#define WK_HOLD_OFF_US (200 * MAG_US_PER_MS)
+#define WK_PAUSE_US (200 * MAG_US_PER_MS)
 /*
- * Twice as long after each further refusal, up to 1.6 s: a worker that gives
- * layers up, or leaves without a word, answers questions and refuses for
- * seconds.
+ * The pause doubles with each further refusal, up to 1.6 s: a worker that
+ * releases layers, or shuts down without notice, answers probes but refuses
+ * requests for seconds.
  */
-#define WK_HOLD_DOUBLE 3
+#define WK_PAUSE_DOUBLINGS 3
 /*
- * A worker that breaks so many requests in a row off before their first event
- * is not trusted, though it answers questions: by chance, of a worker that
- * loses 3 answers in 100, that happens once in 37,000 requests.
+ * A worker that breaks off this many requests in a row before their first event
+ * is distrusted even if it answers probes.  A worker that loses 3 answers in
+ * 100 reaches this number by chance once in 37,000 requests.
  */
-#define WK_BROKEN_MAX 3
-/* For this long at first; twice as long if the next request breaks, too. */
-#define WK_DISTRUST_US	   MAG_US_PER_S
-#define WK_DISTRUST_DOUBLE 3
+#define WK_BREAKS_MAX 3
 /*
- * A sound worker answers a question within 5 ms, 8 ms from another data
- * centre.  One that has not done so yet gets nothing new: while a data centre
- * is being cut off, streams that leave one of its workers would be sent to the
- * next, and spend the runs that their route allows there.
+ * Duration of the first distrust; it doubles if the next request breaks off,
+ * too, up to three times.
  */
-#define WK_ANSWER_US (15 * MAG_US_PER_MS)
+#define WK_DISTRUST_US	      MAG_US_PER_S
+#define WK_DISTRUST_DOUBLINGS 3
 /*
- * So long after the store came back from a copy, entries that a list has of
- * workers that were gone before count for nothing: they have not lapsed yet.
+ * A healthy worker answers a probe within 5 ms, or 8 ms from another data
+ * centre.  A worker whose probe is overdue gets no new work.  Otherwise, while
+ * a data centre is being cut off, streams that leave one of its workers would
+ * be sent to the next one there and use up the attempts that their route
+ * allows.
  */
-#define WK_PAST_US (10 * MAG_US_PER_S)
-/* Weight of the newest outcome in the smoothed figures. */
-#define WK_SMOOTH 0.1
-
-static void wk_take_entry(struct wk *wk, const struct wire_worker *worker,
-			  int64_t now);
-static void wk_take_copy(struct wk *wk, const struct wire_worker *worker,
-			 int64_t now);
-static bool wk_is_past(const struct wk_table *table,
-		       const struct wire_worker *worker, int64_t now);
-static void wk_add_past(struct wk_table *table, const struct wk *wk,
-			int64_t now);
-static void wk_settle_address(struct wk_table *table, struct wk *wk);
-static void wk_forget(struct wk_table *table, struct wk *wk);
+#define WK_PROBE_OVERDUE_US (15 * MAG_US_PER_MS)
+/*
+ * For this long after the store was restored from an older backup, listed
+ * entries of workers that were gone before are ignored, because these entries
+ * have not expired yet.
+ */
+#define WK_IGNORE_GONE_US (10 * MAG_US_PER_S)
+/* Weight of the newest sample in the moving averages. */
+#define WK_SMOOTHING 0.1
+
+static void wk_update(struct wk *wk, const struct wire_worker *worker,
+		      int64_t now);
+static void wk_update_from_backup(struct wk *wk,
+				  const struct wire_worker *worker,
+				  int64_t now);
+static bool wk_is_known_gone(const struct wk_table *table,
+			     const struct wire_worker *worker, int64_t now);
+static void wk_remember_gone(struct wk_table *table, const struct wk *wk,
+			     int64_t now);
+static void wk_resolve_address(struct wk_table *table, struct wk *wk);
+static void wk_free(struct wk_table *table, struct wk *wk);
 static void wk_log_suspect(const struct wk *wk, const char *why,
-			   int64_t hold_us, int times);
+			   int64_t duration_us, int times);
 
 void wk_init(struct wk_table *table, struct hc *hc)
 {
 	memset(table, 0, sizeof(*table));
 	CDS_INIT_LIST_HEAD(&table->workers);
 	table->hc = hc;
-	table->connections = 64;
+	table->max_connections = 64;
 }
 
-/* Begins to read a whole list; wk_list_end tells who is missing from it. */
+/* Begins a whole listing; wk_list_end removes the workers that it lacks. */
 void wk_list_begin(struct wk_table *table)
 {
 	struct wk *wk;
 
 	table->listing = true;
 	cds_list_for_each_entry (wk, &table->workers, node)
-		wk->seen = false;
+		wk->in_listing = false;
 }
 
-/* Takes an entry of the list, new or changed. */
+/* Adds or updates a worker from an entry of the list. */
 int wk_list_put(struct wk_table *table, const struct wire_worker *worker,
 		int64_t now, struct wk **out)
 {
 	struct wk *wk = wk_by_id(table, worker->id);
 
-	if (table->listing && wk_is_past(table, worker, now))
-		return WK_E_OLD;
-	if (wk && strcmp(wk->is.address, worker->address) != 0) {
+	if (table->listing && wk_is_known_gone(table, worker, now))
+		return WK_E_STALE;
+	if (wk && strcmp(wk->entry.address, worker->address) != 0) {
 		/* The same name at another address is another process. */
-		wk_remove(table, wk->is.id, now, now);
-		wk->is.id[0] = '\0';
+		wk_remove(table, wk->entry.id, now, now);
+		wk->entry.id[0] = '\0';
 		wk = NULL;
 	}
 	if (!wk) {
 		wk = calloc(1, sizeof(*wk));
 		if (!wk)
 			return WK_E_MEMORY;
-		if (hc_host_new(table->hc, worker->address, table->connections,
-				&wk->host)) {
+		if (hc_host_new(table->hc, worker->address,
+				table->max_connections, &wk->host)) {
 			free(wk);
 			return WK_E_ADDRESS;
 		}
-		wk->is = *worker;
-		wk->seen_us = now;
+		wk->entry = *worker;
+		wk->first_seen_us = now;
 		wk->leaving_us = MAG_NEVER;
 		wk->orders_taken = -1;
 		wk->slowdown = 1;
 		wk->layers = worker->layers;
 		cds_list_add_tail(&wk->node, &table->workers);
 		table->count++;
-		table->grew_us = now;
+		table->last_added_us = now;
 		jlog(LOG_WK_SEEN,
 		     "\"worker\":\"%s\",\"address\":\"%s\","
 		     "\"data_centre\":\"%s\",\"layers\":\"%d-%d\"",
-		     wk->is.id, wk->is.address, wk->is.data_centre,
+		     wk->entry.id, wk->entry.address, wk->entry.data_centre,
 		     wk->layers.from, wk->layers.to);
 	}
 	if (table->listing && table->settling)
-		wk_take_copy(wk, worker, now);
+		wk_update_from_backup(wk, worker, now);
 	else
-		wk_take_entry(wk, worker, now);
-	wk_settle_address(table, wk);
+		wk_update(wk, worker, now);
+	wk_resolve_address(table, wk);
 	if (out)
 		*out = wk;
 	return WK_OK;
 }
 
 /*
- * Workers that the whole list lacks are gone from gone_us on.  A store that has
- * just come back from a copy lacks what was written since.
+ * Ends a listing: workers that it lacks are considered gone from gone_us on.
+ * None is removed while the store settles after a restore, because an older
+ * backup lacks the entries that were written since.
  */
 void wk_list_end(struct wk_table *table, int64_t gone_us, int64_t now)
 {
@@ -138,36 +147,39 @@
 	if (table->settling)
 		return;
 	cds_list_for_each_entry (wk, &table->workers, node) {
-		if (!wk->seen && wk->listed)
-			wk_remove(table, wk->is.id, gone_us, now);
+		if (!wk->in_listing && wk->listed)
+			wk_remove(table, wk->entry.id, gone_us, now);
 	}
 }
 
-/* The store has come back from an older copy. */
-void wk_returned(struct wk_table *table, int64_t now)
+/* Notes that the store was restored from an older backup. */
+void wk_store_restored(struct wk_table *table, int64_t now)
 {
 	table->settling = true;
-	table->returned_us = now;
+	table->restored_us = now;
 }
 
-/* All have written again: the next list is taken as it stands. */
-void wk_settled(struct wk_table *table)
+/*
+ * Notes that all workers have written their entries again after a restore: from
+ * now on, listings are authoritative.
+ */
+void wk_store_settled(struct wk_table *table)
 {
 	table->settling = false;
 }
 
-/* Returns how many workers the list that was read last lacks. */
-int wk_missing(const struct wk_table *table)
+/* Returns how many listed workers were missing from the last listing. */
+int wk_count_missing(const struct wk_table *table)
 {
 	const struct wk *wk;
 	int missing = 0;
 
 	cds_list_for_each_entry (wk, &table->workers, node)
-		missing += wk->listed && !wk->seen;
+		missing += wk->listed && !wk->in_listing;
 	return missing;
 }
 
-/* An entry was removed: the worker is taken for gone from gone_us on. */
+/* Removes an entry: the worker is considered gone from gone_us on. */
 void wk_remove(struct wk_table *table, const char *id, int64_t gone_us,
 	       int64_t now)
 {
@@ -177,22 +189,22 @@
 		return;
 	wk->listed = false;
 	wk->gone_us = gone_us;
-	wk_add_past(table, wk, now);
-	jlog(LOG_WK_GONE, "\"worker\":\"%s\",\"in_ms\":%d", wk->is.id,
+	wk_remember_gone(table, wk, now);
+	jlog(LOG_WK_GONE, "\"worker\":\"%s\",\"in_ms\":%d", wk->entry.id,
 	     (int)((gone_us - now) / MAG_US_PER_MS));
 }
 
-/* Ends limits that lapsed; frees workers that are gone and nobody points at. */
+/* Expires rate limits, and frees workers that are gone and not referenced. */
 void wk_tick(struct wk_table *table, int64_t now)
 {
 	struct wk *wk;
 	struct wk *next;
 
 	cds_list_for_each_entry_safe (wk, next, &table->workers, node) {
-		wk_limit_tick(wk, now);
+		wk_expire_limit(wk, now);
 		if (wk->listed || wk->refs > 0 || now < wk->gone_us)
 			continue;
-		wk_forget(table, wk);
+		wk_free(table, wk);
 	}
 }
 
@@ -201,20 +213,23 @@
 	struct wk *wk;
 
 	cds_list_for_each_entry (wk, &table->workers, node) {
-		if (strcmp(wk->is.id, id) == 0)
+		if (strcmp(wk->entry.id, id) == 0)
 			return wk;
 	}
 	return NULL;
 }
 
-/* Returns the listed worker at an address; addresses are used again. */
+/*
+ * Returns the listed worker at an address, else any other one that had it;
+ * addresses are reused.
+ */
 struct wk *wk_by_address(const struct wk_table *table, const char *address)
 {
 	struct wk *found = NULL;
 	struct wk *wk;
 
 	cds_list_for_each_entry (wk, &table->workers, node) {
-		if (strcmp(wk->is.address, address) != 0)
+		if (strcmp(wk->entry.address, address) != 0)
 			continue;
 		if (!found || (wk->listed && !wk->replaced))
 			found = wk;
@@ -222,10 +237,10 @@
 	return found;
 }
 
-/* Tells whether a worker is neither gone nor leaving. */
+/* Tells whether a worker is neither gone nor draining nor replaced. */
 bool wk_alive(const struct wk *wk, int64_t now)
 {
-	if (wk->is.draining || wk->replaced)
+	if (wk->entry.draining || wk->replaced)
 		return false;
 	return wk->listed || now < wk->gone_us;
 }
@@ -233,254 +248,258 @@
 /* Tells whether a worker may get new work. */
 bool wk_usable(const struct wk *wk, int64_t now)
 {
-	bool waits = wk->probing && now - wk->probed_us > WK_ANSWER_US;
+	bool overdue = wk->probing && now - wk->probed_us > WK_PROBE_OVERDUE_US;
 
-	return wk_alive(wk, now) && !wk->on_trial && !waits &&
-	       now >= wk->hold_until_us && now >= wk->distrust_until_us;
+	return wk_alive(wk, now) && !wk->suspected && !overdue &&
+	       now >= wk->paused_until_us && now >= wk->distrust_until_us;
 }
 
 /*
- * Notes that a worker seems dead or stuck.  It gets nothing new for a while;
- * after that a report of its own, or an answer, has to clear it.
+ * Notes that a worker seems dead or stuck.  It gets no new work for a while;
+ * after that a report or another answer has to clear it.
  */
 void wk_suspect(struct wk *wk, int64_t now, const char *why)
 {
-	int64_t hold = mag_backoff(WK_SUSPECT_US, wk->suspect_times,
-				   WK_SUSPECT_DOUBLE);
+	int64_t duration_us = mag_backoff(WK_SUSPECT_US, wk->suspect_count,
+					  WK_SUSPECT_DOUBLINGS);
 
 	if (now < wk->suspect_until_us)
 		return;
-	wk->suspect_until_us = now + hold;
-	wk->suspect_times++;
-	wk->on_trial = true;
-	wk->to_announce = wk->suspect_times == 1;
+	wk->suspect_until_us = now + duration_us;
+	wk->suspect_count++;
+	wk->suspected = true;
+	wk->to_announce = wk->suspect_count == 1;
 	hc_host_drop_idle(wk->host);
-	wk_log_suspect(wk, why, hold, wk->suspect_times);
+	wk_log_suspect(wk, why, duration_us, wk->suspect_count);
 }
 
-/* Gives a worker nothing new for a moment, while it is asked how it is. */
-void wk_hold_off(struct wk *wk, int64_t now)
+/* Gives a worker no new work for a moment, while it is being probed. */
+void wk_pause(struct wk *wk, int64_t now)
 {
-	wk->hold_until_us = now + WK_HOLD_OFF_US;
+	wk->paused_until_us = now + WK_PAUSE_US;
 }
 
-/* A worker refused a request of ours once more. */
-void wk_refused(struct wk *wk, int64_t now)
+/* Notes that a worker refused a request of ours. */
+void wk_on_refusal(struct wk *wk, int64_t now)
 {
-	/* Those that were on their way together count as one. */
-	if (now < wk->hold_until_us)
+	/* Refusals of requests that were in flight together count as one. */
+	if (now < wk->paused_until_us)
 		return;
-	wk->hold_until_us =
-		now + mag_backoff(WK_HOLD_OFF_US, wk->refusals, WK_HOLD_DOUBLE);
+	wk->paused_until_us = now + mag_backoff(WK_PAUSE_US, wk->refusals,
+						WK_PAUSE_DOUBLINGS);
 	wk->refusals++;
 }
 
-/* A worker began a request: it refuses no more. */
-void wk_began(struct wk *wk)
+/* Notes that a worker began a request: the refusals have ended. */
+void wk_on_start(struct wk *wk)
 {
 	wk->refusals = 0;
 }
 
 /*
- * A request to this worker broke off before its first event.  A worker whose
- * answers to questions are sound may fail all requests, or those of some
- * callers; sent to it, each spends a second send, and streams that may run
- * only twice are lost.  What counts is how requests end.
+ * Notes that a request to this worker broke off before its first event.  A
+ * worker that answers probes may still fail all requests, or those of some
+ * callers.  Each request sent to it costs a second send, and streams that may
+ * run only twice are lost.  Therefore the outcome of requests counts here, not
+ * that of probes.
  */
-void wk_broke(struct wk *wk, int64_t now)
+void wk_on_break(struct wk *wk, int64_t now)
 {
-	int64_t hold;
+	int64_t duration_us;
 
-	wk->broken_in_row++;
+	wk->consecutive_breaks++;
 	if (now < wk->distrust_until_us ||
-	    (wk->distrust_times == 0 && wk->broken_in_row < WK_BROKEN_MAX))
+	    (wk->distrust_count == 0 && wk->consecutive_breaks < WK_BREAKS_MAX))
 		return;
-	hold = mag_backoff(WK_DISTRUST_US, wk->distrust_times,
-			   WK_DISTRUST_DOUBLE);
-	wk->distrust_until_us = now + hold;
-	wk->distrust_times++;
-	wk_log_suspect(wk, "requests break off", hold, wk->broken_in_row);
+	duration_us = mag_backoff(WK_DISTRUST_US, wk->distrust_count,
+				  WK_DISTRUST_DOUBLINGS);
+	wk->distrust_until_us = now + duration_us;
+	wk->distrust_count++;
+	wk_log_suspect(wk, "requests break off", duration_us,
+		       wk->consecutive_breaks);
 }
 
 static void wk_log_suspect(const struct wk *wk, const char *why,
-			   int64_t hold_us, int times)
+			   int64_t duration_us, int times)
 {
 	jlog(LOG_WK_SUSPECT,
 	     "\"worker\":\"%s\",\"address\":\"%s\",\"why\":\"%s\","
 	     "\"for_ms\":%d,\"times\":%d",
-	     wk->is.id, wk->is.address, why, (int)(hold_us / MAG_US_PER_MS),
-	     times);
+	     wk->entry.id, wk->entry.address, why,
+	     (int)(duration_us / MAG_US_PER_MS), times);
 }
 
-/* A request to this worker came to its first event, or to its answer. */
-void wk_worked(struct wk *wk)
+/* Notes that a request to this worker reached its first event or its answer. */
+void wk_on_success(struct wk *wk)
 {
-	wk->broken_in_row = 0;
-	wk->distrust_times = 0;
+	wk->consecutive_breaks = 0;
+	wk->distrust_count = 0;
 }
 
-/* The worker has proved that it works. */
-void wk_clear(struct wk *wk)
+/* Clears a suspicion, after the worker has proved that it works. */
+void wk_clear_suspicion(struct wk *wk)
 {
-	if (!wk->on_trial)
+	if (!wk->suspected)
 		return;
-	wk->on_trial = false;
-	wk->suspect_times = 0;
+	wk->suspected = false;
+	wk->suspect_count = 0;
 	wk->suspect_until_us = 0;
-	jlog(LOG_WK_CLEARED, "\"worker\":\"%s\",\"address\":\"%s\"", wk->is.id,
-	     wk->is.address);
+	jlog(LOG_WK_CLEARED, "\"worker\":\"%s\",\"address\":\"%s\"",
+	     wk->entry.id, wk->entry.address);
 }
 
-/* Notes how a request ended at a worker, and how long it took. */
-void wk_result(struct wk *wk, bool good, int64_t took_us)
+/* Adds a request's outcome and duration to the moving averages. */
+void wk_add_result(struct wk *wk, bool good, int64_t took_us)
 {
-	wk->fail_share += WK_SMOOTH * ((good ? 0 : 1) - wk->fail_share);
+	wk->failure_rate += WK_SMOOTHING * ((good ? 0 : 1) - wk->failure_rate);
 	if (!good)
 		return;
-	if (wk->answer_us <= 0)
-		wk->answer_us = (double)took_us;
-	wk->answer_us += WK_SMOOTH * ((double)took_us - wk->answer_us);
+	if (wk->response_us <= 0)
+		wk->response_us = (double)took_us;
+	wk->response_us += WK_SMOOTHING * ((double)took_us - wk->response_us);
 }
 
-/* Remembers a request whose answer broke off at a worker; the oldest goes. */
-void wk_add_victim(struct wk *wk, const uint8_t print[MAG_DIGEST_BYTES],
-		   int64_t now)
+/* Remembers a request that broke off at a worker; replaces the oldest. */
+void wk_add_interrupted(struct wk *wk,
+			const uint8_t fingerprint[MAG_DIGEST_BYTES],
+			int64_t now)
 {
-	struct wk_victim *victim = &wk->victims[wk->victim_next];
+	struct wk_interrupted *slot = &wk->interrupted[wk->interrupted_next];
 
-	wk->victim_next = (wk->victim_next + 1) % WK_VICTIMS_MAX;
-	memcpy(victim->print, print, MAG_DIGEST_BYTES);
-	victim->at_us = now;
+	wk->interrupted_next = (wk->interrupted_next + 1) % WK_INTERRUPTED_MAX;
+	memcpy(slot->fingerprint, fingerprint, MAG_DIGEST_BYTES);
+	slot->at_us = now;
 }
 
-struct wk *wk_hold(struct wk *wk)
+struct wk *wk_ref(struct wk *wk)
 {
 	wk->refs++;
 	return wk;
 }
 
-void wk_drop(struct wk *wk)
+void wk_unref(struct wk *wk)
 {
 	wk->refs--;
 }
 
 /*
- * Takes an entry of a store that has just come back from a copy: it shows that
- * the worker is there, and that it leaves, and nothing else of one that is
- * known; its state may be an old one.
+ * Updates a worker from an entry of a store that was restored from an older
+ * backup.  Of a known worker such an entry proves only that it exists and, if
+ * it says so, that it drains; the rest may be out of date.
  */
-static void wk_take_copy(struct wk *wk, const struct wire_worker *worker,
-			 int64_t now)
+static void wk_update_from_backup(struct wk *wk,
+				  const struct wire_worker *worker, int64_t now)
 {
-	struct wire_worker known = wk->is;
+	struct wire_worker known = wk->entry;
 
 	if (worker->born_ms > known.born_ms) {
-		wk_take_entry(wk, worker, now);
+		wk_update(wk, worker, now);
 		return;
 	}
 	if (worker->born_ms == known.born_ms)
 		known.draining |= worker->draining;
-	wk_take_entry(wk, &known, now);
+	wk_update(wk, &known, now);
 }
 
-/* Tells whether an entry names a worker that is known to be gone. */
-static bool wk_is_past(const struct wk_table *table,
-		       const struct wire_worker *worker, int64_t now)
+/* Tells whether an entry names a worker that was already known to be gone. */
+static bool wk_is_known_gone(const struct wk_table *table,
+			     const struct wire_worker *worker, int64_t now)
 {
-	const struct wk_past *past;
+	const struct wk_gone *gone;
 	int i;
 
-	if (!table->returned_us || now - table->returned_us > WK_PAST_US)
+	if (!table->restored_us || now - table->restored_us > WK_IGNORE_GONE_US)
 		return false;
-	for (i = 0; i < WK_PAST_MAX; i++) {
-		past = &table->past[i];
-		if (past->gone_us && past->gone_us <= table->returned_us &&
-		    worker->born_ms <= past->born_ms &&
-		    strcmp(past->id, worker->id) == 0)
+	for (i = 0; i < WK_GONE_MAX; i++) {
+		gone = &table->gone[i];
+		if (gone->gone_us && gone->gone_us <= table->restored_us &&
+		    worker->born_ms <= gone->born_ms &&
+		    strcmp(gone->id, worker->id) == 0)
 			return true;
 	}
 	return false;
 }
 
-static void wk_add_past(struct wk_table *table, const struct wk *wk,
-			int64_t now)
+static void wk_remember_gone(struct wk_table *table, const struct wk *wk,
+			     int64_t now)
 {
-	struct wk_past *past = &table->past[table->past_next];
+	struct wk_gone *gone = &table->gone[table->gone_next];
 
-	table->past_next = (table->past_next + 1) % WK_PAST_MAX;
-	mag_copy_name(past->id, sizeof(past->id), wk->is.id);
-	past->born_ms = wk->is.born_ms;
-	past->gone_us = now;
+	table->gone_next = (table->gone_next + 1) % WK_GONE_MAX;
+	mag_copy_name(gone->id, sizeof(gone->id), wk->entry.id);
+	gone->born_ms = wk->entry.born_ms;
+	gone->gone_us = now;
 }
 
-static void wk_take_entry(struct wk *wk, const struct wire_worker *worker,
-			  int64_t now)
+static void wk_update(struct wk *wk, const struct wire_worker *worker,
+		      int64_t now)
 {
-	bool reborn = worker->born_ms != wk->is.born_ms;
-	bool leaving = wk->is.draining && !reborn;
-	bool moved = worker->layers.from != wk->is.layers.from ||
-		     worker->layers.to != wk->is.layers.to;
+	bool restarted = worker->born_ms != wk->entry.born_ms;
+	bool leaving = wk->entry.draining && !restarted;
+	bool layers_changed = worker->layers.from != wk->entry.layers.from ||
+			      worker->layers.to != wk->entry.layers.to;
 
-	wk->seen = true;
+	wk->in_listing = true;
 	wk->listed = true;
 	wk->gone_us = MAG_NEVER;
 	if (worker->draining && wk->leaving_us == MAG_NEVER) {
 		wk->leaving_us = now;
 		jlog(LOG_WK_LEAVING, "\"worker\":\"%s\"", worker->id);
 	}
-	if (reborn) {
-		/* It lost its layers, its orders and its faults. */
+	if (restarted) {
+		/* The new process has no layers, orders or faults. */
 		jlog(LOG_WK_RESTARTED, "\"worker\":\"%s\",\"born_ms\":%lld",
 		     worker->id, (long long)worker->born_ms);
 		wk->orders_taken = -1;
 		wk->reported_us = 0;
 		wk->slowdown = 1;
 		wk->leaving_us = worker->draining ? now : MAG_NEVER;
-		wk->on_trial = false;
+		wk->suspected = false;
 		wk->ordered = false;
 		wk->distrust_until_us = 0;
 		wk->thr = (struct thr){ 0 };
-		wk_worked(wk);
+		wk_on_success(wk);
 		hc_host_drop_idle(wk->host);
 	}
-	if (reborn || moved) {
+	if (restarted || layers_changed) {
 		wk->layers = worker->layers;
-		wk->layers_us = now;
+		wk->layers_changed_us = now;
 	}
 	if (wk->ordered && wk->layers.from == wk->order.from &&
 	    wk->layers.to == wk->order.to)
 		wk->ordered = false;
-	wk->is = *worker;
-	/* Who leaves does not come back under the same start. */
-	wk->is.draining |= leaving;
+	wk->entry = *worker;
+	/* A process that has begun to drain does not return to service. */
+	wk->entry.draining |= leaving;
 }
 
 /*
- * Of two workers that are listed at one address the younger one has it.  A
- * worker that crashed comes back under a new name before its old entry lapses;
- * requests that are sent by the old entry's layers meet the new worker, which
- * holds none, and each of them is refused.  An entry of a service that nobody
- * has, of another writer, takes no worker out.
+ * Of two workers that are listed at one address, the one that started later
+ * owns it.  A worker that crashed is restarted under a new name before its old
+ * entry expires.  Requests that are routed by the old entry's layers reach the
+ * new worker, which holds none, and are refused.  Entries of different services
+ * are not compared, so that an entry that another writer adds for an unknown
+ * service takes no worker out of use.
  */
-static void wk_settle_address(struct wk_table *table, struct wk *wk)
+static void wk_resolve_address(struct wk_table *table, struct wk *wk)
 {
 	struct wk *other;
 
 	wk->replaced = false;
 	cds_list_for_each_entry (other, &table->workers, node) {
 		if (other == wk || !other->listed ||
-		    strcmp(other->is.address, wk->is.address) != 0 ||
-		    strcmp(other->is.service, wk->is.service) != 0 ||
-		    !other->is.born_ms || !wk->is.born_ms)
+		    strcmp(other->entry.address, wk->entry.address) != 0 ||
+		    strcmp(other->entry.service, wk->entry.service) != 0 ||
+		    !other->entry.born_ms || !wk->entry.born_ms)
 			continue;
-		if (other->is.born_ms < wk->is.born_ms)
+		if (other->entry.born_ms < wk->entry.born_ms)
 			other->replaced = true;
-		else if (other->is.born_ms > wk->is.born_ms)
+		else if (other->entry.born_ms > wk->entry.born_ms)
 			wk->replaced = true;
 	}
 }
 
-static void wk_forget(struct wk_table *table, struct wk *wk)
+static void wk_free(struct wk_table *table, struct wk *wk)
 {
 	cds_list_del(&wk->node);
 	table->count--;
--- a/src/wk.h
+++ b/src/wk.h
@@ -2,9 +2,10 @@
 #define WK_H
 
 /*
- * The table of workers: what the store's list says of each, and what this
- * instance has seen of it since.  The list is one witness: a worker that is
- * listed may be dead, and one that answers wrongly may call itself healthy.
+ * Table of the workers: what the store's list says of each one, and what this
+ * instance has observed since.  Neither source is trusted alone: a listed
+ * worker may be dead, and a worker that fails requests may report itself
+ * healthy.
  */
 
 #include <stdbool.h>
@@ -16,78 +17,95 @@
 #include "thr.h"
 #include "wire.h"
 
-#define WK_VICTIMS_MAX 32
-#define WK_PAST_MAX    256
+#define WK_INTERRUPTED_MAX 32
+#define WK_GONE_MAX	   256
 
-/* A request that ran on a worker when its answer broke off. */
-struct wk_victim {
-	uint8_t print[MAG_DIGEST_BYTES];
+/* A request that was running on a worker when its answer broke off. */
+struct wk_interrupted {
+	uint8_t fingerprint[MAG_DIGEST_BYTES];
 	int64_t at_us;
 };
 
 struct wk {
 	struct cds_list_head node;
-	struct wire_worker is; /* as the list says */
+	struct wire_worker entry; /* as listed in the store */
 	struct hc_host *host;
-	int refs;	    /* requests and calls that point here */
-	int64_t seen_us;    /* for the first time */
-	bool listed;	    /* the store's list has it */
-	bool seen;	    /* in the listing that is being read */
-	bool replaced;	    /* a younger worker is listed at its address */
-	int64_t gone_us;    /* taken for gone from then on; MAG_NEVER */
-	int64_t leaving_us; /* its leaving was first seen; MAG_NEVER */
-
-	struct wire_range layers; /* newest word: list, report or answer */
-	int64_t orders_taken;	  /* -1: unknown */
-	int64_t layers_us;	  /* when the list last changed them */
-	int64_t reported_us;	  /* of the last report, 0: none */
-	bool busy;		  /* with an order, by the last report */
-	double slowdown;	  /* 1: as fast as its kind */
-	int64_t slowdown_us;	  /* when that was learned, 0: never */
-	double reported_held;	  /* memory in use, by the last report */
-	int reported_firsts; /* requests there as the first worker, likewise */
-
-	int64_t hold_until_us;	  /* it refused: nothing new until then */
-	int refusals;		  /* since it began a request of ours last */
-	int64_t suspect_until_us; /* gets nothing new until then */
-	int suspect_times;	  /* in a row */
-	bool on_trial;		  /* the suspicion ran out, nothing proved */
-	bool to_announce;     /* peers have not heard of the suspicion yet */
-	int64_t announced_us; /* when they were told, 0: never */
-	double fail_share;    /* of late requests, smoothed */
-	int broken_in_row;    /* requests that it broke off, no event since */
-	int distrust_times;   /* in a row */
-	int64_t distrust_until_us; /* gets nothing, whatever it says */
-	double answer_us;	   /* time of an answer, smoothed */
-
-	int firsts;	       /* requests of ours that it took */
-	int peer_firsts;       /* of other instances, by their word */
-	double held;	       /* tokens x layers that our requests hold */
-	double recent_held;    /* that we took since peers were added up */
-	double peer_held;      /* those of other instances */
-	int64_t read_until_us; /* prompts of repaired chains that it reads */
-	int64_t passed_us;     /* an event of ours came through it last */
-	bool probing;	       /* a question to it is on its way */
-	bool unresponsive;     /* it has not answered that question in time */
-	int quiet_asks;	   /* questions since an event of ours came through */
-	int64_t probed_us; /* when it was asked last */
-
-	struct thr thr;	      /* the rate limit that it names */
-	int64_t limit_log_us; /* no line on a mere change before then */
-
-	int64_t died_us; /* its connections were refused or broke; 0: never */
-	/* What to suspect if it turns out that the worker died. */
-	struct wk_victim victims[WK_VICTIMS_MAX];
-	int victim_next;
-
-	/* The placer's order that may not have been carried out yet. */
+	int refs; /* requests and calls that reference the worker */
+	int64_t first_seen_us; /* when the worker was first listed */
+	bool listed;	       /* it has an entry in the store's list */
+	bool in_listing;       /* it is in the listing that is being read */
+	bool replaced;	       /* a later start is listed at its address */
+	int64_t gone_us;       /* considered gone from then on; MAG_NEVER */
+	int64_t leaving_us;    /* when it was first seen draining; MAG_NEVER */
+
+	/* The newest known range, from the list, a report or an answer. */
+	struct wire_range layers;
+	int64_t orders_taken;	   /* -1: unknown */
+	int64_t layers_changed_us; /* when the list last changed the range */
+	int64_t reported_us;	   /* time of the last report; 0: none */
+	bool busy;	      /* carrying out an order, by the last report */
+	double slowdown;      /* 1: as fast as others of its kind */
+	int64_t slowdown_us;  /* when the slowdown was reported; 0: never */
+	double reported_held; /* memory in use, by the last report */
+	/* Requests whose first hop is there, by the last report. */
+	int reported_first_hops;
+
+	int64_t paused_until_us; /* after a refusal: no new work until then */
+	int refusals; /* refusals since it last began a request of ours */
+	int64_t suspect_until_us; /* suspect: no new work until then */
+	int suspect_count; /* suspicions since the last one was cleared */
+	/*
+	 * Set by wk_suspect until wk_clear_suspicion, also after
+	 * suspect_until_us: the worker has to prove first that it works.
+	 */
+	bool suspected;
+	bool to_announce;	/* the suspicion was not sent to peers yet */
+	int64_t announced_us;	/* when peers were told; 0: never */
+	double failure_rate;	/* of recent requests, smoothed */
+	int consecutive_breaks; /* requests broken off since the last event */
+	int distrust_count;	/* consecutive times of distrust */
+	/* No new work until then, whatever the worker reports of itself. */
+	int64_t distrust_until_us;
+	double response_us; /* response time, smoothed */
+
+	int first_hops;	     /* our requests whose first hop is there */
+	int peer_first_hops; /* those of other instances, as they report */
+	double held;	     /* memory of our requests, tokens x layers */
+	/*
+	 * The part of held that was added since the peers' figures were last
+	 * summed.
+	 */
+	double recent_held;
+	double peer_held; /* memory of other instances' requests */
+	/*
+	 * When it will have read the prompts of the chains that were assigned
+	 * to it.
+	 */
+	int64_t prefill_until_us;
+	int64_t last_event_us;	/* when an event of ours last came through it */
+	bool probing;		/* a probe is in flight */
+	bool unresponsive;	/* that probe is overdue */
+	int probes_since_event; /* probes since last_event_us */
+	int64_t probed_us;	/* when it was last probed */
+
+	struct thr thr; /* the rate limit that it names */
+	/* Changed and unreadable limits are not logged before then. */
+	int64_t next_limit_log_us;
+
+	/* When its connections were refused or broken off; 0: never. */
+	int64_t died_us;
+	/* Requests that may have caused its death, if it turns out dead. */
+	struct wk_interrupted interrupted[WK_INTERRUPTED_MAX];
+	int interrupted_next;
+
+	/* The placer's last order, until it is known to be carried out. */
 	bool ordered;
 	int64_t ordered_us;
 	struct wire_range order;
 };
 
-/* A worker that was gone, by its entry or for want of one. */
-struct wk_past {
+/* A worker whose entry was removed, or was missing from a whole listing. */
+struct wk_gone {
 	char id[WIRE_ID_MAX];
 	int64_t born_ms;
 	int64_t gone_us;
@@ -95,29 +113,33 @@
 
 struct wk_table {
 	struct cds_list_head workers;
-	struct wk_past past[WK_PAST_MAX]; /* the oldest is replaced */
-	int past_next;
-	bool listing;  /* entries are read from a list, not as they change */
-	bool settling; /* the store has just come back from an older copy */
-	int64_t returned_us; /* when that was seen last; 0: never */
+	struct wk_gone gone[WK_GONE_MAX]; /* a ring: the oldest is replaced */
+	int gone_next;
+	bool listing; /* a whole list is being read, not single changes */
+	/*
+	 * The store was restored from an older backup, and the workers have not
+	 * all written their entries again.
+	 */
+	bool settling;
+	int64_t restored_us; /* when the last restore was seen; 0: never */
 	struct hc *hc;
 	int count;
-	int64_t grew_us; /* when a worker was last seen for the first time */
-	int connections; /* that this instance may have to one worker */
+	int64_t last_added_us; /* when a new worker was last added */
+	int max_connections;   /* to one worker */
 };
 
 enum wk_err {
 	WK_OK = 0,
 	WK_E_MEMORY = -1,
 	WK_E_ADDRESS = -2,
-	WK_E_OLD = -3, /* the entry is of a copy, and what it names was gone */
+	WK_E_STALE = -3, /* of an older backup, for a worker that is gone */
 };
 
-/* To what a worker answered. */
+/* What a worker's answer belongs to. */
 enum wk_answer {
-	WK_ANSWER_SOUND, /* to a request, with a success of its own */
-	WK_ANSWER_OTHER, /* to a request, or an order on one */
-	WK_ANSWER_QUESTION,
+	WK_ANSWER_SUCCESS, /* a request, with a success status of its own */
+	WK_ANSWER_OTHER,   /* a request otherwise, or an order about one */
+	WK_ANSWER_PROBE,
 	WK_ANSWER_ORDER,
 };
 
@@ -126,9 +148,9 @@
 int wk_list_put(struct wk_table *table, const struct wire_worker *worker,
 		int64_t now, struct wk **out);
 void wk_list_end(struct wk_table *table, int64_t gone_us, int64_t now);
-void wk_returned(struct wk_table *table, int64_t now);
-void wk_settled(struct wk_table *table);
-int wk_missing(const struct wk_table *table);
+void wk_store_restored(struct wk_table *table, int64_t now);
+void wk_store_settled(struct wk_table *table);
+int wk_count_missing(const struct wk_table *table);
 void wk_remove(struct wk_table *table, const char *id, int64_t gone_us,
 	       int64_t now);
 void wk_tick(struct wk_table *table, int64_t now);
@@ -138,22 +160,23 @@
 bool wk_alive(const struct wk *wk, int64_t now);
 bool wk_usable(const struct wk *wk, int64_t now);
 void wk_suspect(struct wk *wk, int64_t now, const char *why);
-void wk_clear(struct wk *wk);
-void wk_hold_off(struct wk *wk, int64_t now);
-void wk_refused(struct wk *wk, int64_t now);
-void wk_began(struct wk *wk);
-void wk_broke(struct wk *wk, int64_t now);
-void wk_worked(struct wk *wk);
-void wk_result(struct wk *wk, bool good, int64_t took_us);
-void wk_add_victim(struct wk *wk, const uint8_t print[MAG_DIGEST_BYTES],
-		   int64_t now);
-enum thr_change wk_take_limit(struct wk *wk, const struct wire_limit *limit,
-			      enum wk_answer answer, int64_t sent_us,
-			      int64_t now);
-void wk_limit_from_peer(struct wk *wk, double limit, int64_t named_us,
+void wk_clear_suspicion(struct wk *wk);
+void wk_pause(struct wk *wk, int64_t now);
+void wk_on_refusal(struct wk *wk, int64_t now);
+void wk_on_start(struct wk *wk);
+void wk_on_break(struct wk *wk, int64_t now);
+void wk_on_success(struct wk *wk);
+void wk_add_result(struct wk *wk, bool good, int64_t took_us);
+void wk_add_interrupted(struct wk *wk,
+			const uint8_t fingerprint[MAG_DIGEST_BYTES],
 			int64_t now);
-void wk_limit_tick(struct wk *wk, int64_t now);
-struct wk *wk_hold(struct wk *wk);
-void wk_drop(struct wk *wk);
+enum thr_change wk_apply_limit(struct wk *wk, const struct wire_limit *limit,
+			       enum wk_answer answer, int64_t sent_us,
+			       int64_t now);
+void wk_apply_peer_limit(struct wk *wk, double limit, int64_t named_us,
+			 int64_t now);
+void wk_expire_limit(struct wk *wk, int64_t now);
+struct wk *wk_ref(struct wk *wk);
+void wk_unref(struct wk *wk);
 
 #endif /* WK_H */
