--- a/src/edge_follow.c
+++ b/src/edge_follow.c
@@ -79,12 +79,12 @@
 {
 	int routers = 1 + pres_peer_count(edge->pres);
 
-	sto_follow_retry(edge->follow, attest_retry_us(routers));
+	sto_follow_set_retry_max(edge->follow, attest_retry_us(routers));
 	if (era_ends(&edge->era, now))
 		edge_settle(edge);
 	sto_tick(edge->sto, now);
 	if (attest_is_time_to_ask(&edge->attest, routers, now))
-		sto_follow_ask(edge->follow);
+		sto_follow_query(edge->follow);
 }
 
 /* A whole list of the store's keys begins. */
@@ -238,7 +238,7 @@
 {
 	wk_settled(&edge->workers);
 	pres_settled(edge->pres);
-	sto_follow_list(edge->follow);
+	sto_follow_relist(edge->follow);
 }
 
 /* All is read again; what is missing from the list is gone. */
--- a/src/hint.c
+++ b/src/hint.c
@@ -368,7 +368,7 @@
 	peer->limit_count = message->limit_count;
 	memcpy(peer->limits, message->limits,
 	       message->limit_count * sizeof(message->limits[0]));
-	sto_follow_heard(edge->follow, message->at);
+	sto_follow_learn_pos(edge->follow, message->at);
 	edge->era.peers_heard = true;
 	if (message->claim.version > edge->newest_version)
 		edge->newest_version = message->claim.version;
@@ -397,7 +397,7 @@
 	    !attest_from_peer(&edge->attest, claim, edge->rt->version, now))
 		return;
 	if (edge->attest.fresh_us - before_us >= HINT_LEAP_US)
-		sto_follow_back(edge->follow);
+		sto_follow_retry_now(edge->follow);
 }
 
 /*
--- a/src/pres.c
+++ b/src/pres.c
@@ -217,7 +217,7 @@
 		return;
 	pres->asking = true;
 	pres->sent_us = now;
-	sto_keep(pres->sto, pres->lease, pres_kept, pres);
+	sto_renew_lease(pres->sto, pres->lease, pres_kept, pres);
 }
 
 /* Takes a lease, and with it the placer's key if that is still free. */
@@ -230,7 +230,7 @@
 		pres->asking = true;
 		pres->sent_us = now;
 		pres->placer_free_us = now + PRES_RETRY_US;
-		sto_lease(pres->sto, pres->lease_ms, pres_taken, pres);
+		sto_create_lease(pres->sto, pres->lease_ms, pres_taken, pres);
 		return;
 	}
 	pres->standing = true;
@@ -256,7 +256,7 @@
 
 	pres->asking = false;
 	if (result != STO_DONE ||
-	    sto_read_lease(body, len, &pres->lease, &ttl_ms))
+	    sto_parse_lease(body, len, &pres->lease, &ttl_ms))
 		return;
 	pres->lease_ms = ttl_ms;
 	pres->valid_us =
--- a/src/sto.c
+++ b/src/sto.c
@@ -37,7 +37,7 @@
 	sto->seed = seed | 1;
 	sto->eras.newest = POS_ERA_NONE;
 	strncpy(sto->address, address, sizeof(sto->address) - 1);
-	CDS_INIT_LIST_HEAD(&sto->follows);
+	CDS_INIT_LIST_HEAD(&sto->followers);
 	if (hc_host_new(hc, address, STO_CONNECTIONS, &sto->host)) {
 		free(sto);
 		return STO_E_ADDRESS;
@@ -49,25 +49,27 @@
 /* Returns the calls made so far; a waiting watch counts as one. */
 uint64_t sto_calls(const struct sto *sto)
 {
-	return sto->calls;
+	return sto->call_count;
 }
 
-void sto_lease(struct sto *sto, int64_t ttl_ms, sto_done_fn done, void *user)
+void sto_create_lease(struct sto *sto, int64_t ttl_ms, sto_done_fn done,
+		      void *user)
 {
 	char path[PL_PATH_MAX];
 	char body[64];
 
 	pl_store_lease(path);
 	pl_store_lease_body(body, sizeof(body), ttl_ms);
-	sto_start(sto, "POST", path, body, 0, done, user);
+	sto_send_call(sto, "POST", path, body, 0, done, user);
 }
 
-void sto_keep(struct sto *sto, int64_t lease, sto_done_fn done, void *user)
+void sto_renew_lease(struct sto *sto, int64_t lease, sto_done_fn done,
+		     void *user)
 {
 	char path[PL_PATH_MAX];
 
 	pl_store_keep(path, lease);
-	sto_start(sto, "POST", path, NULL, 0, done, user);
+	sto_send_call(sto, "POST", path, NULL, 0, done, user);
 }
 
 void sto_end_lease(struct sto *sto, int64_t lease, sto_done_fn done, void *user)
@@ -75,7 +77,7 @@
 	char path[PL_PATH_MAX];
 
 	pl_store_end(path, lease);
-	sto_start(sto, "DELETE", path, NULL, 0, done, user);
+	sto_send_call(sto, "DELETE", path, NULL, 0, done, user);
 }
 
 void sto_swap(struct sto *sto, const char *key, const char *value,
@@ -86,21 +88,21 @@
 	char *body = pl_store_swap_body(&swap);
 
 	pl_store_swap(path);
-	sto_start(sto, "POST", path, body, 0, done, user);
+	sto_send_call(sto, "POST", path, body, 0, done, user);
 	free(body);
 }
 
-/* Reads the answer to sto_lease; negative if it is malformed. */
-int sto_read_lease(const char *body, size_t len, int64_t *lease,
-		   int64_t *ttl_ms)
+/* Reads the answer to sto_create_lease; negative if it is malformed. */
+int sto_parse_lease(const char *body, size_t len, int64_t *lease,
+		    int64_t *ttl_ms)
 {
 	return pl_store_lease_id(body, len, lease, ttl_ms);
 }
 
 /* Sends a call; it is told its result once, or cancelled. */
-struct sto_call *sto_start(struct sto *sto, const char *method,
-			   const char *path, const char *body, int64_t wait_us,
-			   sto_done_fn done, void *user)
+struct sto_call *sto_send_call(struct sto *sto, const char *method,
+			       const char *path, const char *body,
+			       int64_t wait_us, sto_done_fn done, void *user)
 {
 	int64_t now = clk_boot_us();
 	struct sto_call *call = calloc(1, sizeof(*call));
@@ -120,8 +122,8 @@
 	send.ops = &sto_ops;
 	send.user = call;
 	send.connect_by_us = now + STO_CONNECT_US;
-	send.deadline_us = now + wait_us + STO_PATIENCE_US;
-	sto->calls++;
+	send.deadline_us = now + wait_us + STO_ANSWER_TIMEOUT_US;
+	sto->call_count++;
 	if (send.request && hc_start(sto->host, &send, &call->call) == HC_OK)
 		return call;
 	evbuffer_free(call->body);
@@ -131,7 +133,7 @@
 }
 
 /* Gives a call up; it is told nothing any more. */
-void sto_cancel(struct sto_call *call)
+void sto_cancel_call(struct sto_call *call)
 {
 	hc_cancel(call->call);
 	evbuffer_free(call->body);
@@ -178,8 +180,8 @@
 		return;
 	jlog(LOG_PF_RETURNED, "\"store\":\"%s\",\"from\":%lld,\"to\":%lld",
 	     sto->address, (long long)from_era, (long long)sto->eras.newest);
-	if (sto->come_back)
-		sto->come_back(sto);
+	if (sto->on_restored)
+		sto->on_restored(sto);
 }
 
 /* Takes the era of an answer, and tells whether the answer counts. */
@@ -187,8 +189,8 @@
 {
 	int64_t now = clk_boot_us();
 
-	if (call->era < POS_ERA_NONE && now >= sto->bad_era_us) {
-		sto->bad_era_us = now + STO_BAD_ERA_US;
+	if (call->era < POS_ERA_NONE && now >= sto->bad_era_log_us) {
+		sto->bad_era_log_us = now + STO_BAD_ERA_US;
 		jlog(LOG_PF_ERA_BAD, "\"store\":\"%s\"", sto->address);
 	}
 	return pos_take_era(&sto->eras, call->sent_era, call->era);
--- a/src/sto.h
+++ b/src/sto.h
@@ -32,13 +32,13 @@
 
 /* What a follower is told; all but fresh come in the order of the store. */
 struct sto_follow_ops {
-	void (*begin)(void *user); /* a whole list follows */
+	void (*list_begin)(void *user); /* a whole list follows */
 	void (*item)(void *user, const struct wire_item *item);
-	void (*end)(void *user); /* the list is whole */
+	void (*list_end)(void *user); /* the list is whole */
 	/* What was told so far was the newest at sent_us. */
-	void (*fresh)(void *user, int64_t sent_us);
+	void (*confirmed)(void *user, int64_t sent_us);
 	/* The store has come back from an older copy; a list follows. */
-	void (*returned)(void *user);
+	void (*restored)(void *user);
 	/* reachable: a call was answered after some that were not. */
 	void (*reachable)(void *user, bool reachable);
 };
@@ -46,7 +46,7 @@
 struct sto_follow_settings {
 	const char *prefix;
 	int64_t wait_ms;      /* that one watch stays open */
-	int64_t gather_us;    /* from a change to the next watch */
+	int64_t coalesce_us;  /* from a change to the next watch */
 	int64_t retry_max_us; /* between two tries while nothing answers */
 	const struct sto_follow_ops *ops;
 	void *user;
@@ -65,8 +65,10 @@
 int64_t sto_era(const struct sto *sto);
 
 /* Each call is told its result exactly once, later. */
-void sto_lease(struct sto *sto, int64_t ttl_ms, sto_done_fn done, void *user);
-void sto_keep(struct sto *sto, int64_t lease, sto_done_fn done, void *user);
+void sto_create_lease(struct sto *sto, int64_t ttl_ms, sto_done_fn done,
+		      void *user);
+void sto_renew_lease(struct sto *sto, int64_t lease, sto_done_fn done,
+		     void *user);
 void sto_end_lease(struct sto *sto, int64_t lease, sto_done_fn done,
 		   void *user);
 /* Writes a key if it still has a revision; 0: if it does not exist. */
@@ -77,15 +79,15 @@
  * Asks how far the store is, which shows that a follower that is as far was
  * told all, and wakes one whose watch has fallen silent.
  */
-void sto_follow_ask(struct sto_follow *follow);
-void sto_follow_retry(struct sto_follow *follow, int64_t retry_max_us);
-void sto_follow_back(struct sto_follow *follow);
-void sto_follow_heard(struct sto_follow *follow, struct pos known);
-void sto_follow_list(struct sto_follow *follow);
+void sto_follow_query(struct sto_follow *follow);
+void sto_follow_set_retry_max(struct sto_follow *follow, int64_t retry_max_us);
+void sto_follow_retry_now(struct sto_follow *follow);
+void sto_follow_learn_pos(struct sto_follow *follow, struct pos known);
+void sto_follow_relist(struct sto_follow *follow);
 struct pos sto_follow_pos(const struct sto_follow *follow);
 
-int sto_read_lease(const char *body, size_t len, int64_t *lease,
-		   int64_t *ttl_ms);
+int sto_parse_lease(const char *body, size_t len, int64_t *lease,
+		    int64_t *ttl_ms);
 
 int sto_follow(struct sto *sto, const struct sto_follow_settings *settings,
 	       struct sto_follow **out);
--- a/src/sto_follow.c
+++ b/src/sto_follow.c
@@ -87,15 +87,15 @@
 	follow->sto = sto;
 	strncpy(follow->prefix, settings->prefix, sizeof(follow->prefix) - 1);
 	follow->wait_ms = settings->wait_ms;
-	follow->gather_us = settings->gather_us;
+	follow->gather_us = settings->coalesce_us;
 	follow->retry_max_us = settings->retry_max_us;
 	follow->ops = settings->ops;
 	follow->user = settings->user;
 	follow->at.era = POS_ERA_NONE;
 	follow->reported.era = POS_ERA_NONE;
 	follow->known.era = POS_ERA_NONE;
-	cds_list_add_tail(&follow->node, &sto->follows);
-	sto->come_back = sto_come_back;
+	cds_list_add_tail(&follow->node, &sto->followers);
+	sto->on_restored = sto_come_back;
 	sto_list(follow);
 	if (out)
 		*out = follow;
@@ -107,7 +107,7 @@
 {
 	struct sto_follow *follow;
 
-	cds_list_for_each_entry (follow, &sto->follows, node) {
+	cds_list_for_each_entry (follow, &sto->followers, node) {
 		if (sto_is_deaf(follow, now))
 			sto_give_up(follow);
 		if (follow->state != STO_PAUSING || now < follow->retry_us)
@@ -128,8 +128,8 @@
 	if (!follow->after[0])
 		follow->list_sent_us = follow->sent_us;
 	pl_store_range(path, follow->prefix, follow->after);
-	follow->call = sto_start(follow->sto, "GET", path, NULL, 0, sto_listed,
-				 follow);
+	follow->call = sto_send_call(follow->sto, "GET", path, NULL, 0,
+				     sto_listed, follow);
 }
 
 static void sto_watch(struct sto_follow *follow)
@@ -147,8 +147,9 @@
 	follow->behind_us = 0;
 	follow->sent_us = clk_boot_us();
 	pl_store_watch(path, follow->prefix, follow->at.revision, wait_ms);
-	follow->call = sto_start(follow->sto, "GET", path, NULL,
-				 wait_ms * MAG_US_PER_MS, sto_watched, follow);
+	follow->call =
+		sto_send_call(follow->sto, "GET", path, NULL,
+			      wait_ms * MAG_US_PER_MS, sto_watched, follow);
 }
 
 /* A page of the list has come, or has not. */
@@ -168,7 +169,7 @@
 	if (!follow->after[0]) {
 		/* Pages are no snapshot: watch from before the first one. */
 		follow->list_revision = items.revision;
-		follow->ops->begin(follow->user);
+		follow->ops->list_begin(follow->user);
 	}
 	sto_tell(follow, &items);
 	if (items.more && items.count > 0) {
@@ -182,8 +183,8 @@
 	follow->after[0] = '\0';
 	follow->at =
 		(struct pos){ sto_era(follow->sto), follow->list_revision };
-	follow->ops->end(follow->user);
-	follow->ops->fresh(follow->user, follow->list_sent_us);
+	follow->ops->list_end(follow->user);
+	follow->ops->confirmed(follow->user, follow->list_sent_us);
 	sto_compare(follow);
 	sto_watch(follow);
 }
@@ -211,7 +212,7 @@
 	if (items.revision > follow->at.revision)
 		follow->at.revision = items.revision;
 	pl_store_items_free(&items);
-	follow->ops->fresh(follow->user, follow->sent_us);
+	follow->ops->confirmed(follow->user, follow->sent_us);
 	sto_compare(follow);
 	if (clk_boot_us() - follow->sent_us < follow->wait_ms * MAG_US_PER_MS) {
 		/* Changes come in bursts; one call takes what gathers. */
@@ -227,7 +228,7 @@
  * The smallest question that the store answers with its revision: what lies
  * behind the last key under a prefix that is a key itself.
  */
-void sto_follow_ask(struct sto_follow *follow)
+void sto_follow_query(struct sto_follow *follow)
 {
 	struct sto_ask *ask = calloc(1, sizeof(*ask));
 	char path[PL_PATH_MAX];
@@ -237,7 +238,7 @@
 	ask->follow = follow;
 	ask->sent_us = clk_boot_us();
 	pl_store_range(path, PL_CONFIG_KEY, PL_CONFIG_KEY);
-	sto_start(follow->sto, "GET", path, NULL, 0, sto_asked, ask);
+	sto_send_call(follow->sto, "GET", path, NULL, 0, sto_asked, ask);
 }
 
 static void sto_asked(void *user, enum sto_result result, const char *body,
@@ -259,8 +260,8 @@
 			(struct pos){ sto_era(follow->sto), items.revision };
 		follow->reported_sent_us = sent_us;
 	}
-	sto_follow_heard(follow,
-			 (struct pos){ sto_era(follow->sto), items.revision });
+	sto_follow_learn_pos(
+		follow, (struct pos){ sto_era(follow->sto), items.revision });
 	pl_store_items_free(&items);
 	sto_compare(follow);
 	if (follow->failures > 0)
@@ -272,14 +273,14 @@
 {
 	if (follow->reported_sent_us && follow->state != STO_LISTING &&
 	    pos_compare(follow->at, follow->reported) >= 0)
-		follow->ops->fresh(follow->user, follow->reported_sent_us);
+		follow->ops->confirmed(follow->user, follow->reported_sent_us);
 }
 
 /*
  * Another one, or an answer, has shown that the store has a position.  Of a
  * new era the store itself is asked: a peer's word proves nothing.
  */
-void sto_follow_heard(struct sto_follow *follow, struct pos known)
+void sto_follow_learn_pos(struct sto_follow *follow, struct pos known)
 {
 	bool new_era = known.era > follow->known.era &&
 		       known.era > sto_era(follow->sto);
@@ -288,11 +289,11 @@
 		return;
 	follow->known = known;
 	if (new_era && sto_era(follow->sto) != POS_ERA_NONE)
-		sto_follow_ask(follow);
+		sto_follow_query(follow);
 }
 
 /* Reads all again, soon. */
-void sto_follow_list(struct sto_follow *follow)
+void sto_follow_relist(struct sto_follow *follow)
 {
 	sto_drop_call(follow);
 	follow->after[0] = '\0';
@@ -309,23 +310,23 @@
 {
 	struct sto_follow *follow;
 
-	cds_list_for_each_entry (follow, &sto->follows, node) {
+	cds_list_for_each_entry (follow, &sto->followers, node) {
 		follow->at = (struct pos){ sto_era(sto), 0 };
 		follow->reported_sent_us = 0;
-		if (follow->ops->returned)
-			follow->ops->returned(follow->user);
-		sto_follow_list(follow);
+		if (follow->ops->restored)
+			follow->ops->restored(follow->user);
+		sto_follow_relist(follow);
 	}
 }
 
 /* Sets the longest pause between two tries while the store does not answer. */
-void sto_follow_retry(struct sto_follow *follow, int64_t retry_max_us)
+void sto_follow_set_retry_max(struct sto_follow *follow, int64_t retry_max_us)
 {
 	follow->retry_max_us = retry_max_us;
 }
 
 /* Another one was answered after an outage: what failed is tried at once. */
-void sto_follow_back(struct sto_follow *follow)
+void sto_follow_retry_now(struct sto_follow *follow)
 {
 	if (follow->failures > 0)
 		sto_wake(follow);
@@ -351,7 +352,7 @@
 	}
 	if (!follow->behind_us)
 		follow->behind_us = now;
-	return now - follow->behind_us > STO_PATIENCE_US;
+	return now - follow->behind_us > STO_ANSWER_TIMEOUT_US;
 }
 
 /*
@@ -397,7 +398,7 @@
 static void sto_drop_call(struct sto_follow *follow)
 {
 	if (follow->call)
-		sto_cancel(follow->call);
+		sto_cancel_call(follow->call);
 	follow->call = NULL;
 }
 
