--- a/regress/check_era.c
+++ b/regress/check_era.c
@@ -25,7 +25,7 @@
 			? ", the store came back"
 			: "");
 	if (before != POS_ERA_NONE && eras.newest != before)
-		era_returned(&era, now);
+		era_store_restored(&era, now);
 }
 
 /* "behind ERA REVISION ERA REVISION" */
@@ -49,10 +49,10 @@
 static void show(FILE *out)
 {
 	fprintf(out, "%s, %s, %s\n",
-		era_is_news(&era, now) ? "the store's word is news"
-				       : "the store's word may be old",
+		era_is_authoritative(&era, now) ? "the store's word is news"
+						: "the store's word may be old",
 		era.settling ? "settling" : "settled",
-		era_may_begin(&era, eras.newest != POS_ERA_NONE, now)
+		era_may_use_config(&era, eras.newest != POS_ERA_NONE, now)
 			? "may begin"
 			: "waits for peers");
 }
@@ -77,15 +77,15 @@
 		else if (sscanf(line, "after %lld", &a) == 1)
 			now += a * MAG_US_PER_MS;
 		else if (strncmp(line, "peer", 4) == 0)
-			era.peers_heard = true;
+			era.peer_message_seen = true;
 		else if (strncmp(line, "config", 6) == 0)
 			era.config_written = true;
 		else if (strncmp(line, "ends", 4) == 0)
 			fprintf(out, "%s\n",
-				era_ends(&era, now) ? "read all" : "no");
+				era_relist_due(&era, now) ? "read all" : "no");
 		else if (strncmp(line, "listed", 6) == 0)
 			fprintf(out, "%s\n",
-				era_settled(&era) ? "as it stands" : "no");
+				era_list_done(&era) ? "as it stands" : "no");
 		else if (strncmp(line, "show", 4) == 0)
 			show(out);
 	}
--- a/src/edge.c
+++ b/src/edge.c
@@ -128,8 +128,8 @@
 	if (edge->attest.fresh_us)
 		return true;
 	return edge->rt->version >= edge->newest_version &&
-	       era_may_begin(&edge->era, sto_era(edge->sto) != POS_ERA_NONE,
-			     now);
+	       era_may_use_config(&edge->era,
+				  sto_era(edge->sto) != POS_ERA_NONE, now);
 }
 
 /*
--- a/src/edge_follow.c
+++ b/src/edge_follow.c
@@ -80,7 +80,7 @@
 	int routers = 1 + pres_peer_count(edge->pres);
 
 	sto_follow_set_retry_max(edge->follow, attest_retry_us(routers));
-	if (era_ends(&edge->era, now))
+	if (era_relist_due(&edge->era, now))
 		edge_settle(edge);
 	sto_tick(edge->sto, now);
 	if (attest_is_time_to_ask(&edge->attest, routers, now))
@@ -114,7 +114,7 @@
 	struct edge *edge = user;
 	int64_t now = clk_boot_us();
 
-	if (era_settled(&edge->era))
+	if (era_list_done(&edge->era))
 		edge_log_settled(edge, now);
 	wk_list_end(&edge->workers, edge_gone_us(edge, now), now);
 	edge->workers_listed = true;
@@ -131,7 +131,8 @@
 	int64_t before_us = edge->attest.fresh_us;
 	int64_t now = clk_boot_us();
 
-	if (!era_is_news(&edge->era, sent_us) || !edge_has_config(edge, now) ||
+	if (!era_is_authoritative(&edge->era, sent_us) ||
+	    !edge_has_config(edge, now) ||
 	    edge->rt->version < edge->newest_version)
 		return;
 	attest_from_store(&edge->attest, sent_us);
@@ -227,7 +228,7 @@
 	int64_t now = clk_boot_us();
 
 	met_add(&edge->met, MET_RETURNS);
-	era_returned(&edge->era, now);
+	era_store_restored(&edge->era, now);
 	wk_returned(&edge->workers, now);
 	pres_returned(edge->pres, now);
 	hint_soon(edge->hint, now);
@@ -244,12 +245,12 @@
 /* All is read again; what is missing from the list is gone. */
 static void edge_log_settled(struct edge *edge, int64_t now)
 {
-	met_time(&edge->met, MET_RECOVERY, now - edge->era.returned_us);
+	met_time(&edge->met, MET_RECOVERY, now - edge->era.restored_us);
 	jlog(LOG_PF_SETTLED,
 	     "\"era\":%lld,\"took_ms\":%d,\"workers_gone\":%d,"
 	     "\"peers_gone\":%d,\"config\":%lld,\"config_in_store\":%lld",
 	     (long long)sto_era(edge->sto),
-	     (int)((now - edge->era.returned_us) / MAG_US_PER_MS),
+	     (int)((now - edge->era.restored_us) / MAG_US_PER_MS),
 	     wk_missing(&edge->workers), pres_missing(edge->pres),
 	     edge->rt ? (long long)edge->rt->version : -1LL,
 	     (long long)edge->listed_version);
--- a/src/era.h
+++ b/src/era.h
@@ -21,23 +21,23 @@
  * A router that starts hears for so long at most whether others know a newer
  * configuration than the store.
  */
-#define ERA_PEERS_US (1200 * MAG_US_PER_MS)
+#define ERA_PEER_WAIT_US (1200 * MAG_US_PER_MS)
 
 struct era {
-	int64_t returned_us; /* the return was seen then; 0: never */
-	int64_t settled_us;  /* all have written again by then */
-	bool settling;	     /* no whole list was read since */
-	bool reading;	     /* that list was asked for */
-	bool config_written; /* the operator has written since */
-	int64_t started_us;  /* of this process */
-	bool peers_heard;    /* since then */
+	int64_t restored_us;	/* the return was seen then; 0: never */
+	int64_t settled_us;	/* all have written again by then */
+	bool settling;		/* no whole list was read since */
+	bool relisting;		/* that list was asked for */
+	bool config_written;	/* the operator has written since */
+	int64_t started_us;	/* of this process */
+	bool peer_message_seen; /* since then */
 };
 
 void era_start(struct era *era, int64_t now);
-void era_returned(struct era *era, int64_t now);
-bool era_ends(struct era *era, int64_t now);
-bool era_settled(struct era *era);
-bool era_is_news(const struct era *era, int64_t at_us);
-bool era_may_begin(const struct era *era, bool has_eras, int64_t now);
+void era_store_restored(struct era *era, int64_t now);
+bool era_relist_due(struct era *era, int64_t now);
+bool era_list_done(struct era *era);
+bool era_is_authoritative(const struct era *era, int64_t at_us);
+bool era_may_use_config(const struct era *era, bool has_eras, int64_t now);
 
 #endif /* ERA_H */
--- a/src/hint.c
+++ b/src/hint.c
@@ -369,7 +369,7 @@
 	memcpy(peer->limits, message->limits,
 	       message->limit_count * sizeof(message->limits[0]));
 	sto_follow_learn_pos(edge->follow, message->at);
-	edge->era.peers_heard = true;
+	edge->era.peer_message_seen = true;
 	if (message->claim.version > edge->newest_version)
 		edge->newest_version = message->claim.version;
 	if (message->at.era == sto_era(edge->sto))
