--- a/regress/check_era.c
+++ b/regress/check_era.c
@@ -17,7 +17,7 @@
 static void answer(FILE *out, long long sent, long long named)
 {
 	int64_t before = eras.newest;
-	bool counts = pos_take_era(&eras, sent, named);
+	bool counts = pos_accept_era(&eras, sent, named);
 
 	fprintf(out, "%s, era %lld%s\n", counts ? "counts" : "is lost",
 		(long long)eras.newest,
--- a/src/pos.c
+++ b/src/pos.c
@@ -23,14 +23,14 @@
  * call that was sent when another era was the newest: its condition may have
  * held by chance, and what it did may be gone.
  */
-bool pos_take_era(struct pos_eras *eras, int64_t sent, int64_t named)
+bool pos_accept_era(struct pos_eras *eras, int64_t sent, int64_t named)
 {
 	if (named < POS_ERA_NONE || named < eras->newest)
 		return false;
 	if (named > eras->newest) {
-		eras->returned = eras->newest != POS_ERA_NONE;
+		eras->increased = eras->newest != POS_ERA_NONE;
 		eras->newest = named;
 	}
 	return sent == eras->newest ||
-	       (sent == POS_ERA_NONE && !eras->returned);
+	       (sent == POS_ERA_NONE && !eras->increased);
 }
--- a/src/pos.h
+++ b/src/pos.h
@@ -21,10 +21,10 @@
 /* The eras that a client of the store has seen. */
 struct pos_eras {
 	int64_t newest; /* POS_ERA_NONE: none was named */
-	bool returned;	/* it has risen since the first one */
+	bool increased; /* it has risen since the first one */
 };
 
-bool pos_take_era(struct pos_eras *eras, int64_t sent, int64_t named);
+bool pos_accept_era(struct pos_eras *eras, int64_t sent, int64_t named);
 int pos_compare(struct pos a, struct pos b);
 bool pos_is_behind(struct pos at, struct pos known);
 
--- a/src/sto.c
+++ b/src/sto.c
@@ -193,7 +193,7 @@
 		sto->bad_era_log_us = now + STO_BAD_ERA_US;
 		jlog(LOG_PF_ERA_BAD, "\"store\":\"%s\"", sto->address);
 	}
-	return pos_take_era(&sto->eras, call->sent_era, call->era);
+	return pos_accept_era(&sto->eras, call->sent_era, call->era);
 }
 
 /* Returns the newest era that the store has named, or POS_ERA_NONE. */
