--- a/src/edge_follow.c
+++ b/src/edge_follow.c
@@ -93,7 +93,7 @@
 	struct edge *edge = user;
 
 	wk_list_begin(&edge->workers);
-	pres_begin(edge->pres);
+	pres_list_begin(edge->pres);
 }
 
 /* Hands a key to the module that it belongs to. */
@@ -118,7 +118,7 @@
 		edge_log_settled(edge, now);
 	wk_list_end(&edge->workers, edge_gone_us(edge, now), now);
 	edge->workers_listed = true;
-	pres_end(edge->pres);
+	pres_list_end(edge->pres);
 }
 
 /*
@@ -230,7 +230,7 @@
 	met_add(&edge->met, MET_RETURNS);
 	era_store_restored(&edge->era, now);
 	wk_returned(&edge->workers, now);
-	pres_returned(edge->pres, now);
+	pres_store_restored(edge->pres, now);
 	hint_soon(edge->hint, now);
 }
 
@@ -238,7 +238,7 @@
 static void edge_settle(struct edge *edge)
 {
 	wk_settled(&edge->workers);
-	pres_settled(edge->pres);
+	pres_store_settled(edge->pres);
 	sto_follow_relist(edge->follow);
 }
 
@@ -251,7 +251,7 @@
 	     "\"peers_gone\":%d,\"config\":%lld,\"config_in_store\":%lld",
 	     (long long)sto_era(edge->sto),
 	     (int)((now - edge->era.restored_us) / MAG_US_PER_MS),
-	     wk_missing(&edge->workers), pres_missing(edge->pres),
+	     wk_missing(&edge->workers), pres_missing_count(edge->pres),
 	     edge->rt ? (long long)edge->rt->version : -1LL,
 	     (long long)edge->listed_version);
 }
--- a/src/pres.c
+++ b/src/pres.c
@@ -139,7 +139,7 @@
  * under it.  Nobody stands before the title of one that does not know of the
  * return has ended.
  */
-void pres_returned(struct pres *pres, int64_t now)
+void pres_store_restored(struct pres *pres, int64_t now)
 {
 	uint64_t spread =
 		(uint64_t)PRES_AGAIN_EACH_US * (uint64_t)(pres->peer_count + 1);
@@ -158,13 +158,13 @@
 }
 
 /* All have written again: who is missing from the next list is gone. */
-void pres_settled(struct pres *pres)
+void pres_store_settled(struct pres *pres)
 {
 	pres->settling = false;
 }
 
 /* Returns how many peers the list that was read last lacks. */
-int pres_missing(const struct pres *pres)
+int pres_missing_count(const struct pres *pres)
 {
 	int missing = 0;
 	int i;
@@ -326,7 +326,7 @@
 }
 
 /* A whole list of the keys begins. */
-void pres_begin(struct pres *pres)
+void pres_list_begin(struct pres *pres)
 {
 	memset(pres->seen, 0, PRES_PEERS_MAX * sizeof(*pres->seen));
 	pres->placer[0] = '\0';
@@ -359,7 +359,7 @@
 }
 
 /* The list is whole: peers that it lacks are gone. */
-void pres_end(struct pres *pres)
+void pres_list_end(struct pres *pres)
 {
 	int i;
 
--- a/src/pres.h
+++ b/src/pres.h
@@ -31,12 +31,12 @@
 		      uint64_t incarnation);
 void pres_free(struct pres *pres);
 /* What the store's keys under PRES_PREFIX hold; from the one follower. */
-void pres_begin(struct pres *pres);
+void pres_list_begin(struct pres *pres);
 void pres_item(struct pres *pres, const struct wire_item *item);
-void pres_end(struct pres *pres);
-void pres_returned(struct pres *pres, int64_t now);
-void pres_settled(struct pres *pres);
-int pres_missing(const struct pres *pres);
+void pres_list_end(struct pres *pres);
+void pres_store_restored(struct pres *pres, int64_t now);
+void pres_store_settled(struct pres *pres);
+int pres_missing_count(const struct pres *pres);
 void pres_tick(struct pres *pres, int64_t now);
 void pres_leave(struct pres *pres);
 bool pres_is_placer(const struct pres *pres, int64_t now);
