--- a/regress/check_hint.c
+++ b/regress/check_hint.c
@@ -52,7 +52,7 @@
 {
 	static struct hint_message message;
 	char bytes[HINT_BYTES_MAX];
-	uint32_t parts = hint_load_parts(&given[peer]);
+	uint32_t parts = hint_load_part_count(&given[peer]);
 	uint32_t part;
 	size_t len;
 
@@ -68,7 +68,7 @@
 		if (hint_msg_decode(&message, bytes, len))
 			fprintf(out, "part %u cannot be read\n", part);
 		else
-			hint_load_take(&peers[peer], &message);
+			hint_load_receive(&peers[peer], &message);
 	}
 	fprintf(out, "%u parts\n", parts);
 }
@@ -85,7 +85,7 @@
 	memset(message.name, 'n', sizeof(message.name) - 1);
 	message.part_count = 1;
 	message.load_count = HINT_LOADS_MAX;
-	message.news_count = HINT_NEWS_MAX;
+	message.crash_count = HINT_CRASHES_MAX;
 	message.suspect_count = HINT_SUSPECTS_MAX;
 	message.limit_count = HINT_LIMITS_MAX;
 	message.limits[HINT_LIMITS_MAX - 1] =
@@ -108,7 +108,7 @@
 	const struct wk *wk;
 	int i;
 
-	if (hint_load_begin(&index, &table))
+	if (hint_load_index_workers(&index, &table))
 		return;
 	for (i = 0; i < PEERS_MAX; i++)
 		hint_load_add(&index, &peers[i], 1);
--- a/regress/check_thr.c
+++ b/regress/check_thr.c
@@ -63,7 +63,7 @@
 			 "w-1");
 		strcpy(routers[i].wk.is.data_centre, "a");
 		routers[i].self.id = (uint32_t)(i * 7919 + 1);
-		routers[i].self.centre = hint_load_hash("a");
+		routers[i].self.data_centre = hint_load_hash("a");
 		routers[i].hint_us = now + HINT_US * i / count;
 	}
 }
@@ -79,7 +79,8 @@
 			known[n++] = routers[r].self;
 		else if (routers[r].heard_us[i])
 			known[n++] = (struct hint_router){
-				routers[i].self.id, routers[r].heard[i].centre,
+				routers[i].self.id,
+				routers[r].heard[i].data_centre,
 				(double)routers[r].heard[i].demand
 			};
 	}
@@ -100,7 +101,7 @@
 	routers[r].hint_us += HINT_US;
 	routers[r].self.demand = routers[r].rate;
 	memset(&message, 0, sizeof(message));
-	message.centre = routers[r].self.centre;
+	message.data_centre = routers[r].self.data_centre;
 	message.demand = (uint32_t)routers[r].self.demand;
 	hint_limit_collect(&routers[r].table, now, &turn, &message);
 	for (i = 0; i < count; i++) {
@@ -109,7 +110,7 @@
 		routers[i].heard[r] = message;
 		routers[i].heard_us[r] = now;
 	}
-	hint_load_begin(&index, &routers[r].table);
+	hint_load_index_workers(&index, &routers[r].table);
 	for (i = 0; i < count; i++)
 		hint_limit_add(&index, routers[r].heard[i].limits,
 			       routers[r].heard[i].limit_count,
--- a/regress/tool_peers.c
+++ b/regress/tool_peers.c
@@ -17,7 +17,7 @@
 {
 	static struct hint_message message = {
 		.part_count = 1,
-		.at = { POS_ERA_NONE, 0 },
+		.store_pos = { POS_ERA_NONE, 0 },
 	};
 	struct sockaddr_in addr = { .sin_family = AF_INET };
 	int fd = socket(AF_INET, SOCK_DGRAM, 0);
--- a/src/edge_follow.c
+++ b/src/edge_follow.c
@@ -137,7 +137,7 @@
 		return;
 	attest_from_store(&edge->attest, sent_us);
 	if (edge->attest.fresh_us - before_us >= EDGE_ANNOUNCE_US)
-		hint_soon(edge->hint, clk_boot_us());
+		hint_send_soon(edge->hint, clk_boot_us());
 }
 
 /* Takes a newer configuration; an older one never comes back. */
@@ -231,7 +231,7 @@
 	era_store_restored(&edge->era, now);
 	wk_returned(&edge->workers, now);
 	pres_store_restored(edge->pres, now);
-	hint_soon(edge->hint, now);
+	hint_send_soon(edge->hint, now);
 }
 
 /* All have written again by now: the next list is taken as it stands. */
--- a/src/hint.c
+++ b/src/hint.c
@@ -109,7 +109,7 @@
 		return HINT_E_MEMORY;
 	hint->edge = edge;
 	hint->self.id = hint_load_hash(edge->set.instance);
-	hint->self.centre = hint_load_hash(edge->set.data_centre);
+	hint->self.data_centre = hint_load_hash(edge->set.data_centre);
 	hint->peers = calloc(HINT_ROUTERS_MAX, sizeof(*hint->peers));
 	hint->fd =
 		socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -164,7 +164,7 @@
  * Lets the next messages go at once: what the store has just shown here spares
  * the other routers of the data centre a call of their own.
  */
-void hint_soon(struct hint *hint, int64_t now)
+void hint_send_soon(struct hint *hint, int64_t now)
 {
 	hint->next_us = now;
 }
@@ -248,7 +248,7 @@
 
 	message->claim.session = peer ? peer->session : 0;
 	message->claim.echo_us = peer ? peer->stamp_us : 0;
-	for (part = 0; part < hint_load_parts(&hint->own); part++) {
+	for (part = 0; part < hint_load_part_count(&hint->own); part++) {
 		hint_load_fill(&hint->own, part, message);
 		if (hint_msg_encode(message, bytes, &len))
 			return;
@@ -289,15 +289,15 @@
 	mag_copy_name(message->name, sizeof(message->name), edge->set.instance);
 	message->ready = edge_is_ready(edge, now);
 	message->session = edge->attest.session;
-	message->stamp_us = now;
-	message->at = sto_follow_pos(edge->follow);
+	message->sent_us = now;
+	message->store_pos = sto_follow_pos(edge->follow);
 	attest_make(&edge->attest, edge->rt ? edge->rt->version : -1, now,
 		    &message->claim);
 	hint_load_collect(&edge->workers, now, &hint->own);
-	message->centre = hint->self.centre;
+	message->data_centre = hint->self.data_centre;
 	message->demand = (uint32_t)(hint->self.demand * HINT_DEMAND_S);
 	hint_limit_collect(&edge->workers, now, &hint->limit_turn, message);
-	message->news_count = 0;
+	message->crash_count = 0;
 	message->suspect_count = 0;
 	cds_list_for_each_entry (wk, &edge->workers.workers, node) {
 		if (wk->announced_us &&
@@ -312,13 +312,14 @@
 static void hint_collect_news(struct hint *hint, struct hint_message *message)
 {
 	struct quar *quar = hint->edge->quar;
-	struct hint_news *news = message->news;
+	struct hint_crash *news = message->crashes;
 	int64_t until_us;
 
-	while (message->news_count < HINT_NEWS_MAX &&
-	       quar_next_news(quar, news[message->news_count].print,
-			      &news[message->news_count].lost, &until_us))
-		message->news_count++;
+	while (message->crash_count < HINT_CRASHES_MAX &&
+	       quar_next_news(quar, news[message->crash_count].fingerprint,
+			      &news[message->crash_count].endpoints_lost,
+			      &until_us))
+		message->crash_count++;
 }
 
 static void hint_readable(evutil_socket_t fd, short what, void *arg)
@@ -359,27 +360,27 @@
 	peer->heard_us = now;
 	peer->from = *from;
 	peer->session = message->session;
-	peer->stamp_us = message->stamp_us;
+	peer->stamp_us = message->sent_us;
 	peer->ready = message->ready != 0;
-	hint_load_take(&peer->loads, message);
+	hint_load_receive(&peer->loads, message);
 	peer->router.id = hint_load_hash(peer->name);
-	peer->router.centre = message->centre;
+	peer->router.data_centre = message->data_centre;
 	peer->router.demand = (double)message->demand / HINT_DEMAND_S;
 	peer->limit_count = message->limit_count;
 	memcpy(peer->limits, message->limits,
 	       message->limit_count * sizeof(message->limits[0]));
-	sto_follow_learn_pos(edge->follow, message->at);
+	sto_follow_learn_pos(edge->follow, message->store_pos);
 	edge->era.peer_message_seen = true;
 	if (message->claim.version > edge->newest_version)
 		edge->newest_version = message->claim.version;
-	if (message->at.era == sto_era(edge->sto))
+	if (message->store_pos.era == sto_era(edge->sto))
 		hint_take_attestation(edge, &message->claim, now);
 	for (k = 0; k < message->suspect_count; k++)
 		hint_suspect(hint, message->suspects[k], message->name, now);
-	for (k = 0; k < message->news_count; k++)
-		quar_learn(hint->edge->quar, message->news[k].print,
-			   message->news[k].lost, now + HINT_QUARANTINE_US,
-			   now);
+	for (k = 0; k < message->crash_count; k++)
+		quar_learn(hint->edge->quar, message->crashes[k].fingerprint,
+			   message->crashes[k].endpoints_lost,
+			   now + HINT_QUARANTINE_US, now);
 	if (is_new)
 		hint_greet(hint, peer);
 }
@@ -450,7 +451,7 @@
 	const struct hint_peer *peer;
 	int i;
 
-	if (hint_load_begin(&hint->index, &hint->edge->workers))
+	if (hint_load_index_workers(&hint->index, &hint->edge->workers))
 		return;
 	for (i = 0; i < hint->peer_count; i++) {
 		peer = &hint->peers[i];
@@ -500,7 +501,8 @@
 }
 
 /* Returns this router's part of the limit that a worker names. */
-double hint_part(const struct hint *hint, const struct wk *wk, int64_t now)
+double hint_own_limit_part(const struct hint *hint, const struct wk *wk,
+			   int64_t now)
 {
 	int count;
 	const struct hint_router *routers = hint_routers(hint, now, &count);
--- a/src/hint_limit.c
+++ b/src/hint_limit.c
@@ -67,11 +67,11 @@
 	int i;
 
 	for (i = 0; i < count; i++)
-		found += routers[i].centre == centre;
+		found += routers[i].data_centre == centre;
 	all = found == 0;
 	found = 0;
 	for (i = 0; i < count && found <= HINT_ROUTERS_MAX; i++) {
-		if (all || routers[i].centre == centre)
+		if (all || routers[i].data_centre == centre)
 			members[found++] =
 				(struct thr_member){ routers[i].id,
 						     routers[i].demand };
--- a/src/hint_limit.h
+++ b/src/hint_limit.h
@@ -15,9 +15,9 @@
 
 /* A router that was heard, or this one. */
 struct hint_router {
-	uint32_t id;	 /* hash of its name */
-	uint32_t centre; /* hash of its data centre's name */
-	double demand;	 /* requests a second of its callers */
+	uint32_t id;	      /* hash of its name */
+	uint32_t data_centre; /* hash of its data centre's name */
+	double demand;	      /* requests a second of its callers */
 };
 
 void hint_limit_collect(const struct wk_table *table, int64_t now, int *turn,
--- a/src/hint_load.c
+++ b/src/hint_load.c
@@ -41,7 +41,7 @@
 
 /* Returns how many datagrams it takes to tell a load; an empty one takes one.
  */
-uint32_t hint_load_parts(const struct hint_loads *own)
+uint32_t hint_load_part_count(const struct hint_loads *own)
 {
 	if (own->count == 0)
 		return 1;
@@ -58,15 +58,15 @@
 	if (count > HINT_LOADS_MAX)
 		count = HINT_LOADS_MAX;
 	message->part = part;
-	message->part_count = hint_load_parts(own);
+	message->part_count = hint_load_part_count(own);
 	message->load_count = count;
 	memcpy(message->loads, &own->loads[first],
 	       count * sizeof(message->loads[0]));
 }
 
 /* Takes a part of a peer's load; parts that are lost stay as they were. */
-void hint_load_take(struct hint_peer_loads *peer,
-		    const struct hint_message *message)
+void hint_load_receive(struct hint_peer_loads *peer,
+		       const struct hint_message *message)
 {
 	uint32_t part;
 
@@ -82,7 +82,8 @@
  * Clears what peers hold of each worker, and what they cannot have counted
  * yet, and indexes the workers by hash.
  */
-int hint_load_begin(struct hint_index *index, const struct wk_table *table)
+int hint_load_index_workers(struct hint_index *index,
+			    const struct wk_table *table)
 {
 	struct hint_slot *slots;
 	struct wk *wk;
@@ -177,7 +178,7 @@
 
 	for (; slot && slot < end && slot->hash == load->worker; slot++) {
 		slot->wk->peer_held += (double)load->held;
-		slot->wk->peer_firsts += (int)load->firsts;
+		slot->wk->peer_firsts += (int)load->first_stage_requests;
 		hint_take_slowdown(slot->wk, load, heard_us);
 	}
 }
--- a/src/hint_load.h
+++ b/src/hint_load.h
@@ -47,12 +47,13 @@
 
 void hint_load_collect(const struct wk_table *table, int64_t now,
 		       struct hint_loads *own);
-uint32_t hint_load_parts(const struct hint_loads *own);
+uint32_t hint_load_part_count(const struct hint_loads *own);
 void hint_load_fill(const struct hint_loads *own, uint32_t part,
 		    struct hint_message *message);
-void hint_load_take(struct hint_peer_loads *peer,
-		    const struct hint_message *message);
-int hint_load_begin(struct hint_index *index, const struct wk_table *table);
+void hint_load_receive(struct hint_peer_loads *peer,
+		       const struct hint_message *message);
+int hint_load_index_workers(struct hint_index *index,
+			    const struct wk_table *table);
 void hint_load_add(const struct hint_index *index,
 		   const struct hint_peer_loads *peer, int64_t heard_us);
 const struct hint_slot *hint_load_find(const struct hint_index *index,
--- a/src/hint_msg.c
+++ b/src/hint_msg.c
@@ -59,13 +59,13 @@
 	    !xdr_string(xdr, &name, MAG_NAME_MAX - 1) ||
 	    !xdr_uint32_t(xdr, &message->ready) ||
 	    !hint_msg_claim(xdr, message) || !hint_msg_loads(xdr, message) ||
-	    !xdr_uint32_t(xdr, &message->news_count) ||
-	    message->news_count > HINT_NEWS_MAX)
+	    !xdr_uint32_t(xdr, &message->crash_count) ||
+	    message->crash_count > HINT_CRASHES_MAX)
 		return FALSE;
-	for (i = 0; i < message->news_count; i++) {
-		if (!xdr_opaque(xdr, (char *)message->news[i].print,
+	for (i = 0; i < message->crash_count; i++) {
+		if (!xdr_opaque(xdr, (char *)message->crashes[i].fingerprint,
 				MAG_DIGEST_BYTES) ||
-		    !xdr_uint32_t(xdr, &message->news[i].lost))
+		    !xdr_uint32_t(xdr, &message->crashes[i].endpoints_lost))
 			return FALSE;
 	}
 	if (!xdr_uint32_t(xdr, &message->suspect_count) ||
@@ -84,9 +84,9 @@
 	struct attest_claim *claim = &message->claim;
 
 	return xdr_uint32_t(xdr, &message->session) &&
-	       xdr_int64_t(xdr, &message->stamp_us) &&
-	       xdr_int64_t(xdr, &message->at.era) &&
-	       xdr_int64_t(xdr, &message->at.revision) &&
+	       xdr_int64_t(xdr, &message->sent_us) &&
+	       xdr_int64_t(xdr, &message->store_pos.era) &&
+	       xdr_int64_t(xdr, &message->store_pos.revision) &&
 	       xdr_uint32_t(xdr, &claim->session) &&
 	       xdr_int64_t(xdr, &claim->echo_us) &&
 	       xdr_int64_t(xdr, &claim->age_us) &&
@@ -117,19 +117,19 @@
 	uint32_t packed = 0;
 
 	if (xdr->x_op == XDR_ENCODE) {
-		packed =
-			hint_msg_round(load->held, HINT_HELD_UNIT,
-				       HINT_HELD_MOST)
-				<< 16 |
-			hint_msg_round((float)load->firsts, 1, HINT_FIRSTS_MOST)
-				<< 8 |
-			hint_msg_round(load->slowdown, HINT_SLOWDOWN_UNIT,
-				       HINT_SLOWDOWN_MOST);
+		packed = hint_msg_round(load->held, HINT_HELD_UNIT,
+					HINT_HELD_MOST)
+				 << 16 |
+			 hint_msg_round((float)load->first_stage_requests, 1,
+					HINT_FIRSTS_MOST)
+				 << 8 |
+			 hint_msg_round(load->slowdown, HINT_SLOWDOWN_UNIT,
+					HINT_SLOWDOWN_MOST);
 	}
 	if (!xdr_uint32_t(xdr, &load->worker) || !xdr_uint32_t(xdr, &packed))
 		return FALSE;
 	load->held = (float)(packed >> 16) * HINT_HELD_UNIT;
-	load->firsts = packed >> 8 & HINT_FIRSTS_MOST;
+	load->first_stage_requests = packed >> 8 & HINT_FIRSTS_MOST;
 	load->slowdown =
 		(float)(packed & HINT_SLOWDOWN_MOST) * HINT_SLOWDOWN_UNIT;
 	return TRUE;
@@ -140,7 +140,7 @@
 {
 	uint32_t i;
 
-	if (!xdr_uint32_t(xdr, &message->centre) ||
+	if (!xdr_uint32_t(xdr, &message->data_centre) ||
 	    !xdr_uint32_t(xdr, &message->demand) ||
 	    !xdr_uint32_t(xdr, &message->limit_count) ||
 	    message->limit_count > HINT_LIMITS_MAX)
--- a/src/hint_msg.h
+++ b/src/hint_msg.h
@@ -14,7 +14,7 @@
 #define HINT_BYTES_MAX	  1400
 #define HINT_LOADS_MAX	  112 /* in one datagram */
 #define HINT_PARTS_MAX	  4   /* datagrams that tell one router's load */
-#define HINT_NEWS_MAX	  4
+#define HINT_CRASHES_MAX  4
 #define HINT_SUSPECTS_MAX 16
 #define HINT_LIMITS_MAX	  16
 #define HINT_ROUTERS_MAX  1024 /* that one router knows */
@@ -26,7 +26,7 @@
 struct hint_load {
 	uint32_t worker; /* hash of its id */
 	float held;	 /* tokens x layers */
-	uint32_t firsts;
+	uint32_t first_stage_requests;
 	float slowdown; /* as learned a moment ago; 0: not known */
 };
 
@@ -41,29 +41,29 @@
 };
 
 /* A request that crashes workers. */
-struct hint_news {
-	uint8_t print[MAG_DIGEST_BYTES];
-	uint32_t lost;
+struct hint_crash {
+	uint8_t fingerprint[MAG_DIGEST_BYTES];
+	uint32_t endpoints_lost;
 };
 
 struct hint_message {
 	char name[MAG_NAME_MAX];
 	uint32_t ready; /* it takes callers and can check their keys */
 	uint32_t session;
-	int64_t stamp_us; /* the sender's clock */
-	struct pos at; /* in the store's history, up to which the sender knows
-			  all */
+	int64_t sent_us;      /* the sender's clock */
+	struct pos store_pos; /* in the store's history, up to which the sender
+			 knows all */
 	struct attest_claim claim;
 	uint32_t part; /* of the sender's load that is in this message */
 	uint32_t part_count;
 	uint32_t load_count;
 	struct hint_load loads[HINT_LOADS_MAX];
-	uint32_t news_count;
-	struct hint_news news[HINT_NEWS_MAX];
+	uint32_t crash_count;
+	struct hint_crash crashes[HINT_CRASHES_MAX];
 	uint32_t suspect_count;
 	uint32_t suspects[HINT_SUSPECTS_MAX]; /* hashes of workers' ids */
-	uint32_t centre; /* hash of the sender's data centre */
-	uint32_t demand; /* requests of its callers in 100 s */
+	uint32_t data_centre; /* hash of the sender's data centre */
+	uint32_t demand;      /* requests of its callers in 100 s */
 	uint32_t limit_count;
 	struct hint_limit limits[HINT_LIMITS_MAX];
 };
--- a/src/wkp.c
+++ b/src/wkp.c
@@ -74,7 +74,8 @@
 	int64_t now = clk_boot_us();
 
 	if (wk_take_limit(wk, &limit, kind, sent_us, now) != THR_SAME)
-		thr_set_part(&wk->thr, hint_part(edge->hint, wk, now), now);
+		thr_set_part(&wk->thr, hint_own_limit_part(edge->hint, wk, now),
+			     now);
 }
 
 /*
