--- a/regress/check_attest.c
+++ b/regress/check_attest.c
@@ -50,7 +50,8 @@
 	const struct router *receiver = &routers[to];
 	struct attest_claim claim;
 
-	attest_make(&sender->attest, sender->version, clock_of(sender), &claim);
+	attest_fill_claim(&sender->attest, sender->version, clock_of(sender),
+			  &claim);
 	claim.session = receiver->attest.session;
 	claim.echo_us = (heard_ms + receiver->clock_ms) * MAG_US_PER_MS;
 	return claim;
@@ -60,8 +61,8 @@
 static void print(FILE *out, int n)
 {
 	const struct router *router = &routers[n];
-	bool trusted = attest_trusted(&router->attest, bound_ms * MAG_US_PER_MS,
-				      clock_of(router));
+	bool trusted = attest_is_trusted(
+		&router->attest, bound_ms * MAG_US_PER_MS, clock_of(router));
 	bool wrong = trusted && router->version < newest &&
 		     now_ms - changed_ms > bound_ms;
 
@@ -119,8 +120,8 @@
 
 	for (; now_ms < end_ms; now_ms += 10) {
 		for (i = 0; i < count; i++) {
-			if (!attest_is_time_to_ask(&routers[i].attest, count,
-						   clock_of(&routers[i])))
+			if (!attest_query_due(&routers[i].attest, count,
+					      clock_of(&routers[i])))
 				continue;
 			asked++;
 			hear_store(i, 0);
@@ -137,8 +138,8 @@
 	int asked = 0;
 
 	for (; now_ms < end_ms; now_ms += 10)
-		asked += attest_is_time_to_ask(&routers[n].attest, 1,
-					       clock_of(&routers[n]));
+		asked += attest_query_due(&routers[n].attest, 1,
+					  clock_of(&routers[n]));
 	fprintf(out, "%d asks\n", asked);
 }
 
@@ -165,11 +166,11 @@
 		lost(out, a, ms);
 	} else if (sscanf(line, "retry %d", &a) == 1) {
 		fprintf(out, "%lld ms\n",
-			(long long)(attest_retry_us(a) / MAG_US_PER_MS));
+			(long long)(attest_retry_max_us(a) / MAG_US_PER_MS));
 	} else if (sscanf(line, "gather %ld %d", &ms, &a) == 2) {
 		fprintf(out, "%lld ms\n",
-			(long long)(attest_gather_us(ms * MAG_US_PER_MS,
-						     a * MAG_US_PER_MS) /
+			(long long)(attest_coalesce_us(ms * MAG_US_PER_MS,
+						       a * MAG_US_PER_MS) /
 				    MAG_US_PER_MS));
 	} else if (sscanf(line, "key %d", &a) == 1) {
 		print(out, a);
--- a/src/attest.c
+++ b/src/attest.c
@@ -49,8 +49,8 @@
 /* The store has shown that the set in force was the newest at a time. */
 void attest_from_store(struct attest *attest, int64_t at_us)
 {
-	if (at_us > attest->fresh_us)
-		attest->fresh_us = at_us;
+	if (at_us > attest->confirmed_us)
+		attest->confirmed_us = at_us;
 }
 
 /*
@@ -67,25 +67,26 @@
 	    claim->echo_us < 0 || claim->echo_us > now || claim->age_us < 0)
 		return false;
 	fresh_us = claim->echo_us - claim->age_us;
-	if (fresh_us <= attest->fresh_us)
+	if (fresh_us <= attest->confirmed_us)
 		return false;
-	attest->fresh_us = fresh_us;
+	attest->confirmed_us = fresh_us;
 	return true;
 }
 
 /* Fills in what this instance knows; the receiver's fields are the caller's. */
-void attest_make(const struct attest *attest, int64_t version, int64_t now,
-		 struct attest_claim *claim)
+void attest_fill_claim(const struct attest *attest, int64_t version,
+		       int64_t now, struct attest_claim *claim)
 {
 	claim->version = version;
-	claim->age_us = attest->fresh_us ? now - attest->fresh_us : -1;
+	claim->age_us = attest->confirmed_us ? now - attest->confirmed_us : -1;
 }
 
 /* Tells whether a key that is in force here may be accepted. */
-bool attest_trusted(const struct attest *attest, int64_t bound_us, int64_t now)
+bool attest_is_trusted(const struct attest *attest, int64_t bound_us,
+		       int64_t now)
 {
-	return attest->fresh_us &&
-	       (double)(now - attest->fresh_us) <
+	return attest->confirmed_us &&
+	       (double)(now - attest->confirmed_us) <
 		       (double)bound_us * ATTEST_TRUST_SHARE;
 }
 
@@ -93,13 +94,13 @@
 bool attest_soon_untrusted(const struct attest *attest, int64_t bound_us,
 			   int64_t now)
 {
-	return !attest->fresh_us ||
-	       (double)(now - attest->fresh_us) >=
+	return !attest->confirmed_us ||
+	       (double)(now - attest->confirmed_us) >=
 		       (double)bound_us * ATTEST_READY_SHARE;
 }
 
 /* Returns the longest pause between two tries of a watch that fails. */
-int64_t attest_retry_us(int routers)
+int64_t attest_retry_max_us(int routers)
 {
 	int64_t pause = ATTEST_RETRY_EACH_US * routers;
 
@@ -112,7 +113,7 @@
  * Returns how long changes of the store may gather, under the bounds within
  * which a configuration is in force and a leaving worker gets nothing new.
  */
-int64_t attest_gather_us(int64_t config_apply_us, int64_t drain_us)
+int64_t attest_coalesce_us(int64_t config_apply_us, int64_t drain_us)
 {
 	int64_t bound_us =
 		config_apply_us < drain_us ? config_apply_us : drain_us;
@@ -122,19 +123,20 @@
 }
 
 /* Tells whether this instance should ask the store now, and plans the next. */
-bool attest_is_time_to_ask(struct attest *attest, int routers, int64_t now)
+bool attest_query_due(struct attest *attest, int routers, int64_t now)
 {
-	if (attest->planned_us != attest->fresh_us) {
-		attest->planned_us = attest->fresh_us;
-		attest->ask_us =
-			attest->fresh_us + attest_pause(attest, routers);
-		attest->asks = 0;
+	if (attest->planned_for_us != attest->confirmed_us) {
+		attest->planned_for_us = attest->confirmed_us;
+		attest->query_us =
+			attest->confirmed_us + attest_pause(attest, routers);
+		attest->queries = 0;
 	}
-	if (now < attest->ask_us)
+	if (now < attest->query_us)
 		return false;
-	attest->ask_us = now + mag_backoff(ATTEST_ASK_AGAIN_US, attest->asks,
-					   ATTEST_ASK_DOUBLE);
-	attest->asks++;
+	attest->query_us =
+		now + mag_backoff(ATTEST_ASK_AGAIN_US, attest->queries,
+				  ATTEST_ASK_DOUBLE);
+	attest->queries++;
 	return true;
 }
 
--- a/src/attest.h
+++ b/src/attest.h
@@ -28,11 +28,12 @@
 };
 
 struct attest {
-	uint32_t session;   /* of this process; not 0 */
-	int64_t fresh_us;   /* the set in force was the newest then; 0: never */
-	int64_t ask_us;	    /* when the store is asked next */
-	int64_t planned_us; /* the fresh_us for which that was planned */
-	int asks;	    /* since then, without an answer */
+	uint32_t session;     /* of this process; not 0 */
+	int64_t confirmed_us; /* the set in force was the newest then; 0: never
+			       */
+	int64_t query_us;     /* when the store is asked next */
+	int64_t planned_for_us; /* the fresh_us for which that was planned */
+	int queries;		/* since then, without an answer */
 	uint64_t seed;
 };
 
@@ -40,13 +41,14 @@
 void attest_from_store(struct attest *attest, int64_t at_us);
 bool attest_from_peer(struct attest *attest, const struct attest_claim *claim,
 		      int64_t version, int64_t now);
-void attest_make(const struct attest *attest, int64_t version, int64_t now,
-		 struct attest_claim *claim);
-bool attest_trusted(const struct attest *attest, int64_t bound_us, int64_t now);
+void attest_fill_claim(const struct attest *attest, int64_t version,
+		       int64_t now, struct attest_claim *claim);
+bool attest_is_trusted(const struct attest *attest, int64_t bound_us,
+		       int64_t now);
 bool attest_soon_untrusted(const struct attest *attest, int64_t bound_us,
 			   int64_t now);
-int64_t attest_retry_us(int routers);
-int64_t attest_gather_us(int64_t config_apply_us, int64_t drain_us);
-bool attest_is_time_to_ask(struct attest *attest, int routers, int64_t now);
+int64_t attest_retry_max_us(int routers);
+int64_t attest_coalesce_us(int64_t config_apply_us, int64_t drain_us);
+bool attest_query_due(struct attest *attest, int routers, int64_t now);
 
 #endif /* ATTEST_H */
--- a/src/edge.c
+++ b/src/edge.c
@@ -125,7 +125,7 @@
 {
 	if (!edge->rt)
 		return false;
-	if (edge->attest.fresh_us)
+	if (edge->attest.confirmed_us)
 		return true;
 	return edge->rt->version >= edge->newest_version &&
 	       era_may_use_config(&edge->era,
--- a/src/edge_follow.c
+++ b/src/edge_follow.c
@@ -57,14 +57,14 @@
  */
 int edge_follow(struct edge *edge)
 {
-	struct sto_follow_settings all = {
-		"",
-		EDGE_WATCH_MS,
-		attest_gather_us(edge->set.config_apply_us, edge->set.drain_us),
-		attest_retry_us(1),
-		&edge_ops,
-		edge
-	};
+	struct sto_follow_settings all = { "",
+					   EDGE_WATCH_MS,
+					   attest_coalesce_us(
+						   edge->set.config_apply_us,
+						   edge->set.drain_us),
+					   attest_retry_max_us(1),
+					   &edge_ops,
+					   edge };
 
 	edge->store_reachable = true;
 	if (sto_follow(edge->sto, &all, &edge->follow)) {
@@ -79,11 +79,11 @@
 {
 	int routers = 1 + pres_peer_count(edge->pres);
 
-	sto_follow_set_retry_max(edge->follow, attest_retry_us(routers));
+	sto_follow_set_retry_max(edge->follow, attest_retry_max_us(routers));
 	if (era_relist_due(&edge->era, now))
 		edge_settle(edge);
 	sto_tick(edge->sto, now);
-	if (attest_is_time_to_ask(&edge->attest, routers, now))
+	if (attest_query_due(&edge->attest, routers, now))
 		sto_follow_query(edge->follow);
 }
 
@@ -128,7 +128,7 @@
 static void edge_fresh(void *user, int64_t sent_us)
 {
 	struct edge *edge = user;
-	int64_t before_us = edge->attest.fresh_us;
+	int64_t before_us = edge->attest.confirmed_us;
 	int64_t now = clk_boot_us();
 
 	if (!era_is_authoritative(&edge->era, sent_us) ||
@@ -136,7 +136,7 @@
 	    edge->rt->version < edge->newest_version)
 		return;
 	attest_from_store(&edge->attest, sent_us);
-	if (edge->attest.fresh_us - before_us >= EDGE_ANNOUNCE_US)
+	if (edge->attest.confirmed_us - before_us >= EDGE_ANNOUNCE_US)
 		hint_send_soon(edge->hint, clk_boot_us());
 }
 
--- a/src/eq.c
+++ b/src/eq.c
@@ -297,7 +297,7 @@
 	const struct edge *edge = eq->edge;
 
 	if (eq->account && edge->set.keys_fail_closed &&
-	    !attest_trusted(&edge->attest, edge->set.keys_stale_us, now)) {
+	    !attest_is_trusted(&edge->attest, edge->set.keys_stale_us, now)) {
 		eq_refuse(eq, 503, eq_where(eq, now), "keys too old");
 		return false;
 	}
@@ -402,7 +402,7 @@
 	     eq->route ? (int)(eq->route->gap_us / MAG_US_PER_MS) : 0,
 	     eq->sends, eq->may_have_run ? "true" : "false",
 	     (long long)eq->rt->version,
-	     (int)((now - eq->edge->attest.fresh_us) / MAG_US_PER_MS),
+	     (int)((now - eq->edge->attest.confirmed_us) / MAG_US_PER_MS),
 	     eq->hop_count > 0 ? eq->hops[0].worker->is.id : "");
 }
 
--- a/src/hint.c
+++ b/src/hint.c
@@ -291,8 +291,8 @@
 	message->session = edge->attest.session;
 	message->sent_us = now;
 	message->store_pos = sto_follow_pos(edge->follow);
-	attest_make(&edge->attest, edge->rt ? edge->rt->version : -1, now,
-		    &message->claim);
+	attest_fill_claim(&edge->attest, edge->rt ? edge->rt->version : -1, now,
+			  &message->claim);
 	hint_load_collect(&edge->workers, now, &hint->own);
 	message->data_centre = hint->self.data_centre;
 	message->demand = (uint32_t)(hint->self.demand * HINT_DEMAND_S);
@@ -392,12 +392,12 @@
 static void hint_take_attestation(struct edge *edge,
 				  const struct attest_claim *claim, int64_t now)
 {
-	int64_t before_us = edge->attest.fresh_us;
+	int64_t before_us = edge->attest.confirmed_us;
 
 	if (!edge->rt ||
 	    !attest_from_peer(&edge->attest, claim, edge->rt->version, now))
 		return;
-	if (edge->attest.fresh_us - before_us >= HINT_LEAP_US)
+	if (edge->attest.confirmed_us - before_us >= HINT_LEAP_US)
 		sto_follow_retry_now(edge->follow);
 }
 
