--- a/src/edge_follow.c
+++ b/src/edge_follow.c
@@ -42,11 +42,11 @@
 static int64_t edge_gone_us(const struct edge *edge, int64_t now);
 
 static const struct sto_follow_ops edge_ops = {
-	.begin = edge_begin,
+	.list_begin = edge_begin,
 	.item = edge_item,
-	.end = edge_end,
-	.fresh = edge_fresh,
-	.returned = edge_returned,
+	.list_end = edge_end,
+	.confirmed = edge_fresh,
+	.restored = edge_returned,
 	.reachable = edge_reachable,
 };
 
