--- a/src/sto.c
+++ b/src/sto.c
@@ -10,16 +10,16 @@
 #include "pl_store.h"
 #include "sto_int.h"
 
-#define STO_CONNECT_US	(400 * MAG_US_PER_MS)
-#define STO_CONNECTIONS 16
-/* Malformed eras are logged this often at most. */
-#define STO_BAD_ERA_US MAG_US_PER_S
+#define STO_CONNECT_TIMEOUT_US (400 * MAG_US_PER_MS)
+#define STO_CONNECTIONS_MAX    16
+/* Minimum interval between log lines about malformed eras. */
+#define STO_BAD_ERA_LOG_US MAG_US_PER_S
 
 static bool sto_on_headers(void *user, const struct hc_answer *answer);
 static void sto_on_body(void *user, const void *bytes, size_t len);
 static void sto_on_end(void *user, enum hc_end end);
-static enum sto_result sto_result_of(int status);
-static bool sto_is_news(struct sto *sto, const struct sto_call *call);
+static enum sto_result sto_result_from_status(int status);
+static bool sto_accept_era(struct sto *sto, const struct sto_call *call);
 
 static const struct hc_ops sto_ops = {
 	.headers = sto_on_headers,
@@ -38,7 +38,7 @@
 	sto->eras.newest = POS_ERA_NONE;
 	strncpy(sto->address, address, sizeof(sto->address) - 1);
 	CDS_INIT_LIST_HEAD(&sto->followers);
-	if (hc_host_new(hc, address, STO_CONNECTIONS, &sto->host)) {
+	if (hc_host_new(hc, address, STO_CONNECTIONS_MAX, &sto->host)) {
 		free(sto);
 		return STO_E_ADDRESS;
 	}
@@ -46,7 +46,7 @@
 	return STO_OK;
 }
 
-/* Returns the calls made so far; a waiting watch counts as one. */
+/* Returns the number of calls made so far; an open watch counts as one. */
 uint64_t sto_calls(const struct sto *sto)
 {
 	return sto->call_count;
@@ -92,14 +92,14 @@
 	free(body);
 }
 
-/* Reads the answer to sto_create_lease; negative if it is malformed. */
+/* Parses the answer to sto_create_lease; negative if it is malformed. */
 int sto_parse_lease(const char *body, size_t len, int64_t *lease,
 		    int64_t *ttl_ms)
 {
 	return pl_store_lease_id(body, len, lease, ttl_ms);
 }
 
-/* Sends a call; it is told its result once, or cancelled. */
+/* Sends a call.  Its result is reported once, unless the call is cancelled. */
 struct sto_call *sto_send_call(struct sto *sto, const char *method,
 			       const char *path, const char *body,
 			       int64_t wait_us, sto_done_fn done, void *user)
@@ -121,7 +121,7 @@
 	send.request = pl_call_encode(method, path, sto->address, body);
 	send.ops = &sto_ops;
 	send.user = call;
-	send.connect_by_us = now + STO_CONNECT_US;
+	send.connect_by_us = now + STO_CONNECT_TIMEOUT_US;
 	send.deadline_us = now + wait_us + STO_ANSWER_TIMEOUT_US;
 	sto->call_count++;
 	if (send.request && hc_start(sto->host, &send, &call->call) == HC_OK)
@@ -132,7 +132,7 @@
 	return NULL;
 }
 
-/* Gives a call up; it is told nothing any more. */
+/* Cancels a call; its result is not reported. */
 void sto_cancel_call(struct sto_call *call)
 {
 	hc_cancel(call->call);
@@ -165,11 +165,11 @@
 	size_t len = evbuffer_get_length(call->body);
 	const char *body;
 
-	if (end == HC_WHOLE && sto_is_news(sto, call))
-		result = sto_result_of(call->status);
+	if (end == HC_WHOLE && sto_accept_era(sto, call))
+		result = sto_result_from_status(call->status);
 	else if (end == HC_UNSENT)
 		result = STO_REFUSED;
-	/* What waits in idle connections may have fallen silent, too. */
+	/* The host's idle connections may have stopped working as well. */
 	if (end == HC_TIMED_OUT)
 		hc_host_drop_idle(call->sto->host);
 	body = (const char *)evbuffer_pullup(call->body, -1);
@@ -184,13 +184,13 @@
 		sto->on_restored(sto);
 }
 
-/* Takes the era of an answer, and tells whether the answer counts. */
-static bool sto_is_news(struct sto *sto, const struct sto_call *call)
+/* Records the era of an answer; returns whether the answer may be used. */
+static bool sto_accept_era(struct sto *sto, const struct sto_call *call)
 {
 	int64_t now = clk_boot_us();
 
 	if (call->era < POS_ERA_NONE && now >= sto->bad_era_log_us) {
-		sto->bad_era_log_us = now + STO_BAD_ERA_US;
+		sto->bad_era_log_us = now + STO_BAD_ERA_LOG_US;
 		jlog(LOG_PF_ERA_BAD, "\"store\":\"%s\"", sto->address);
 	}
 	return pos_accept_era(&sto->eras, call->sent_era, call->era);
@@ -202,7 +202,7 @@
 	return sto->eras.newest;
 }
 
-static enum sto_result sto_result_of(int status)
+static enum sto_result sto_result_from_status(int status)
 {
 	switch (status) {
 	case 200:
--- a/src/sto.h
+++ b/src/sto.h
@@ -2,9 +2,10 @@
 #define STO_H
 
 /*
- * The one client of the platform's store, on the event loop: single calls,
- * and following all keys under a prefix by a list and then watches.  Every
- * call has a stored deadline, because a watch may hang, go deaf or be cut.
+ * Client of the platform's store on the event loop.  It makes single calls, and
+ * it follows all keys under a prefix with a list followed by watches.  Every
+ * call has a deadline, because a watch may hang, stop delivering changes or be
+ * disconnected.
  */
 
 #include <stdbool.h>
@@ -20,34 +21,37 @@
 
 enum sto_result {
 	STO_DONE,
-	STO_CONFLICT, /* another revision holds */
-	STO_MISSING,  /* no such key or lease */
-	STO_REFUSED,  /* nothing was done: over the rate, or not served */
-	/* No answer, or one of another era: it may be done, now or later. */
+	STO_CONFLICT, /* the key has another revision */
+	STO_MISSING,  /* the key or lease does not exist */
+	STO_REFUSED,  /* not executed: over the rate limit, or not served */
+	/*
+	 * No answer, or an answer from another era.  The call may have been
+	 * executed or may still be executed later.
+	 */
 	STO_LOST,
 };
 
 typedef void (*sto_done_fn)(void *user, enum sto_result result,
 			    const char *body, size_t len);
 
-/* What a follower is told; all but fresh come in the order of the store. */
+/* Callbacks of a follower.  All except confirmed are called in store order. */
 struct sto_follow_ops {
-	void (*list_begin)(void *user); /* a whole list follows */
+	void (*list_begin)(void *user); /* a full list starts */
 	void (*item)(void *user, const struct wire_item *item);
-	void (*list_end)(void *user); /* the list is whole */
-	/* What was told so far was the newest at sent_us. */
+	void (*list_end)(void *user); /* the list is complete */
+	/* Everything reported so far was current at sent_us. */
 	void (*confirmed)(void *user, int64_t sent_us);
-	/* The store has come back from an older copy; a list follows. */
+	/* The store was restored from an older backup; a full list follows. */
 	void (*restored)(void *user);
-	/* reachable: a call was answered after some that were not. */
+	/* reachable is true when a call succeeds after several have failed. */
 	void (*reachable)(void *user, bool reachable);
 };
 
 struct sto_follow_settings {
 	const char *prefix;
-	int64_t wait_ms;      /* that one watch stays open */
-	int64_t coalesce_us;  /* from a change to the next watch */
-	int64_t retry_max_us; /* between two tries while nothing answers */
+	int64_t wait_ms;      /* how long a single watch stays open */
+	int64_t coalesce_us;  /* delay between a change and the next watch */
+	int64_t retry_max_us; /* longest delay between failing attempts */
 	const struct sto_follow_ops *ops;
 	void *user;
 };
@@ -64,20 +68,24 @@
 uint64_t sto_calls(const struct sto *sto);
 int64_t sto_era(const struct sto *sto);
 
-/* Each call is told its result exactly once, later. */
+/* Each call reports its result exactly once, through done. */
 void sto_create_lease(struct sto *sto, int64_t ttl_ms, sto_done_fn done,
 		      void *user);
 void sto_renew_lease(struct sto *sto, int64_t lease, sto_done_fn done,
 		     void *user);
 void sto_end_lease(struct sto *sto, int64_t lease, sto_done_fn done,
 		   void *user);
-/* Writes a key if it still has a revision; 0: if it does not exist. */
+/*
+ * Writes a key if its revision is still the given one; 0 means that the key
+ * must not exist.
+ */
 void sto_swap(struct sto *sto, const char *key, const char *value,
 	      int64_t revision, int64_t lease, sto_done_fn done, void *user);
 
 /*
- * Asks how far the store is, which shows that a follower that is as far was
- * told all, and wakes one whose watch has fallen silent.
+ * Queries the store's current revision.  If the follower has reached that
+ * revision, everything that it has reported is current.  An answer also
+ * restarts a follower whose watch no longer receives anything.
  */
 void sto_follow_query(struct sto_follow *follow);
 void sto_follow_set_retry_max(struct sto_follow *follow, int64_t retry_max_us);
--- a/src/sto_follow.c
+++ b/src/sto_follow.c
@@ -6,77 +6,82 @@
 #include "sto_int.h"
 
 /*
- * Waits after a failure: short at first, because a cut watch is no outage,
- * and bounded so that an outage's end is seen soon.  Drawn between half and
- * the whole, so that instances do not come back at once.
+ * Delay after a failure.  The first delay is short, because a disconnected
+ * watch does not imply an outage, and the longest is bounded, so that the end
+ * of an outage is noticed soon.  Each delay is drawn between half of its value
+ * and the whole, so that instances do not reconnect at the same moment.
  */
 #define STO_RETRY_US (80 * MAG_US_PER_MS)
-/* How long the first watch after a failure stays open. */
-#define STO_BACK_WAIT_MS 20
-/* Instances that read all again at one event are spread over this. */
+/* Duration of the first watch after a failure. */
+#define STO_PROBE_WAIT_MS 20
+/* Instances that relist because of the same event are spread over this time. */
 #define STO_LIST_SPREAD_US (150 * MAG_US_PER_MS)
-/* Asks in a row without an answer after which a watch is given up, too. */
-#define STO_ASKS_LOST_MAX 2
+/* A watch is also abandoned after this many consecutive unanswered queries. */
+#define STO_QUERIES_LOST_MAX 2
 
 enum sto_follow_state {
 	STO_LISTING,
 	STO_WATCHING,
-	STO_PAUSING, /* until retry_us, then a list or a watch */
+	STO_DELAYING, /* until retry_us, then list or watch */
 };
 
 struct sto_follow {
 	struct cds_list_head node;
 	struct sto *sto;
 	char prefix[WIRE_KEY_MAX];
-	char after[WIRE_KEY_MAX]; /* last key of the page before */
+	char after[WIRE_KEY_MAX]; /* last key of the previous page */
 	int64_t wait_ms;
-	int64_t gather_us;
+	int64_t coalesce_us;
 	int64_t retry_max_us;
 	const struct sto_follow_ops *ops;
 	void *user;
 	enum sto_follow_state state;
-	bool list_next; /* after the pause: a list, not a watch */
-	struct pos at;	/* in the store's history; all up to it was reported */
+	bool list_after_delay; /* after the delay: list instead of watch */
+	struct pos pos; /* store position up to which everything was reported */
 	int64_t list_revision;
 	int64_t sent_us;
 	int64_t list_sent_us;
 	int64_t retry_us;
-	int failures; /* in a row */
-
-	struct sto_call *call;	  /* the list or watch in progress */
-	struct pos reported;	  /* of the store, by the newest ask */
-	int64_t reported_sent_us; /* when that was asked */
-	struct pos known;	  /* that the store had, by any word */
-	int64_t behind_us; /* this watch lags behind it since then; 0: no */
-	int asks_lost;	   /* in a row */
+	int failures; /* consecutive */
+
+	struct sto_call *call;	   /* list or watch in progress */
+	struct pos store_pos;	   /* of the store, by the newest query */
+	int64_t store_pos_sent_us; /* when that query was sent */
+	struct pos known_pos;	   /* newest position known from any source */
+	int64_t lagging_since_us;  /* behind known_pos since; 0: no */
+	int queries_lost;	   /* consecutive unanswered queries */
 };
 
-/* How far is the store?  Several may be on their way: answers get lost. */
-struct sto_ask {
+/*
+ * A query for the store's revision.  Several may be in progress at once,
+ * because an answer can be lost.
+ */
+struct sto_query {
 	struct sto_follow *follow;
 	int64_t sent_us;
 };
 
-static void sto_list(struct sto_follow *follow);
-static void sto_watch(struct sto_follow *follow);
-static void sto_listed(void *user, enum sto_result result, const char *body,
-		       size_t len);
-static void sto_watched(void *user, enum sto_result result, const char *body,
+static void sto_start_list(struct sto_follow *follow);
+static void sto_start_watch(struct sto_follow *follow);
+static void sto_on_list(void *user, enum sto_result result, const char *body,
 			size_t len);
-static void sto_asked(void *user, enum sto_result result, const char *body,
-		      size_t len);
-static void sto_compare(struct sto_follow *follow);
-static bool sto_is_deaf(struct sto_follow *follow, int64_t now);
-static void sto_ask_lost(struct sto_follow *follow);
-static void sto_give_up(struct sto_follow *follow);
-static void sto_wake(struct sto_follow *follow);
-static void sto_drop_call(struct sto_follow *follow);
-static void sto_tell(struct sto_follow *follow, struct wire_items *items);
-static void sto_pause(struct sto_follow *follow, bool list_next);
-static void sto_answered(struct sto_follow *follow);
-static void sto_come_back(struct sto *sto);
-
-/* Follows all keys under a prefix from now on. */
+static void sto_on_watch(void *user, enum sto_result result, const char *body,
+			 size_t len);
+static void sto_on_query(void *user, enum sto_result result, const char *body,
+			 size_t len);
+static void sto_check_confirmed(struct sto_follow *follow);
+static bool sto_is_watch_stuck(struct sto_follow *follow, int64_t now);
+static void sto_on_query_lost(struct sto_follow *follow);
+static void sto_fail_watch(struct sto_follow *follow);
+static void sto_start_over(struct sto_follow *follow);
+static void sto_cancel_current(struct sto_follow *follow);
+static void sto_report_items(struct sto_follow *follow,
+			     struct wire_items *items);
+static void sto_back_off(struct sto_follow *follow, bool list_after_delay);
+static void sto_on_success(struct sto_follow *follow);
+static void sto_on_restored(struct sto *sto);
+
+/* Starts following all keys under a prefix. */
 int sto_follow(struct sto *sto, const struct sto_follow_settings *settings,
 	       struct sto_follow **out)
 {
@@ -87,39 +92,39 @@
 	follow->sto = sto;
 	strncpy(follow->prefix, settings->prefix, sizeof(follow->prefix) - 1);
 	follow->wait_ms = settings->wait_ms;
-	follow->gather_us = settings->coalesce_us;
+	follow->coalesce_us = settings->coalesce_us;
 	follow->retry_max_us = settings->retry_max_us;
 	follow->ops = settings->ops;
 	follow->user = settings->user;
-	follow->at.era = POS_ERA_NONE;
-	follow->reported.era = POS_ERA_NONE;
-	follow->known.era = POS_ERA_NONE;
+	follow->pos.era = POS_ERA_NONE;
+	follow->store_pos.era = POS_ERA_NONE;
+	follow->known_pos.era = POS_ERA_NONE;
 	cds_list_add_tail(&follow->node, &sto->followers);
-	sto->on_restored = sto_come_back;
-	sto_list(follow);
+	sto->on_restored = sto_on_restored;
+	sto_start_list(follow);
 	if (out)
 		*out = follow;
 	return STO_OK;
 }
 
-/* Goes on with followers whose pause is over. */
+/* Continues followers whose delay has expired and restarts stuck watches. */
 void sto_tick(struct sto *sto, int64_t now)
 {
 	struct sto_follow *follow;
 
 	cds_list_for_each_entry (follow, &sto->followers, node) {
-		if (sto_is_deaf(follow, now))
-			sto_give_up(follow);
-		if (follow->state != STO_PAUSING || now < follow->retry_us)
+		if (sto_is_watch_stuck(follow, now))
+			sto_fail_watch(follow);
+		if (follow->state != STO_DELAYING || now < follow->retry_us)
 			continue;
-		if (follow->list_next)
-			sto_list(follow);
+		if (follow->list_after_delay)
+			sto_start_list(follow);
 		else
-			sto_watch(follow);
+			sto_start_watch(follow);
 	}
 }
 
-static void sto_list(struct sto_follow *follow)
+static void sto_start_list(struct sto_follow *follow)
 {
 	char path[PL_PATH_MAX];
 
@@ -129,32 +134,33 @@
 		follow->list_sent_us = follow->sent_us;
 	pl_store_range(path, follow->prefix, follow->after);
 	follow->call = sto_send_call(follow->sto, "GET", path, NULL, 0,
-				     sto_listed, follow);
+				     sto_on_list, follow);
 }
 
-static void sto_watch(struct sto_follow *follow)
+static void sto_start_watch(struct sto_follow *follow)
 {
 	int64_t wait_ms = follow->wait_ms;
 	char path[PL_PATH_MAX];
 
 	/*
-	 * After an outage an empty watch would tell only at its end that the
-	 * store is back, and keys would be refused for that much longer.
+	 * After an outage, a long watch without changes would show only when it
+	 * ends that the store is back, and account keys would be refused until
+	 * then.
 	 */
 	if (follow->failures > 0)
-		wait_ms = STO_BACK_WAIT_MS;
+		wait_ms = STO_PROBE_WAIT_MS;
 	follow->state = STO_WATCHING;
-	follow->behind_us = 0;
+	follow->lagging_since_us = 0;
 	follow->sent_us = clk_boot_us();
-	pl_store_watch(path, follow->prefix, follow->at.revision, wait_ms);
+	pl_store_watch(path, follow->prefix, follow->pos.revision, wait_ms);
 	follow->call =
 		sto_send_call(follow->sto, "GET", path, NULL,
-			      wait_ms * MAG_US_PER_MS, sto_watched, follow);
+			      wait_ms * MAG_US_PER_MS, sto_on_watch, follow);
 }
 
-/* A page of the list has come, or has not. */
-static void sto_listed(void *user, enum sto_result result, const char *body,
-		       size_t len)
+/* Handles a page of a list, or its failure. */
+static void sto_on_list(void *user, enum sto_result result, const char *body,
+			size_t len)
 {
 	struct sto_follow *follow = user;
 	struct wire_items items;
@@ -162,247 +168,266 @@
 	follow->call = NULL;
 	if (result != STO_DONE || pl_store_items(body, len, &items)) {
 		follow->after[0] = '\0';
-		sto_pause(follow, true);
+		sto_back_off(follow, true);
 		return;
 	}
-	sto_answered(follow);
+	sto_on_success(follow);
 	if (!follow->after[0]) {
-		/* Pages are no snapshot: watch from before the first one. */
+		/*
+		 * The pages are not a snapshot: watch from the revision of the
+		 * first.
+		 */
 		follow->list_revision = items.revision;
 		follow->ops->list_begin(follow->user);
 	}
-	sto_tell(follow, &items);
+	sto_report_items(follow, &items);
 	if (items.more && items.count > 0) {
 		mag_copy_name(follow->after, sizeof(follow->after),
 			      items.items[items.count - 1].key);
 		pl_store_items_free(&items);
-		sto_list(follow);
+		sto_start_list(follow);
 		return;
 	}
 	pl_store_items_free(&items);
 	follow->after[0] = '\0';
-	follow->at =
+	follow->pos =
 		(struct pos){ sto_era(follow->sto), follow->list_revision };
 	follow->ops->list_end(follow->user);
 	follow->ops->confirmed(follow->user, follow->list_sent_us);
-	sto_compare(follow);
-	sto_watch(follow);
+	sto_check_confirmed(follow);
+	sto_start_watch(follow);
 }
 
-static void sto_watched(void *user, enum sto_result result, const char *body,
-			size_t len)
+static void sto_on_watch(void *user, enum sto_result result, const char *body,
+			 size_t len)
 {
 	struct sto_follow *follow = user;
 	struct wire_items items;
 
 	follow->call = NULL;
 	if (result == STO_CONFLICT) {
-		/* The store forgot what lies between: read all again. */
-		sto_answered(follow);
-		sto_list(follow);
+		/*
+		 * The store no longer has the changes since then: list all keys
+		 * again.
+		 */
+		sto_on_success(follow);
+		sto_start_list(follow);
 		return;
 	}
 	if (result != STO_DONE || pl_store_events(body, len, &items)) {
-		sto_pause(follow, false);
+		sto_back_off(follow, false);
 		return;
 	}
-	sto_answered(follow);
-	sto_tell(follow, &items);
-	follow->at.era = sto_era(follow->sto);
-	if (items.revision > follow->at.revision)
-		follow->at.revision = items.revision;
+	sto_on_success(follow);
+	sto_report_items(follow, &items);
+	follow->pos.era = sto_era(follow->sto);
+	if (items.revision > follow->pos.revision)
+		follow->pos.revision = items.revision;
 	pl_store_items_free(&items);
 	follow->ops->confirmed(follow->user, follow->sent_us);
-	sto_compare(follow);
+	sto_check_confirmed(follow);
 	if (clk_boot_us() - follow->sent_us < follow->wait_ms * MAG_US_PER_MS) {
-		/* Changes come in bursts; one call takes what gathers. */
-		follow->state = STO_PAUSING;
-		follow->list_next = false;
-		follow->retry_us = clk_boot_us() + follow->gather_us;
+		/*
+		 * Changes come in bursts; a delay lets one watch return
+		 * several.
+		 */
+		follow->state = STO_DELAYING;
+		follow->list_after_delay = false;
+		follow->retry_us = clk_boot_us() + follow->coalesce_us;
 		return;
 	}
-	sto_watch(follow);
+	sto_start_watch(follow);
 }
 
 /*
- * The smallest question that the store answers with its revision: what lies
- * behind the last key under a prefix that is a key itself.
+ * Uses the smallest request whose answer contains the store's revision: a list
+ * of the keys that follow the last key under a prefix, where the prefix is
+ * itself a key.
  */
 void sto_follow_query(struct sto_follow *follow)
 {
-	struct sto_ask *ask = calloc(1, sizeof(*ask));
+	struct sto_query *query = calloc(1, sizeof(*query));
 	char path[PL_PATH_MAX];
 
-	if (!ask)
+	if (!query)
 		return;
-	ask->follow = follow;
-	ask->sent_us = clk_boot_us();
+	query->follow = follow;
+	query->sent_us = clk_boot_us();
 	pl_store_range(path, PL_CONFIG_KEY, PL_CONFIG_KEY);
-	sto_send_call(follow->sto, "GET", path, NULL, 0, sto_asked, ask);
+	sto_send_call(follow->sto, "GET", path, NULL, 0, sto_on_query, query);
 }
 
-static void sto_asked(void *user, enum sto_result result, const char *body,
-		      size_t len)
+static void sto_on_query(void *user, enum sto_result result, const char *body,
+			 size_t len)
 {
-	struct sto_ask *ask = user;
-	struct sto_follow *follow = ask->follow;
-	int64_t sent_us = ask->sent_us;
+	struct sto_query *query = user;
+	struct sto_follow *follow = query->follow;
+	int64_t sent_us = query->sent_us;
 	struct wire_items items;
 
-	free(ask);
+	free(query);
 	if (result != STO_DONE || pl_store_items(body, len, &items)) {
-		sto_ask_lost(follow);
+		sto_on_query_lost(follow);
 		return;
 	}
-	follow->asks_lost = 0;
-	if (sent_us > follow->reported_sent_us) {
-		follow->reported =
+	follow->queries_lost = 0;
+	if (sent_us > follow->store_pos_sent_us) {
+		follow->store_pos =
 			(struct pos){ sto_era(follow->sto), items.revision };
-		follow->reported_sent_us = sent_us;
+		follow->store_pos_sent_us = sent_us;
 	}
 	sto_follow_learn_pos(
 		follow, (struct pos){ sto_era(follow->sto), items.revision });
 	pl_store_items_free(&items);
-	sto_compare(follow);
+	sto_check_confirmed(follow);
 	if (follow->failures > 0)
-		sto_wake(follow);
+		sto_start_over(follow);
 }
 
-/* Tells that all was told, if the follower is as far as the store was. */
-static void sto_compare(struct sto_follow *follow)
+/*
+ * Confirms what was reported if the follower has reached the store's queried
+ * position.
+ */
+static void sto_check_confirmed(struct sto_follow *follow)
 {
-	if (follow->reported_sent_us && follow->state != STO_LISTING &&
-	    pos_compare(follow->at, follow->reported) >= 0)
-		follow->ops->confirmed(follow->user, follow->reported_sent_us);
+	if (follow->store_pos_sent_us && follow->state != STO_LISTING &&
+	    pos_compare(follow->pos, follow->store_pos) >= 0)
+		follow->ops->confirmed(follow->user, follow->store_pos_sent_us);
 }
 
 /*
- * Another one, or an answer, has shown that the store has a position.  Of a
- * new era the store itself is asked: a peer's word proves nothing.
+ * Records a store position learned from a peer or from an answer.  If it has a
+ * newer era, queries the store itself: a position learned from a peer proves
+ * nothing.
  */
 void sto_follow_learn_pos(struct sto_follow *follow, struct pos known)
 {
-	bool new_era = known.era > follow->known.era &&
+	bool new_era = known.era > follow->known_pos.era &&
 		       known.era > sto_era(follow->sto);
 
-	if (pos_compare(known, follow->known) <= 0)
+	if (pos_compare(known, follow->known_pos) <= 0)
 		return;
-	follow->known = known;
+	follow->known_pos = known;
 	if (new_era && sto_era(follow->sto) != POS_ERA_NONE)
 		sto_follow_query(follow);
 }
 
-/* Reads all again, soon. */
+/* Lists all keys again after a short random delay. */
 void sto_follow_relist(struct sto_follow *follow)
 {
-	sto_drop_call(follow);
+	sto_cancel_current(follow);
 	follow->after[0] = '\0';
-	follow->state = STO_PAUSING;
-	follow->list_next = true;
+	follow->state = STO_DELAYING;
+	follow->list_after_delay = true;
 	follow->retry_us =
 		clk_boot_us() +
 		(int64_t)(mag_random(&follow->sto->seed) % STO_LIST_SPREAD_US);
 }
 
-/* The store has come back from an older copy: what was reported may no longer
- * hold. */
-static void sto_come_back(struct sto *sto)
+/*
+ * The store was restored from an older backup: what was reported earlier may no
+ * longer hold.
+ */
+static void sto_on_restored(struct sto *sto)
 {
 	struct sto_follow *follow;
 
 	cds_list_for_each_entry (follow, &sto->followers, node) {
-		follow->at = (struct pos){ sto_era(sto), 0 };
-		follow->reported_sent_us = 0;
+		follow->pos = (struct pos){ sto_era(sto), 0 };
+		follow->store_pos_sent_us = 0;
 		if (follow->ops->restored)
 			follow->ops->restored(follow->user);
 		sto_follow_relist(follow);
 	}
 }
 
-/* Sets the longest pause between two tries while the store does not answer. */
+/* Sets the longest delay between attempts while the store does not answer. */
 void sto_follow_set_retry_max(struct sto_follow *follow, int64_t retry_max_us)
 {
 	follow->retry_max_us = retry_max_us;
 }
 
-/* Another one was answered after an outage: what failed is tried at once. */
+/* A peer got an answer after an outage: retries a failed call at once. */
 void sto_follow_retry_now(struct sto_follow *follow)
 {
 	if (follow->failures > 0)
-		sto_wake(follow);
+		sto_start_over(follow);
 }
 
-/* Returns the position up to which all was reported. */
+/* Returns the position up to which everything was reported. */
 struct pos sto_follow_pos(const struct sto_follow *follow)
 {
-	return follow->at;
+	return follow->pos;
 }
 
 /*
- * Tells whether a watch should have been answered long ago.  Connections may
- * fall silent for good while new ones work; nothing that was written since
- * then would be known here until the watch ends by itself.
+ * Returns whether a watch should have been answered long ago.  A connection may
+ * stop delivering data permanently while new connections work; writes made
+ * since then would remain unknown here until the watch times out.
  */
-static bool sto_is_deaf(struct sto_follow *follow, int64_t now)
+static bool sto_is_watch_stuck(struct sto_follow *follow, int64_t now)
 {
 	if (follow->state != STO_WATCHING ||
-	    !pos_is_behind(follow->at, follow->known)) {
-		follow->behind_us = 0;
+	    !pos_is_behind(follow->pos, follow->known_pos)) {
+		follow->lagging_since_us = 0;
 		return false;
 	}
-	if (!follow->behind_us)
-		follow->behind_us = now;
-	return now - follow->behind_us > STO_ANSWER_TIMEOUT_US;
+	if (!follow->lagging_since_us)
+		follow->lagging_since_us = now;
+	return now - follow->lagging_since_us > STO_ANSWER_TIMEOUT_US;
 }
 
 /*
- * An ask was not answered.  The watch beside it would be waited for until its
- * end; an outage, in which entries lapse, must be known before it is over.
+ * A query was not answered.  Without this, the follower would wait until its
+ * watch times out; but an outage, during which entries expire, must be detected
+ * before it is over.
  */
-static void sto_ask_lost(struct sto_follow *follow)
+static void sto_on_query_lost(struct sto_follow *follow)
 {
-	follow->asks_lost++;
-	if (follow->asks_lost < STO_ASKS_LOST_MAX ||
+	follow->queries_lost++;
+	if (follow->queries_lost < STO_QUERIES_LOST_MAX ||
 	    follow->state != STO_WATCHING || follow->failures > 0)
 		return;
-	sto_give_up(follow);
+	sto_fail_watch(follow);
 }
 
 /*
- * Counts a watch that is not answered as a failure.  Begun anew without that,
- * it could be given up again and again, and nobody would know that the store
- * is out of reach.
+ * Counts an unanswered watch as a failure.  If it were restarted without that,
+ * it could be abandoned again and again without the store ever being reported
+ * as unreachable.
  */
-static void sto_give_up(struct sto_follow *follow)
+static void sto_fail_watch(struct sto_follow *follow)
 {
-	sto_drop_call(follow);
-	sto_pause(follow, false);
+	sto_cancel_current(follow);
+	sto_back_off(follow, false);
 }
 
 /*
- * The store answers, but not this follower, which pauses after a failure or
- * waits on a connection that has fallen silent: it begins anew at once.
+ * The store answers queries, but this follower is in its delay after a failure
+ * or waits on a connection that no longer delivers data: it starts over at
+ * once.
  */
-static void sto_wake(struct sto_follow *follow)
+static void sto_start_over(struct sto_follow *follow)
 {
 	if (follow->state == STO_LISTING)
 		return;
-	sto_drop_call(follow);
-	if (follow->state == STO_PAUSING && follow->list_next)
-		sto_list(follow);
+	sto_cancel_current(follow);
+	if (follow->state == STO_DELAYING && follow->list_after_delay)
+		sto_start_list(follow);
 	else
-		sto_watch(follow);
+		sto_start_watch(follow);
 }
 
-/* Gives the call of a follower up that is in progress. */
-static void sto_drop_call(struct sto_follow *follow)
+/* Cancels the follower's call in progress, if any. */
+static void sto_cancel_current(struct sto_follow *follow)
 {
 	if (follow->call)
 		sto_cancel_call(follow->call);
 	follow->call = NULL;
 }
 
-static void sto_tell(struct sto_follow *follow, struct wire_items *items)
+static void sto_report_items(struct sto_follow *follow,
+			     struct wire_items *items)
 {
 	int i;
 
@@ -410,8 +435,8 @@
 		follow->ops->item(follow->user, &items->items[i]);
 }
 
-/* Waits after a failure, longer with each further one. */
-static void sto_pause(struct sto_follow *follow, bool list_next)
+/* Waits after a failure; the delay doubles with each consecutive failure. */
+static void sto_back_off(struct sto_follow *follow, bool list_after_delay)
 {
 	int64_t wait = STO_RETRY_US;
 	int i;
@@ -423,15 +448,17 @@
 	wait = wait / 2 +
 	       (int64_t)(mag_random(&follow->sto->seed) % (uint64_t)(wait / 2));
 	follow->failures++;
-	/* One failure is a cut watch; two in a row are an outage. */
+	/*
+	 * A single failure is a disconnected watch; two in a row are an outage.
+	 */
 	if (follow->failures == 2 && follow->ops->reachable)
 		follow->ops->reachable(follow->user, false);
-	follow->state = STO_PAUSING;
-	follow->list_next = list_next;
+	follow->state = STO_DELAYING;
+	follow->list_after_delay = list_after_delay;
 	follow->retry_us = clk_boot_us() + wait;
 }
 
-static void sto_answered(struct sto_follow *follow)
+static void sto_on_success(struct sto_follow *follow)
 {
 	if (follow->failures >= 2 && follow->ops->reachable)
 		follow->ops->reachable(follow->user, true);
--- a/src/sto_int.h
+++ b/src/sto_int.h
@@ -1,15 +1,16 @@
 #ifndef STO_INT_H
 #define STO_INT_H
 
-/* What the store's client and its followers share. */
+/* Declarations shared by the store client and its followers. */
 
 #include <urcu/list.h>
 
 #include "sto.h"
 
 /*
- * Longest wait for an answer beyond the time that a watch stays open.  The
- * store answers in 4 ms; at sixty times that it must not be given up.
+ * Time to wait for an answer in addition to the time that a watch stays open.
+ * The store normally answers in 4 ms; a call that takes sixty times as long
+ * must not be abandoned.
  */
 #define STO_ANSWER_TIMEOUT_US (900 * MAG_US_PER_MS)
 
@@ -21,19 +22,19 @@
 	uint64_t seed;
 	uint64_t call_count;
 	struct pos_eras eras;
-	int64_t bad_era_log_us; /* no line on a malformed one before then */
-	/* The era has risen; NULL while nothing is followed. */
+	int64_t bad_era_log_us; /* next log line on a malformed era */
+	/* The era has increased; NULL while there is no follower. */
 	void (*on_restored)(struct sto *sto);
 };
 
-/* A single call in progress. */
+/* A call in progress. */
 struct sto_call {
 	struct sto *sto;
 	sto_done_fn done;
 	void *user;
 	int status;
-	int64_t sent_era; /* the newest one when it was sent */
-	int64_t era;	  /* that its answer names */
+	int64_t sent_era; /* newest known era when the call was sent */
+	int64_t era;	  /* era named in the answer */
 	struct evbuffer *body;
 	struct hc_call *call;
 };
