--- a/regress/check_era.c
+++ b/regress/check_era.c
@@ -8,28 +8,30 @@
 #define LINE_MAX_ 256
 #define START_US  MAG_US_PER_S
 
-/* A client of the store: eras, a position, and the time after a return. */
+/* A store client: its eras, a position, and the time after a restore. */
 static struct pos_eras eras;
 static struct era era;
 static int64_t now;
 
-/* "answer SENT NAMED": to a call that was sent in one era, in another one. */
-static void answer(FILE *out, long long sent, long long named)
+/*
+ * "answer SENT NAMED": an answer that names one era, to a call sent in another.
+ */
+static void receive_answer(FILE *out, long long sent, long long named)
 {
 	int64_t before = eras.newest;
 	bool counts = pos_accept_era(&eras, sent, named);
 
-	fprintf(out, "%s, era %lld%s\n", counts ? "counts" : "is lost",
+	fprintf(out, "%s, era %lld%s\n", counts ? "accepted" : "rejected",
 		(long long)eras.newest,
 		before != POS_ERA_NONE && eras.newest != before
-			? ", the store came back"
+			? ", the store was restored"
 			: "");
 	if (before != POS_ERA_NONE && eras.newest != before)
 		era_store_restored(&era, now);
 }
 
-/* "behind ERA REVISION ERA REVISION" */
-static void behind(FILE *out, const char *line)
+/* "behind ERA REVISION ERA REVISION": compares two positions. */
+static void compare_positions(FILE *out, const char *line)
 {
 	long long x[4];
 	struct pos at;
@@ -42,22 +44,21 @@
 	known = (struct pos){ x[2], x[3] };
 	fprintf(out, "%s, %s\n",
 		pos_compare(at, known) < 0 ? "older" : "not older",
-		pos_is_behind(at, known) ? "missed something"
-					 : "missed nothing");
+		pos_is_behind(at, known) ? "behind" : "not behind");
 }
 
-static void show(FILE *out)
+static void print_state(FILE *out)
 {
 	fprintf(out, "%s, %s, %s\n",
-		era_is_authoritative(&era, now) ? "the store's word is news"
-						: "the store's word may be old",
+		era_is_authoritative(&era, now) ? "the store is authoritative"
+						: "the store may be outdated",
 		era.settling ? "settling" : "settled",
 		era_may_use_config(&era, eras.newest != POS_ERA_NONE, now)
-			? "may begin"
+			? "may use the configuration"
 			: "waits for peers");
 }
 
-static void drive(FILE *in, FILE *out)
+static void run_script(FILE *in, FILE *out)
 {
 	char line[LINE_MAX_];
 	long long a;
@@ -71,9 +72,9 @@
 			continue;
 		fprintf(out, "> %s", line);
 		if (sscanf(line, "answer %lld %lld", &a, &b) == 2)
-			answer(out, a, b);
+			receive_answer(out, a, b);
 		else if (strncmp(line, "behind", 6) == 0)
-			behind(out, line);
+			compare_positions(out, line);
 		else if (sscanf(line, "after %lld", &a) == 1)
 			now += a * MAG_US_PER_MS;
 		else if (strncmp(line, "peer", 4) == 0)
@@ -82,16 +83,17 @@
 			era.config_written = true;
 		else if (strncmp(line, "ends", 4) == 0)
 			fprintf(out, "%s\n",
-				era_relist_due(&era, now) ? "read all" : "no");
+				era_relist_due(&era, now) ? "list again"
+							  : "no");
 		else if (strncmp(line, "listed", 6) == 0)
 			fprintf(out, "%s\n",
-				era_list_done(&era) ? "as it stands" : "no");
+				era_list_done(&era) ? "complete" : "no");
 		else if (strncmp(line, "show", 4) == 0)
-			show(out);
+			print_state(out);
 	}
 }
 
 int main(void)
 {
-	return script_main("regress/era", drive);
+	return script_main("regress/era", run_script);
 }
--- a/src/era.c
+++ b/src/era.c
@@ -8,7 +8,7 @@
 	era->started_us = now;
 }
 
-/* An answer has shown that the store has come back from a copy. */
+/* An answer has shown that the store was restored from a backup. */
 void era_store_restored(struct era *era, int64_t now)
 {
 	era->restored_us = now;
@@ -18,7 +18,10 @@
 	era->config_written = false;
 }
 
-/* Tells, once, that it is time to read all again and take it as it stands. */
+/*
+ * Returns true once, when it is time to list all keys and use the list as it
+ * is.
+ */
 bool era_relist_due(struct era *era, int64_t now)
 {
 	if (!era->settling || era->relisting || now < era->settled_us)
@@ -27,7 +30,7 @@
 	return true;
 }
 
-/* A whole list was read; tells whether it is the one to take as it stands. */
+/* A complete list was read; returns whether it is the one to use as it is. */
 bool era_list_done(struct era *era)
 {
 	if (!era->relisting)
@@ -38,9 +41,9 @@
 }
 
 /*
- * Tells whether what the store showed at at_us proves that the configuration
- * known was the newest then.  A copy does not: a newer one may be missing
- * until the operator has written it again.
+ * Returns whether the store's state at at_us proves that the known
+ * configuration was the newest at that time.  A restored backup does not: a
+ * newer configuration may be missing until the operator has written it again.
  */
 bool era_is_authoritative(const struct era *era, int64_t at_us)
 {
@@ -49,9 +52,9 @@
 }
 
 /*
- * Tells whether a router that has started may go by the store's configuration.
- * It does not know when the store came back, but others may: it waits for
- * their word, for a bounded time.
+ * Returns whether a router that has started may use the store's configuration.
+ * It cannot know when the store was restored, but its peers may: it waits for a
+ * message from one of them, for a bounded time.
  */
 bool era_may_use_config(const struct era *era, bool has_eras, int64_t now)
 {
--- a/src/era.h
+++ b/src/era.h
@@ -2,12 +2,13 @@
 #define ERA_H
 
 /*
- * The time after the store has come back from an older copy.  Pure.
+ * The recovery period after the store was restored from an older backup.  Pure.
  *
- * Load pattern: what routers, workers and the operator wrote since the copy is
- * missing until each has written it again.  Taken at its word, the copy has
- * no workers, or old layers, and every caller would be refused for seconds;
- * and it is no witness that a key was not taken away since.
+ * Load pattern: what routers, workers and the operator wrote after the backup
+ * was made is missing until each of them has written it again.  Taken
+ * literally, the backup contains no workers, or outdated layers, and every
+ * caller would be refused for seconds.  Nor does it prove that an account key
+ * has not been removed since.
  */
 
 #include <stdbool.h>
@@ -15,22 +16,25 @@
 
 #include "mag.h"
 
-/* So long after the return all have written again. */
+/*
+ * Time after the restore was detected by which everyone has written their
+ * entries again.
+ */
 #define ERA_SETTLE_US (2 * MAG_US_PER_S)
 /*
- * A router that starts hears for so long at most whether others know a newer
- * configuration than the store.
+ * The longest time that a starting router waits to learn from its peers whether
+ * they know a newer configuration than the store.
  */
 #define ERA_PEER_WAIT_US (1200 * MAG_US_PER_MS)
 
 struct era {
-	int64_t restored_us;	/* the return was seen then; 0: never */
-	int64_t settled_us;	/* all have written again by then */
-	bool settling;		/* no whole list was read since */
-	bool relisting;		/* that list was asked for */
-	bool config_written;	/* the operator has written since */
-	int64_t started_us;	/* of this process */
-	bool peer_message_seen; /* since then */
+	int64_t restored_us;	/* when the restore was detected; 0: never */
+	int64_t settled_us;	/* by then all entries are written again */
+	bool settling;		/* no complete list was read since then */
+	bool relisting;		/* that list was requested */
+	bool config_written;	/* the operator wrote one since the restore */
+	int64_t started_us;	/* start of this process */
+	bool peer_message_seen; /* since the start */
 };
 
 void era_start(struct era *era, int64_t now);
--- a/src/pos.c
+++ b/src/pos.c
@@ -1,6 +1,9 @@
 #include "pos.h"
 
-/* Returns a number below, equal to or above 0, as a lies before b or behind. */
+/*
+ * Returns a number less than, equal to or greater than 0 if a is before, equal
+ * to or after b.
+ */
 int pos_compare(struct pos a, struct pos b)
 {
 	if (a.era != b.era)
@@ -9,8 +12,8 @@
 }
 
 /*
- * Tells whether a follower at one position has missed what led to another.
- * Revisions of two eras say nothing of each other.
+ * Returns whether a follower at one position has missed changes up to another.
+ * Revisions of different eras cannot be compared.
  */
 bool pos_is_behind(struct pos at, struct pos known)
 {
@@ -18,19 +21,19 @@
 }
 
 /*
- * Takes the era that an answer names, and tells whether the answer counts.  One
- * of an older era than the newest known is no news; neither is the answer to a
- * call that was sent when another era was the newest: its condition may have
- * held by chance, and what it did may be gone.
+ * Records the era that an answer names; returns whether the answer may be used.
+ * An answer from an era older than the newest known one is out of date.  So is
+ * the answer to a call that was sent while another era was the newest: its
+ * condition may have been met by chance, and its effect may be lost.
  */
-bool pos_accept_era(struct pos_eras *eras, int64_t sent, int64_t named)
+bool pos_accept_era(struct pos_eras *eras, int64_t sent_era, int64_t answer_era)
 {
-	if (named < POS_ERA_NONE || named < eras->newest)
+	if (answer_era < POS_ERA_NONE || answer_era < eras->newest)
 		return false;
-	if (named > eras->newest) {
+	if (answer_era > eras->newest) {
 		eras->increased = eras->newest != POS_ERA_NONE;
-		eras->newest = named;
+		eras->newest = answer_era;
 	}
-	return sent == eras->newest ||
-	       (sent == POS_ERA_NONE && !eras->increased);
+	return sent_era == eras->newest ||
+	       (sent_era == POS_ERA_NONE && !eras->increased);
 }
--- a/src/pos.h
+++ b/src/pos.h
@@ -2,15 +2,15 @@
 #define POS_H
 
 /*
- * A position in the history of the store.  The store may come back from an
- * older copy of itself: revisions go back and are given out again, in a new
- * era.  Pure.
+ * A position in the history of the store.  The store may be restored from an
+ * older backup: revisions then go back and are assigned again, in a new era.
+ * Pure.
  */
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* The store names no era, or what it names cannot be read. */
+/* The store names no era, or the era is malformed. */
 #define POS_ERA_NONE (-1)
 
 struct pos {
@@ -18,13 +18,14 @@
 	int64_t revision;
 };
 
-/* The eras that a client of the store has seen. */
+/* The eras that a store client has seen. */
 struct pos_eras {
-	int64_t newest; /* POS_ERA_NONE: none was named */
-	bool increased; /* it has risen since the first one */
+	int64_t newest; /* POS_ERA_NONE: none seen */
+	bool increased; /* the era has changed since the first one */
 };
 
-bool pos_accept_era(struct pos_eras *eras, int64_t sent, int64_t named);
+bool pos_accept_era(struct pos_eras *eras, int64_t sent_era,
+		    int64_t answer_era);
 int pos_compare(struct pos a, struct pos b);
 bool pos_is_behind(struct pos at, struct pos known);
 
