--- a/src/pres.c
+++ b/src/pres.c
@@ -7,55 +7,61 @@
 #include "jlog.h"
 #include "pres.h"
 
-#define PRES_PEER   PRES_PREFIX "instance/"
-#define PRES_PLACER PRES_PREFIX "placer"
+#define PRES_INSTANCE_PREFIX PRES_PREFIX "instance/"
+#define PRES_PLACER_KEY	     PRES_PREFIX "placer"
 /*
- * Only the placer holds a lease; it ends this long after its holder was heard
- * last.  Long enough for two lost renewals, short enough that another one
- * orders layers before the callers of a lost data centre have given up.
+ * Only the placer holds a lease; it expires this long after its holder's last
+ * renewal.  It is long enough to survive two lost renewals, and short enough
+ * for another placer to order layers before the callers of a lost data centre
+ * give up.
  */
 #define PRES_LEASE_MS 1600
 #define PRES_RENEW_US (500 * MAG_US_PER_MS)
-/* Taken off the lease, for the time that a renewal was on its way. */
-#define PRES_MARGIN_US (300 * MAG_US_PER_MS)
 /*
- * When the placer is gone, the others stand for it spread over this much for
- * each of them: every try costs two calls, and one is enough.
+ * Safety margin subtracted from the lease for the time that a renewal takes to
+ * reach the store.
  */
-#define PRES_SPREAD_US (75 * MAG_US_PER_MS)
-#define PRES_RETRY_US  (500 * MAG_US_PER_MS)
+#define PRES_LEASE_MARGIN_US (300 * MAG_US_PER_MS)
 /*
- * Instances that the store has lost register again spread over so much for
- * each of them, and over no more than the second: its rate of writes holds.
+ * When there is no placer, the other instances try to acquire the role at
+ * random times, spread over this time per instance: each attempt takes two
+ * calls, and one attempt is enough.
  */
-#define PRES_AGAIN_EACH_US (4 * MAG_US_PER_MS)
-#define PRES_AGAIN_MOST_US (1200 * MAG_US_PER_MS)
+#define PRES_ACQUIRE_SPREAD_US (75 * MAG_US_PER_MS)
+#define PRES_RETRY_US	       (500 * MAG_US_PER_MS)
+/*
+ * Instances that are missing from the restored store register again, spread
+ * over this time per instance, but over at most PRES_REREGISTER_MAX_US, so as
+ * not to exceed the store's write rate.
+ */
+#define PRES_REREGISTER_EACH_US (4 * MAG_US_PER_MS)
+#define PRES_REREGISTER_MAX_US	(1200 * MAG_US_PER_MS)
 
 struct pres {
 	struct sto *sto;
 	char name[MAG_NAME_MAX];
 	char key[WIRE_KEY_MAX];
-	char value[128]; /* address of the peer socket, data centre */
-	char title[128]; /* what the placer's key holds if it is us */
+	char value[128];	/* address of the peer socket, data centre */
+	char placer_value[128]; /* value of the placer's key if we hold it */
 	int64_t lease_ms;
-	int64_t lease;	  /* 0: none */
-	int64_t sent_us;  /* of the renewal in progress */
-	int64_t valid_us; /* the lease holds until then at least */
-	int64_t next_us;  /* when to renew the lease next */
-	bool asking;	  /* a call about the lease is in progress */
+	int64_t lease;		 /* 0: none */
+	int64_t sent_us;	 /* when the renewal in progress was sent */
+	int64_t valid_until_us;	 /* the lease is valid at least until then */
+	int64_t renew_us;	 /* when to renew the lease next */
+	bool lease_call_pending; /* a call about the lease is in progress */
 	bool registering;
-	int64_t register_us; /* when to try that next */
-	bool standing;	     /* a try to become placer is in progress */
+	int64_t register_us; /* earliest time of the next attempt */
+	bool acquiring;	     /* an attempt to become placer is in progress */
 	bool leaving;
 
 	bool listed;
-	int64_t own_revision;	/* of our key as listed, 0: none */
-	bool own_right;		/* it holds our address */
-	char placer[128];	/* what the placer's key holds, "": free */
-	int64_t placer_free_us; /* when to stand for it, if it is free then */
-	int64_t stand_after_us; /* titles of before a return of the store end */
-	int64_t lost_lease;	/* ours when the store came back; 0: none */
-	bool settling;		/* the store lacks what was written lately */
+	int64_t own_revision;	  /* of our key as listed, 0: none */
+	bool own_key_valid;	  /* our key holds our address */
+	char placer[128];	  /* value of the placer's key, "": no placer */
+	int64_t acquire_us;	  /* when to acquire the role if still free */
+	int64_t acquire_after_us; /* roles from before a restore expire */
+	int64_t previous_lease;	  /* our lease before the restore; 0: none */
+	bool settling;		  /* the store lacks recently written entries */
 	uint64_t seed;
 	struct pres_peer *peers;
 	bool *seen;
@@ -63,22 +69,22 @@
 };
 
 static void pres_renew(struct pres *pres, int64_t now);
-static void pres_stand(struct pres *pres, int64_t now);
-static void pres_wait_to_stand(struct pres *pres, int64_t now);
-static void pres_taken(void *user, enum sto_result result, const char *body,
-		       size_t len);
-static void pres_kept(void *user, enum sto_result result, const char *body,
-		      size_t len);
-static void pres_registered(void *user, enum sto_result result,
+static void pres_acquire(struct pres *pres, int64_t now);
+static void pres_schedule_acquire(struct pres *pres, int64_t now);
+static void pres_on_lease_created(void *user, enum sto_result result,
+				  const char *body, size_t len);
+static void pres_on_renewed(void *user, enum sto_result result,
 			    const char *body, size_t len);
-static void pres_stood(void *user, enum sto_result result, const char *body,
-		       size_t len);
-static void pres_ended(void *user, enum sto_result result, const char *body,
-		       size_t len);
+static void pres_on_registered(void *user, enum sto_result result,
+			       const char *body, size_t len);
+static void pres_on_acquired(void *user, enum sto_result result,
+			     const char *body, size_t len);
+static void pres_on_lease_ended(void *user, enum sto_result result,
+				const char *body, size_t len);
 static void pres_peer_item(struct pres *pres, const struct wire_item *item);
-static void pres_forget(struct pres *pres, int i);
+static void pres_remove_peer(struct pres *pres, int i);
 
-/* Begins to take part; address is that of the peer socket. */
+/* Starts presence; address is that of the peer socket. */
 struct pres *pres_new(struct sto *sto, const char *name, const char *address,
 		      const char *data_centre, int64_t lease_ms_min,
 		      uint64_t incarnation)
@@ -98,11 +104,11 @@
 	if (pres->lease_ms < lease_ms_min)
 		pres->lease_ms = lease_ms_min;
 	snprintf(pres->name, sizeof(pres->name), "%s", name);
-	snprintf(pres->key, sizeof(pres->key), PRES_PEER "%s", name);
+	snprintf(pres->key, sizeof(pres->key), PRES_INSTANCE_PREFIX "%s", name);
 	snprintf(pres->value, sizeof(pres->value), "%s %s", address,
 		 data_centre);
-	snprintf(pres->title, sizeof(pres->title), "%s %" PRIx64, name,
-		 incarnation);
+	snprintf(pres->placer_value, sizeof(pres->placer_value), "%s %" PRIx64,
+		 name, incarnation);
 	pres->seed = incarnation | 1;
 	return pres;
 }
@@ -116,54 +122,60 @@
 	free(pres);
 }
 
-/* Registers, stands for placer if there is none, and renews its lease. */
+/*
+ * Registers the instance, acquires the placer role if it is free, and renews
+ * its lease.
+ */
 void pres_tick(struct pres *pres, int64_t now)
 {
 	if (pres->leaving || !pres->listed)
 		return;
-	if (!pres->own_right && !pres->registering &&
+	if (!pres->own_key_valid && !pres->registering &&
 	    now >= pres->register_us) {
 		pres->registering = true;
 		sto_swap(pres->sto, pres->key, pres->value, pres->own_revision,
-			 0, pres_registered, pres);
+			 0, pres_on_registered, pres);
 	}
 	if (pres->placer[0])
 		pres_renew(pres, now);
-	else if (now >= pres->placer_free_us && now >= pres->stand_after_us)
-		pres_stand(pres, now);
+	else if (now >= pres->acquire_us && now >= pres->acquire_after_us)
+		pres_acquire(pres, now);
 }
 
 /*
- * The store has come back from an older copy.  Its lease numbers may be those
- * of others now, so that ours counts only if the placer's key is still ours
- * under it.  Nobody stands before the title of one that does not know of the
- * return has ended.
+ * The store was restored from an older backup.  Its lease numbers may now
+ * belong to other holders, so our lease counts only if the placer's key still
+ * has our value under that lease.  No instance tries to become placer until the
+ * lease of a placer that does not know of the restore has expired.
  */
 void pres_store_restored(struct pres *pres, int64_t now)
 {
-	uint64_t spread =
-		(uint64_t)PRES_AGAIN_EACH_US * (uint64_t)(pres->peer_count + 1);
+	uint64_t spread = (uint64_t)PRES_REREGISTER_EACH_US *
+			  (uint64_t)(pres->peer_count + 1);
 
-	if (spread > PRES_AGAIN_MOST_US)
-		spread = PRES_AGAIN_MOST_US;
-	pres->lost_lease = pres->lease;
+	if (spread > PRES_REREGISTER_MAX_US)
+		spread = PRES_REREGISTER_MAX_US;
+	pres->previous_lease = pres->lease;
 	pres->lease = 0;
-	pres->valid_us = 0;
+	pres->valid_until_us = 0;
 	pres->placer[0] = '\0';
-	pres->own_right = false;
+	pres->own_key_valid = false;
 	pres->listed = false;
 	pres->settling = true;
-	pres->stand_after_us = now + pres->lease_ms * MAG_US_PER_MS;
+	pres->acquire_after_us = now + pres->lease_ms * MAG_US_PER_MS;
 	pres->register_us = now + (int64_t)(mag_random(&pres->seed) % spread);
 }
 
-/* All have written again: who is missing from the next list is gone. */
+/*
+ * All instances have registered again: those missing from the next list are
+ * gone.
+ */
 void pres_store_settled(struct pres *pres)
 {
 	pres->settling = false;
 }
 
-/* Returns how many peers the list that was read last lacks. */
+/* Returns how many known peers were missing from the last list. */
 int pres_missing_count(const struct pres *pres)
 {
 	int missing = 0;
@@ -174,25 +186,27 @@
 	return missing;
 }
 
-/* Gives the placer's lease back, so that others take over at once. */
+/* Releases the placer's lease, so that another instance takes over at once. */
 void pres_leave(struct pres *pres)
 {
 	if (pres->leaving)
 		return;
 	pres->leaving = true;
 	if (pres->lease)
-		sto_end_lease(pres->sto, pres->lease, pres_ended, pres);
+		sto_end_lease(pres->sto, pres->lease, pres_on_lease_ended,
+			      pres);
 	pres->lease = 0;
 }
 
 /*
- * Tells whether this instance may give orders now.  To be asked right before
- * each send: a process that was paused wakes up with a lease long over.
+ * Returns whether this instance may send placement orders now.  Call it
+ * immediately before each send: the lease of a process that was paused may have
+ * expired long ago.
  */
 bool pres_is_placer(const struct pres *pres, int64_t now)
 {
-	return !pres->leaving && pres->lease && now < pres->valid_us &&
-	       strcmp(pres->placer, pres->title) == 0;
+	return !pres->leaving && pres->lease && now < pres->valid_until_us &&
+	       strcmp(pres->placer, pres->placer_value) == 0;
 }
 
 int pres_peer_count(const struct pres *pres)
@@ -206,118 +220,120 @@
 }
 
 /*
- * Keeps the lease alive while this instance is the placer, also when it may
- * have ended: leases may stand still while the store is away, and to go on as
- * the placer spares the data centres some seconds without one.
+ * Renews the lease while this instance is the placer, even if it may have
+ * expired: the store may suspend the expiry of leases while it is unreachable,
+ * and resuming as placer spares the data centres several seconds without one.
  */
 static void pres_renew(struct pres *pres, int64_t now)
 {
-	if (!pres->lease || pres->asking || now < pres->next_us ||
-	    strcmp(pres->placer, pres->title) != 0)
+	if (!pres->lease || pres->lease_call_pending || now < pres->renew_us ||
+	    strcmp(pres->placer, pres->placer_value) != 0)
 		return;
-	pres->asking = true;
+	pres->lease_call_pending = true;
 	pres->sent_us = now;
-	sto_renew_lease(pres->sto, pres->lease, pres_kept, pres);
+	sto_renew_lease(pres->sto, pres->lease, pres_on_renewed, pres);
 }
 
-/* Takes a lease, and with it the placer's key if that is still free. */
-static void pres_stand(struct pres *pres, int64_t now)
+/*
+ * Creates a lease, then writes the placer's key under it if that is still free.
+ */
+static void pres_acquire(struct pres *pres, int64_t now)
 {
-	if (pres->asking || pres->standing)
+	if (pres->lease_call_pending || pres->acquiring)
 		return;
-	if (!pres->lease || now >= pres->valid_us) {
+	if (!pres->lease || now >= pres->valid_until_us) {
 		pres->lease = 0;
-		pres->asking = true;
+		pres->lease_call_pending = true;
 		pres->sent_us = now;
-		pres->placer_free_us = now + PRES_RETRY_US;
-		sto_create_lease(pres->sto, pres->lease_ms, pres_taken, pres);
+		pres->acquire_us = now + PRES_RETRY_US;
+		sto_create_lease(pres->sto, pres->lease_ms,
+				 pres_on_lease_created, pres);
 		return;
 	}
-	pres->standing = true;
-	sto_swap(pres->sto, PRES_PLACER, pres->title, 0, pres->lease,
-		 pres_stood, pres);
+	pres->acquiring = true;
+	sto_swap(pres->sto, PRES_PLACER_KEY, pres->placer_value, 0, pres->lease,
+		 pres_on_acquired, pres);
 }
 
-/* Spreads the tries of all instances, since when the placer is free. */
-static void pres_wait_to_stand(struct pres *pres, int64_t now)
+/* Spreads the attempts of all instances, starting when the role became free. */
+static void pres_schedule_acquire(struct pres *pres, int64_t now)
 {
-	uint64_t spread =
-		(uint64_t)PRES_SPREAD_US * (uint64_t)(pres->peer_count + 1);
+	uint64_t spread = (uint64_t)PRES_ACQUIRE_SPREAD_US *
+			  (uint64_t)(pres->peer_count + 1);
 
-	pres->placer_free_us =
-		now + (int64_t)(mag_random(&pres->seed) % spread);
+	pres->acquire_us = now + (int64_t)(mag_random(&pres->seed) % spread);
 }
 
-static void pres_taken(void *user, enum sto_result result, const char *body,
-		       size_t len)
+static void pres_on_lease_created(void *user, enum sto_result result,
+				  const char *body, size_t len)
 {
 	struct pres *pres = user;
 	int64_t ttl_ms;
 
-	pres->asking = false;
+	pres->lease_call_pending = false;
 	if (result != STO_DONE ||
 	    sto_parse_lease(body, len, &pres->lease, &ttl_ms))
 		return;
 	pres->lease_ms = ttl_ms;
-	pres->valid_us =
-		pres->sent_us + ttl_ms * MAG_US_PER_MS - PRES_MARGIN_US;
-	pres->next_us = pres->sent_us + PRES_RENEW_US;
-	/* Nobody stood first, as far as is known: on with it. */
-	pres->placer_free_us = pres->sent_us;
+	pres->valid_until_us =
+		pres->sent_us + ttl_ms * MAG_US_PER_MS - PRES_LEASE_MARGIN_US;
+	pres->renew_us = pres->sent_us + PRES_RENEW_US;
+	/* As far as is known the role is still free: continue at once. */
+	pres->acquire_us = pres->sent_us;
 }
 
-static void pres_kept(void *user, enum sto_result result, const char *body,
-		      size_t len)
+static void pres_on_renewed(void *user, enum sto_result result,
+			    const char *body, size_t len)
 {
 	struct pres *pres = user;
 
 	(void)body;
 	(void)len;
-	pres->asking = false;
-	pres->next_us = pres->sent_us + PRES_RETRY_US;
+	pres->lease_call_pending = false;
+	pres->renew_us = pres->sent_us + PRES_RETRY_US;
 	if (result == STO_DONE) {
-		pres->valid_us = pres->sent_us +
-				 pres->lease_ms * MAG_US_PER_MS -
-				 PRES_MARGIN_US;
-		pres->next_us = pres->sent_us + PRES_RENEW_US;
+		pres->valid_until_us = pres->sent_us +
+				       pres->lease_ms * MAG_US_PER_MS -
+				       PRES_LEASE_MARGIN_US;
+		pres->renew_us = pres->sent_us + PRES_RENEW_US;
 	} else if (result == STO_MISSING) {
 		pres->lease = 0;
 	}
 }
 
-static void pres_registered(void *user, enum sto_result result,
-			    const char *body, size_t len)
+static void pres_on_registered(void *user, enum sto_result result,
+			       const char *body, size_t len)
 {
 	struct pres *pres = user;
 
 	(void)body;
 	(void)len;
 	pres->registering = false;
-	/* A lost answer or a conflict: the watch shows what holds. */
-	pres->own_right = result == STO_DONE;
+	/* After a lost answer or a conflict the watch shows the result. */
+	pres->own_key_valid = result == STO_DONE;
 	pres->register_us = clk_boot_us() + PRES_RETRY_US;
 }
 
-static void pres_stood(void *user, enum sto_result result, const char *body,
-		       size_t len)
+static void pres_on_acquired(void *user, enum sto_result result,
+			     const char *body, size_t len)
 {
 	struct pres *pres = user;
 
 	(void)body;
 	(void)len;
-	pres->standing = false;
-	pres->placer_free_us = clk_boot_us() + PRES_RETRY_US;
+	pres->acquiring = false;
+	pres->acquire_us = clk_boot_us() + PRES_RETRY_US;
 	if (result != STO_DONE) {
-		/* The watch tells who was first; our lease lapses. */
+		/* The watch shows who was first; our lease expires. */
 		pres->lease = 0;
 		return;
 	}
-	mag_copy_name(pres->placer, sizeof(pres->placer), pres->title);
+	mag_copy_name(pres->placer, sizeof(pres->placer), pres->placer_value);
 	jlog(LOG_PRES_PLACER, "\"placer\":\"%s\",\"self\":true", pres->name);
 }
 
-static void pres_ended(void *user, enum sto_result result, const char *body,
-		       size_t len)
+static void pres_on_lease_ended(void *user, enum sto_result result,
+				const char *body, size_t len)
 {
 	(void)user;
 	(void)result;
@@ -325,63 +341,64 @@
 	(void)len;
 }
 
-/* A whole list of the keys begins. */
+/* Starts a full list of the keys. */
 void pres_list_begin(struct pres *pres)
 {
 	memset(pres->seen, 0, PRES_PEERS_MAX * sizeof(*pres->seen));
 	pres->placer[0] = '\0';
 	pres->own_revision = 0;
-	pres->own_right = false;
+	pres->own_key_valid = false;
 }
 
-/* Takes one key, new, changed or deleted. */
+/* Handles a key that was added, changed or deleted. */
 void pres_item(struct pres *pres, const struct wire_item *item)
 {
-	if (strncmp(item->key, PRES_PEER, strlen(PRES_PEER)) == 0) {
+	if (strncmp(item->key, PRES_INSTANCE_PREFIX,
+		    strlen(PRES_INSTANCE_PREFIX)) == 0) {
 		pres_peer_item(pres, item);
 		return;
 	}
-	if (strcmp(item->key, PRES_PLACER) != 0)
+	if (strcmp(item->key, PRES_PLACER_KEY) != 0)
 		return;
 	pres->placer[0] = '\0';
-	pres_wait_to_stand(pres, clk_boot_us());
+	pres_schedule_acquire(pres, clk_boot_us());
 	if (!item->deleted)
 		snprintf(pres->placer, sizeof(pres->placer), "%s", item->value);
-	if (pres->lost_lease && item->lease == pres->lost_lease &&
-	    strcmp(pres->placer, pres->title) == 0) {
-		/* Still ours; it holds once it was renewed. */
-		pres->lease = pres->lost_lease;
-		pres->next_us = 0;
+	if (pres->previous_lease && item->lease == pres->previous_lease &&
+	    strcmp(pres->placer, pres->placer_value) == 0) {
+		/* The role is still ours; it is valid after a renewal. */
+		pres->lease = pres->previous_lease;
+		pres->renew_us = 0;
 	}
-	pres->lost_lease = 0;
+	pres->previous_lease = 0;
 	jlog(LOG_PRES_PLACER, "\"placer\":\"%s\",\"self\":%s", pres->placer,
-	     strcmp(pres->placer, pres->title) ? "false" : "true");
+	     strcmp(pres->placer, pres->placer_value) ? "false" : "true");
 }
 
-/* The list is whole: peers that it lacks are gone. */
+/* The list is complete: removes peers that are missing from it. */
 void pres_list_end(struct pres *pres)
 {
 	int i;
 
 	for (i = pres->peer_count - 1; i >= 0 && !pres->settling; i--) {
 		if (!pres->seen[i])
-			pres_forget(pres, i);
+			pres_remove_peer(pres, i);
 	}
 	if (!pres->listed && !pres->placer[0])
-		pres_wait_to_stand(pres, clk_boot_us());
+		pres_schedule_acquire(pres, clk_boot_us());
 	pres->listed = true;
 }
 
-/* Takes the key of an instance, which holds its peer address. */
+/* Handles the key of an instance, which holds its peer address. */
 static void pres_peer_item(struct pres *pres, const struct wire_item *item)
 {
-	const char *name = item->key + strlen(PRES_PEER);
+	const char *name = item->key + strlen(PRES_INSTANCE_PREFIX);
 	struct pres_peer peer = { 0 };
 	int i;
 
 	if (strcmp(name, pres->name) == 0) {
 		pres->own_revision = item->deleted ? 0 : item->revision;
-		pres->own_right =
+		pres->own_key_valid =
 			!item->deleted && strcmp(item->value, pres->value) == 0;
 		return;
 	}
@@ -391,7 +408,7 @@
 	}
 	if (item->deleted) {
 		if (i < pres->peer_count)
-			pres_forget(pres, i);
+			pres_remove_peer(pres, i);
 		return;
 	}
 	if (i == PRES_PEERS_MAX || strlen(name) >= MAG_NAME_MAX ||
@@ -405,7 +422,7 @@
 	pres->seen[i] = true;
 }
 
-static void pres_forget(struct pres *pres, int i)
+static void pres_remove_peer(struct pres *pres, int i)
 {
 	pres->peer_count--;
 	pres->peers[i] = pres->peers[pres->peer_count];
--- a/src/pres.h
+++ b/src/pres.h
@@ -3,10 +3,10 @@
 
 /*
  * Presence in the store: the address of each instance, and the lease of the
- * placer.  Addresses stay when an instance ends: each change would wake the
- * watches of all, at a call each, and most instances come back under the same
- * name.  They are hints; only the placer's lease is a right, and it is checked
- * on the boot clock before each use.
+ * placer.  An address remains when its instance stops: each change would end
+ * the watches of all instances, at the cost of a call each, and most instances
+ * restart under the same name.  Addresses are hints.  Only the placer's lease
+ * grants a right, and it is checked against the boot clock before each use.
  */
 
 #include <stdbool.h>
@@ -30,7 +30,7 @@
 		      const char *data_centre, int64_t lease_ms_min,
 		      uint64_t incarnation);
 void pres_free(struct pres *pres);
-/* What the store's keys under PRES_PREFIX hold; from the one follower. */
+/* The store's keys under PRES_PREFIX, passed on by the follower. */
 void pres_list_begin(struct pres *pres);
 void pres_item(struct pres *pres, const struct wire_item *item);
 void pres_list_end(struct pres *pres);
