--- a/regress/check_hint.c
+++ b/regress/check_hint.c
@@ -10,8 +10,8 @@
 #define PEERS_MAX   8
 
 /*
- * One router's table of workers, and peers that tell what they have given
- * each: their messages are written and read as on the wire.
+ * One router's worker table, and peers that report the load that they have
+ * given each worker: their messages are encoded and decoded as on the wire.
  */
 static struct wk_table table;
 static struct wk workers[WORKERS_MAX];
@@ -35,8 +35,8 @@
 	}
 }
 
-/* "gives PEER FROM TO HELD FIRSTS": to workers FROM to TO - 1. */
-static void give(int peer, int from, int to, double held, int firsts)
+/* "gives PEER FROM TO HELD FIRSTS": load on workers FROM to TO - 1. */
+static void set_given(int peer, int from, int to, double held, int firsts)
 {
 	int i;
 
@@ -47,8 +47,8 @@
 	hint_load_collect(&table, 0, &given[peer]);
 }
 
-/* "tell PEER [LOST]": all parts but one that is lost. */
-static void tell(FILE *out, int peer, int lost)
+/* "tell PEER [LOST]": sends all parts except the lost one. */
+static void send_load(FILE *out, int peer, int lost)
 {
 	static struct hint_message message;
 	char bytes[HINT_BYTES_MAX];
@@ -73,8 +73,8 @@
 	fprintf(out, "%u parts\n", parts);
 }
 
-/* "full": all that a message can hold is written and read again. */
-static void fill(FILE *out)
+/* "full": encodes and decodes a message that is filled to its limits. */
+static void send_full_message(FILE *out)
 {
 	static struct hint_message message;
 	static struct hint_message read;
@@ -95,14 +95,17 @@
 		fprintf(out, "does not fit\n");
 		return;
 	}
-	fprintf(out, "worker %u takes %.2f a second, named %u ms ago\n",
+	fprintf(out, "worker %u: limit %.2f per second, announced %u ms ago\n",
 		read.limits[HINT_LIMITS_MAX - 1].worker,
 		(double)read.limits[HINT_LIMITS_MAX - 1].per_s,
 		read.limits[HINT_LIMITS_MAX - 1].age_ms);
 }
 
-/* Adds up and prints the workers that differ from the one before them. */
-static void print(FILE *out)
+/*
+ * Sums the peers' load and prints each worker that differs from the previous
+ * one.
+ */
+static void print_sums(FILE *out)
 {
 	struct hint_index index = { 0 };
 	const struct wk *wk;
@@ -123,7 +126,7 @@
 	hint_load_free(&index);
 }
 
-static void drive(FILE *in, FILE *out)
+static void run_script(FILE *in, FILE *out)
 {
 	char line[LINE_MAX_];
 	double held;
@@ -140,19 +143,19 @@
 			set_workers(n);
 		else if (sscanf(line, "gives %d %d %d %lf %d", &peer, &from,
 				&to, &held, &n) == 5)
-			give(peer, from, to, held, n);
+			set_given(peer, from, to, held, n);
 		else if (sscanf(line, "tell %d %d", &peer, &n) == 2)
-			tell(out, peer, n);
+			send_load(out, peer, n);
 		else if (sscanf(line, "tell %d", &peer) == 1)
-			tell(out, peer, -1);
+			send_load(out, peer, -1);
 		else if (strncmp(line, "full", 4) == 0)
-			fill(out);
+			send_full_message(out);
 		else if (strncmp(line, "loads", 5) == 0)
-			print(out);
+			print_sums(out);
 	}
 }
 
 int main(void)
 {
-	return script_main("regress/hint", drive);
+	return script_main("regress/hint", run_script);
 }
--- a/src/hint.c
+++ b/src/hint.c
@@ -18,42 +18,51 @@
 #include "wkp.h"
 
 /*
- * Routers of a data centre share its workers: what one does not know of the
- * others' new streams it sends to workers that are full.  A data centre starts
- * 60 to 90 streams a second beside room for some 250, so load told this often
- * is wrong by a twentieth.
+ * Routers of a data centre share its workers: a router that does not know of
+ * the others' new streams sends to workers that are full.  A data centre starts
+ * 60 to 90 streams a second and has capacity for about 250, so at this interval
+ * the reported load is off by a twentieth.
  */
-#define HINT_EVERY_US (150 * MAG_US_PER_MS)
-/* A router that was not heard for so long holds nothing. */
-#define HINT_OLD_US (1200 * MAG_US_PER_MS)
-/* Time for which a request that crashes workers is refused after a hint. */
+#define HINT_INTERVAL_US (150 * MAG_US_PER_MS)
+/* The load of a router counts as zero after this long without a message. */
+#define HINT_EXPIRY_US (1200 * MAG_US_PER_MS)
+/* How long a request that crashes workers is refused after a hint. */
 #define HINT_QUARANTINE_US (60 * MAG_US_PER_S)
-/* A suspicion is told in all messages of this time, as one may be lost. */
-#define HINT_SUSPECT_US (600 * MAG_US_PER_MS)
-/* A router that was not heard for so long has no part of a worker's limit. */
-#define HINT_MEMBER_US (10 * MAG_US_PER_S)
-/* Loads of callers are reported as requests in so many seconds. */
+/*
+ * A suspicion is repeated in all messages sent within this time, as one of them
+ * may be lost.
+ */
+#define HINT_SUSPECT_REPEAT_US (600 * MAG_US_PER_MS)
+/*
+ * A router loses its part of a worker's limit after this long without a
+ * message.
+ */
+#define HINT_MEMBER_EXPIRY_US (10 * MAG_US_PER_S)
+/* Caller demand is reported as the number of requests in this many seconds. */
 #define HINT_DEMAND_S 100.0
-/* The load of callers is smoothed over this time. */
-#define HINT_DEMAND_US (2 * MAG_US_PER_S)
-/* Nobody had heard of the store for so long: it was out of reach. */
-#define HINT_LEAP_US (1200 * MAG_US_PER_MS)
+/* Caller demand is smoothed over this time. */
+#define HINT_DEMAND_SMOOTHING_US (2 * MAG_US_PER_S)
+/*
+ * If a peer's claim advances the time of the last confirmation by this much,
+ * the store was unreachable for all routers.
+ */
+#define HINT_OUTAGE_US (1200 * MAG_US_PER_MS)
 /*
- * Peers of the own data centre told in one round, and of the others; where
- * there are more, each hears of us less often, so that the traffic of a router
- * does not grow with the fleet.
+ * Peers in the own data centre, and in others, that are sent a message in each
+ * round.  Where there are more peers, each receives messages less often, so
+ * that the traffic of a router does not grow with the fleet.
  */
-#define HINT_NEAR_MAX 32
-#define HINT_FAR_MAX  4
+#define HINT_LOCAL_PEERS_MAX  32
+#define HINT_REMOTE_PEERS_MAX 4
 
-/* What a peer said last. */
+/* The last message of a peer. */
 struct hint_peer {
 	char name[MAG_NAME_MAX];
-	int64_t heard_us;
+	int64_t received_us;
 	bool ready;
-	struct sockaddr_in from; /* where its last message came from */
+	struct sockaddr_in address; /* source address of its last message */
 	uint32_t session;
-	int64_t stamp_us; /* its newest clock, to be given back */
+	int64_t clock_us; /* its newest clock reading, echoed to it */
 	struct hint_peer_loads loads;
 	struct hint_router router;
 	uint32_t limit_count;
@@ -65,40 +74,40 @@
 	int fd;
 	struct event *readable;
 	int64_t next_us;
-	int turn; /* of the peers, which one is told first in the next round */
+	int next_peer; /* the peer to begin the next round with */
 	struct hint_peer *peers;
 	int peer_count;
 	struct hint_loads own;
-	struct hint_index index; /* as of the last adding up */
-	struct hint_router self; /* as reported to peers last */
-	double demand;		 /* requests a second, smoothed */
-	uint64_t requests;	 /* of callers, when that was computed */
-	int64_t demand_us;	 /* likewise */
-	int limit_turn;		 /* which limit the next message begins with */
+	struct hint_index index; /* as of the last summation */
+	struct hint_router self; /* as last reported to peers */
+	double demand;		 /* requests per second, smoothed */
+	uint64_t requests;	 /* of callers, when demand was updated */
+	int64_t demand_us;	 /* when demand was updated */
+	int next_limit;		 /* the limit to begin the next message with */
 };
 
-static void hint_readable(evutil_socket_t fd, short what, void *arg);
-static void hint_send(struct hint *hint, int near, int far);
-static void hint_send_heard(struct hint *hint, struct hint_message *message);
+static void hint_on_readable(evutil_socket_t fd, short what, void *arg);
+static void hint_send(struct hint *hint, int local, int remote);
+static void hint_send_to_senders(struct hint *hint,
+				 struct hint_message *message);
 static void hint_send_to(struct hint *hint, const struct sockaddr_in *addr,
 			 struct hint_peer *peer, struct hint_message *message);
-static void hint_greet(struct hint *hint, struct hint_peer *peer);
-static struct hint_peer *hint_peer_named(struct hint *hint, const char *name);
-static bool hint_has_suspect(struct hint *hint);
-static void hint_collect(struct hint *hint, struct hint_message *message);
-static void hint_collect_news(struct hint *hint, struct hint_message *message);
-static void hint_take(struct hint *hint, const struct hint_message *message,
-		      const struct sockaddr_in *from);
-static void hint_take_attestation(struct edge *edge,
-				  const struct attest_claim *claim,
-				  int64_t now);
-static void hint_add_up(struct hint *hint, int64_t now);
-static void hint_take_demand(struct hint *hint, int64_t now);
-static void hint_share_limits(struct hint *hint, int64_t now);
-static const struct hint_router *hint_routers(const struct hint *hint,
-					      int64_t now, int *count);
-static void hint_suspect(struct hint *hint, uint32_t hash, const char *peer,
-			 int64_t now);
+static void hint_send_first(struct hint *hint, struct hint_peer *peer);
+static struct hint_peer *hint_find_peer(struct hint *hint, const char *name);
+static bool hint_mark_suspects(struct hint *hint);
+static void hint_fill(struct hint *hint, struct hint_message *message);
+static void hint_fill_crashes(struct hint *hint, struct hint_message *message);
+static void hint_receive(struct hint *hint, const struct hint_message *message,
+			 const struct sockaddr_in *from);
+static void hint_receive_claim(struct edge *edge,
+			       const struct attest_claim *claim, int64_t now);
+static void hint_sum_loads(struct hint *hint, int64_t now);
+static void hint_update_demand(struct hint *hint, int64_t now);
+static void hint_update_limit_parts(struct hint *hint, int64_t now);
+static const struct hint_router *hint_list_routers(const struct hint *hint,
+						   int64_t now, int *count);
+static void hint_receive_suspect(struct hint *hint, uint32_t hash,
+				 const char *peer, int64_t now);
 
 int hint_new(struct edge *edge, struct hint **out)
 {
@@ -121,7 +130,7 @@
 		return HINT_E_SOCKET;
 	}
 	hint->readable = event_new(edge->base, hint->fd, EV_READ | EV_PERSIST,
-				   hint_readable, hint);
+				   hint_on_readable, hint);
 	if (!hint->readable) {
 		hint_free(hint);
 		return HINT_E_MEMORY;
@@ -144,25 +153,25 @@
 	free(hint);
 }
 
-/* Tells some peers, and adds up what all said. */
+/* Sends messages to some peers, and sums the load reported by all. */
 void hint_tick(struct hint *hint, int64_t now)
 {
-	if (hint_has_suspect(hint)) {
+	if (hint_mark_suspects(hint)) {
 		hint_send(hint, HINT_ROUTERS_MAX, HINT_ROUTERS_MAX);
 		return;
 	}
 	if (now < hint->next_us)
 		return;
-	hint->next_us = now + HINT_EVERY_US;
-	hint_take_demand(hint, now);
-	hint_add_up(hint, now);
-	hint_share_limits(hint, now);
-	hint_send(hint, HINT_NEAR_MAX, HINT_FAR_MAX);
+	hint->next_us = now + HINT_INTERVAL_US;
+	hint_update_demand(hint, now);
+	hint_sum_loads(hint, now);
+	hint_update_limit_parts(hint, now);
+	hint_send(hint, HINT_LOCAL_PEERS_MAX, HINT_REMOTE_PEERS_MAX);
 }
 
 /*
- * Lets the next messages go at once: what the store has just shown here spares
- * the other routers of the data centre a call of their own.
+ * Makes the next tick send messages: what the store has just confirmed to this
+ * router saves the other routers of the data centre a call each.
  */
 void hint_send_soon(struct hint *hint, int64_t now)
 {
@@ -170,10 +179,11 @@
 }
 
 /*
- * Tells whether a worker came under suspicion by our own requests since the
- * last message; all peers hear of it at once.
+ * Returns whether a worker came under suspicion because of our own requests
+ * since the last message, and marks it as announced.  All peers are informed at
+ * once.
  */
-static bool hint_has_suspect(struct hint *hint)
+static bool hint_mark_suspects(struct hint *hint)
 {
 	bool found = false;
 	struct wk *wk;
@@ -188,8 +198,11 @@
 	return found;
 }
 
-/* Sends a message to so many peers of our data centre, and of others. */
-static void hint_send(struct hint *hint, int near, int far)
+/*
+ * Sends a message to at most this many peers of our data centre (local), and of
+ * others (remote).
+ */
+static void hint_send(struct hint *hint, int local, int remote)
 {
 	static struct hint_message message;
 	int peers = pres_peer_count(hint->edge->pres);
@@ -199,17 +212,19 @@
 	int *left;
 	int i;
 
-	hint_collect(hint, &message);
-	hint_collect_news(hint, &message);
+	hint_fill(hint, &message);
+	hint_fill_crashes(hint, &message);
 	if (peers == 0)
-		hint_send_heard(hint, &message);
+		hint_send_to_senders(hint, &message);
 	else
-		hint->turn = (hint->turn + HINT_FAR_MAX) % peers;
-	for (i = 0; i < peers && (near > 0 || far > 0); i++) {
-		peer = pres_peer(hint->edge->pres, (hint->turn + i) % peers);
+		hint->next_peer =
+			(hint->next_peer + HINT_REMOTE_PEERS_MAX) % peers;
+	for (i = 0; i < peers && (local > 0 || remote > 0); i++) {
+		peer = pres_peer(hint->edge->pres,
+				 (hint->next_peer + i) % peers);
 		left = strcmp(peer->data_centre, hint->edge->set.data_centre)
-			       ? &far
-			       : &near;
+			       ? &remote
+			       : &local;
 		if (*left == 0)
 			continue;
 		(*left)--;
@@ -217,26 +232,27 @@
 		if (!evutil_parse_sockaddr_port(
 			    peer->address, (struct sockaddr *)&addr, &addr_len))
 			hint_send_to(hint, &addr,
-				     hint_peer_named(hint, peer->name),
+				     hint_find_peer(hint, peer->name),
 				     &message);
 	}
 }
 
 /*
- * A router that started while the store is away has no list of the others;
- * those that know its address tell it theirs by their messages.
+ * A router that started while the store is unreachable has no list of peers; it
+ * learns their addresses from the messages of those that know its own.
  */
-static void hint_send_heard(struct hint *hint, struct hint_message *message)
+static void hint_send_to_senders(struct hint *hint,
+				 struct hint_message *message)
 {
 	int i;
 
 	for (i = 0; i < hint->peer_count; i++)
-		hint_send_to(hint, &hint->peers[i].from, &hint->peers[i],
+		hint_send_to(hint, &hint->peers[i].address, &hint->peers[i],
 			     message);
 }
 
 /*
- * Sends all parts of a message, with the receiver's own clock in it if that is
+ * Sends all parts of a message, with the receiver's own clock echoed if it is
  * known.
  */
 static void hint_send_to(struct hint *hint, const struct sockaddr_in *addr,
@@ -247,28 +263,33 @@
 	size_t len;
 
 	message->claim.session = peer ? peer->session : 0;
-	message->claim.echo_us = peer ? peer->stamp_us : 0;
+	message->claim.echo_us = peer ? peer->clock_us : 0;
 	for (part = 0; part < hint_load_part_count(&hint->own); part++) {
 		hint_load_fill(&hint->own, part, message);
 		if (hint_msg_encode(message, bytes, &len))
 			return;
-		/* A full link drops it; the next one says the same. */
+		/*
+		 * If the socket buffer is full, the datagram is dropped; the
+		 * next one repeats it.
+		 */
 		(void)sendto(hint->fd, bytes, len, 0,
 			     (const struct sockaddr *)addr, sizeof(*addr));
 	}
 }
 
-/* Reports to a router that was heard for the first time; it may not be listed.
+/*
+ * Sends a message to a router from which the first one was received; it may not
+ * be in the list of peers.
  */
-static void hint_greet(struct hint *hint, struct hint_peer *peer)
+static void hint_send_first(struct hint *hint, struct hint_peer *peer)
 {
 	static struct hint_message message;
 
-	hint_collect(hint, &message);
-	hint_send_to(hint, &peer->from, peer, &message);
+	hint_fill(hint, &message);
+	hint_send_to(hint, &peer->address, peer, &message);
 }
 
-static struct hint_peer *hint_peer_named(struct hint *hint, const char *name)
+static struct hint_peer *hint_find_peer(struct hint *hint, const char *name)
 {
 	int i;
 
@@ -279,8 +300,8 @@
 	return NULL;
 }
 
-/* Collects our load, and what else each message says. */
-static void hint_collect(struct hint *hint, struct hint_message *message)
+/* Fills in our load and the other fields that every message has. */
+static void hint_fill(struct hint *hint, struct hint_message *message)
 {
 	struct edge *edge = hint->edge;
 	int64_t now = clk_boot_us();
@@ -296,33 +317,33 @@
 	hint_load_collect(&edge->workers, now, &hint->own);
 	message->data_centre = hint->self.data_centre;
 	message->demand = (uint32_t)(hint->self.demand * HINT_DEMAND_S);
-	hint_limit_collect(&edge->workers, now, &hint->limit_turn, message);
+	hint_limit_collect(&edge->workers, now, &hint->next_limit, message);
 	message->crash_count = 0;
 	message->suspect_count = 0;
 	cds_list_for_each_entry (wk, &edge->workers.workers, node) {
 		if (wk->announced_us &&
-		    now - wk->announced_us < HINT_SUSPECT_US &&
+		    now - wk->announced_us < HINT_SUSPECT_REPEAT_US &&
 		    message->suspect_count < HINT_SUSPECTS_MAX)
 			message->suspects[message->suspect_count++] =
 				hint_load_hash(wk->is.id);
 	}
 }
 
-/* Adds what was learned of requests that crash workers; each is sent once. */
-static void hint_collect_news(struct hint *hint, struct hint_message *message)
+/* Adds newly learned requests that crash workers; each is sent once. */
+static void hint_fill_crashes(struct hint *hint, struct hint_message *message)
 {
 	struct quar *quar = hint->edge->quar;
-	struct hint_crash *news = message->crashes;
+	struct hint_crash *crashes = message->crashes;
 	int64_t until_us;
 
 	while (message->crash_count < HINT_CRASHES_MAX &&
-	       quar_next_news(quar, news[message->crash_count].fingerprint,
-			      &news[message->crash_count].endpoints_lost,
+	       quar_next_news(quar, crashes[message->crash_count].fingerprint,
+			      &crashes[message->crash_count].endpoints_lost,
 			      &until_us))
 		message->crash_count++;
 }
 
-static void hint_readable(evutil_socket_t fd, short what, void *arg)
+static void hint_on_readable(evutil_socket_t fd, short what, void *arg)
 {
 	static struct hint_message message;
 	char bytes[HINT_BYTES_MAX];
@@ -335,17 +356,17 @@
 	while ((len = recvfrom(fd, bytes, sizeof(bytes), 0,
 			       (struct sockaddr *)&from, &from_len)) > 0) {
 		if (!hint_msg_decode(&message, bytes, (size_t)len))
-			hint_take(hint, &message, &from);
+			hint_receive(hint, &message, &from);
 		from_len = sizeof(from);
 	}
 }
 
-static void hint_take(struct hint *hint, const struct hint_message *message,
-		      const struct sockaddr_in *from)
+static void hint_receive(struct hint *hint, const struct hint_message *message,
+			 const struct sockaddr_in *from)
 {
 	struct edge *edge = hint->edge;
 	int64_t now = clk_boot_us();
-	struct hint_peer *peer = hint_peer_named(hint, message->name);
+	struct hint_peer *peer = hint_find_peer(hint, message->name);
 	bool is_new = false;
 	uint32_t k;
 
@@ -354,13 +375,13 @@
 			return;
 		peer = &hint->peers[hint->peer_count++];
 		mag_copy_name(peer->name, sizeof(peer->name), message->name);
-		/* It may wait for a word of others before it serves. */
+		/* It may wait for a peer's message before it serves. */
 		is_new = true;
 	}
-	peer->heard_us = now;
-	peer->from = *from;
+	peer->received_us = now;
+	peer->address = *from;
 	peer->session = message->session;
-	peer->stamp_us = message->sent_us;
+	peer->clock_us = message->sent_us;
 	peer->ready = message->ready != 0;
 	hint_load_receive(&peer->loads, message);
 	peer->router.id = hint_load_hash(peer->name);
@@ -374,39 +395,42 @@
 	if (message->claim.version > edge->newest_version)
 		edge->newest_version = message->claim.version;
 	if (message->store_pos.era == sto_era(edge->sto))
-		hint_take_attestation(edge, &message->claim, now);
+		hint_receive_claim(edge, &message->claim, now);
 	for (k = 0; k < message->suspect_count; k++)
-		hint_suspect(hint, message->suspects[k], message->name, now);
+		hint_receive_suspect(hint, message->suspects[k], message->name,
+				     now);
 	for (k = 0; k < message->crash_count; k++)
 		quar_learn(hint->edge->quar, message->crashes[k].fingerprint,
 			   message->crashes[k].endpoints_lost,
 			   now + HINT_QUARANTINE_US, now);
 	if (is_new)
-		hint_greet(hint, peer);
+		hint_send_first(hint, peer);
 }
 
 /*
- * Takes a peer's statement on the configuration's age.  A leap after an outage
- * shows that the store answers again.
+ * Processes a peer's claim on the age of the configuration.  If the confirmed
+ * time advances by HINT_OUTAGE_US or more, an outage has ended and the store
+ * answers again.
  */
-static void hint_take_attestation(struct edge *edge,
-				  const struct attest_claim *claim, int64_t now)
+static void hint_receive_claim(struct edge *edge,
+			       const struct attest_claim *claim, int64_t now)
 {
 	int64_t before_us = edge->attest.confirmed_us;
 
 	if (!edge->rt ||
 	    !attest_from_peer(&edge->attest, claim, edge->rt->version, now))
 		return;
-	if (edge->attest.confirmed_us - before_us >= HINT_LEAP_US)
+	if (edge->attest.confirmed_us - before_us >= HINT_OUTAGE_US)
 		sto_follow_retry_now(edge->follow);
 }
 
 /*
- * A peer found a worker dead or stuck by its own requests.  It is asked at
- * once: its answer clears it, its silence moves what waits for it here.
+ * A peer found a worker dead or stuck through its own requests.  The worker is
+ * probed at once: its answer clears it; without an answer, requests that wait
+ * for it here are moved to other workers.
  */
-static void hint_suspect(struct hint *hint, uint32_t hash, const char *peer,
-			 int64_t now)
+static void hint_receive_suspect(struct hint *hint, uint32_t hash,
+				 const char *peer, int64_t now)
 {
 	struct wk *wk;
 
@@ -422,9 +446,9 @@
 }
 
 /*
- * Tells whether a caller that is refused here would be taken by another
- * router: one was heard to be ready, or none was heard at all, when this
- * router is the one that is cut off.
+ * Returns whether another router would accept a caller that is refused here: a
+ * peer reported that it is ready, or no peer has sent a message lately, which
+ * means that this router is the one that is cut off.
  */
 bool hint_others_ready(const struct hint *hint, int64_t now)
 {
@@ -432,7 +456,7 @@
 	int i;
 
 	for (i = 0; i < hint->peer_count; i++) {
-		if (now - hint->peers[i].heard_us > HINT_OLD_US)
+		if (now - hint->peers[i].received_us > HINT_EXPIRY_US)
 			continue;
 		heard = true;
 		if (hint->peers[i].ready)
@@ -442,11 +466,11 @@
 }
 
 /*
- * Adds the load of all peers up for each worker.  Peers name workers by a
+ * Sums the load of all peers for each worker.  Peers identify workers by a
  * hash, which is looked up in a sorted index: hundreds of peers with dozens of
- * loads each are met many times a second.
+ * loads each are processed many times a second.
  */
-static void hint_add_up(struct hint *hint, int64_t now)
+static void hint_sum_loads(struct hint *hint, int64_t now)
 {
 	const struct hint_peer *peer;
 	int i;
@@ -455,20 +479,23 @@
 		return;
 	for (i = 0; i < hint->peer_count; i++) {
 		peer = &hint->peers[i];
-		if (now - peer->heard_us > HINT_OLD_US)
+		if (now - peer->received_us > HINT_EXPIRY_US)
 			continue;
-		hint_load_add(&hint->index, &peer->loads, peer->heard_us);
+		hint_load_add(&hint->index, &peer->loads, peer->received_us);
 		hint_limit_add(&hint->index, peer->limits, peer->limit_count,
-			       peer->heard_us, now);
+			       peer->received_us, now);
 	}
 }
 
-/* Smooths the load of callers; parts of limits go by what was reported. */
-static void hint_take_demand(struct hint *hint, int64_t now)
+/*
+ * Smooths caller demand; the parts of limits are computed from the demand as
+ * reported.
+ */
+static void hint_update_demand(struct hint *hint, int64_t now)
 {
 	uint64_t requests = hint->edge->met.counters[MET_REQUESTS];
 	double passed_us = (double)(now - hint->demand_us);
-	double weight = passed_us / HINT_DEMAND_US;
+	double weight = passed_us / HINT_DEMAND_SMOOTHING_US;
 	double rate;
 
 	if (passed_us <= 0)
@@ -482,8 +509,8 @@
 	hint->self.demand = hint->demand;
 }
 
-/* Sets this router's part of each limit that workers name. */
-static void hint_share_limits(struct hint *hint, int64_t now)
+/* Sets this router's part of each limit that a worker has announced. */
+static void hint_update_limit_parts(struct hint *hint, int64_t now)
 {
 	const struct hint_router *routers = NULL;
 	int count = 0;
@@ -493,26 +520,27 @@
 		if (!wk->thr.limited)
 			continue;
 		if (!routers)
-			routers = hint_routers(hint, now, &count);
+			routers = hint_list_routers(hint, now, &count);
 		thr_set_part(&wk->thr,
 			     hint_limit_part(routers, count, hint->self.id, wk),
 			     now);
 	}
 }
 
-/* Returns this router's part of the limit that a worker names. */
+/* Returns this router's part of the limit that a worker has announced. */
 double hint_own_limit_part(const struct hint *hint, const struct wk *wk,
 			   int64_t now)
 {
 	int count;
-	const struct hint_router *routers = hint_routers(hint, now, &count);
+	const struct hint_router *routers =
+		hint_list_routers(hint, now, &count);
 
 	return hint_limit_part(routers, count, hint->self.id, wk);
 }
 
-/* Lists this router and those heard lately; valid until the next call. */
-static const struct hint_router *hint_routers(const struct hint *hint,
-					      int64_t now, int *count)
+/* Lists this router and its recent senders; valid until the next call. */
+static const struct hint_router *hint_list_routers(const struct hint *hint,
+						   int64_t now, int *count)
 {
 	static struct hint_router routers[HINT_ROUTERS_MAX + 1];
 	int i;
@@ -520,7 +548,7 @@
 	*count = 0;
 	routers[(*count)++] = hint->self;
 	for (i = 0; i < hint->peer_count; i++) {
-		if (now - hint->peers[i].heard_us <= HINT_MEMBER_US)
+		if (now - hint->peers[i].received_us <= HINT_MEMBER_EXPIRY_US)
 			routers[(*count)++] = hint->peers[i].router;
 	}
 	return routers;
--- a/src/hint.h
+++ b/src/hint.h
@@ -2,9 +2,9 @@
 #define HINT_H
 
 /*
- * Hints between the routers: how much of each worker they have taken, and
- * which requests crash workers.  Datagrams in XDR; a lost one is made up for
- * by the next.  Nothing that must hold rests on them.
+ * Hints that routers exchange: the load that each has given every worker, and
+ * the requests that crash workers.  They are XDR datagrams; the next one makes
+ * up for one that is lost.  Nothing may depend on hints for correctness.
  */
 
 #include <stdbool.h>
--- a/src/hint_limit.c
+++ b/src/hint_limit.c
@@ -1,10 +1,10 @@
 #include "hint_limit.h"
 
 /*
- * Lists the limits that are known, with the time since the worker named them.
- * Where there are more than fit, the next message begins where this one ends.
+ * Lists the known limits, with the time since the worker announced each.  If
+ * they do not all fit, the next message starts where this one ends.
  */
-void hint_limit_collect(const struct wk_table *table, int64_t now, int *turn,
+void hint_limit_collect(const struct wk_table *table, int64_t now, int *next,
 			struct hint_message *message)
 {
 	struct hint_limit *limit;
@@ -17,8 +17,8 @@
 	message->limit_count = 0;
 	if (known == 0)
 		return;
-	skip = known > HINT_LIMITS_MAX ? *turn % known : 0;
-	*turn = skip + HINT_LIMITS_MAX;
+	skip = known > HINT_LIMITS_MAX ? *next % known : 0;
+	*next = skip + HINT_LIMITS_MAX;
 	cds_list_for_each_entry (wk, &table->workers, node) {
 		if (!wk->thr.limited || skip-- > 0)
 			continue;
@@ -32,10 +32,10 @@
 	}
 }
 
-/* Takes the limits that a peer passed on at heard_us. */
+/* Applies the limits in a peer's message that was received at received_us. */
 void hint_limit_add(const struct hint_index *index,
 		    const struct hint_limit *limits, uint32_t count,
-		    int64_t heard_us, int64_t now)
+		    int64_t received_us, int64_t now)
 {
 	const struct hint_slot *slot;
 	uint32_t i;
@@ -46,16 +46,16 @@
 		       slot->hash == limits[i].worker;
 		     slot++)
 			wk_limit_from_peer(slot->wk, (double)limits[i].per_s,
-					   heard_us - limits[i].age_ms *
-							      MAG_US_PER_MS,
+					   received_us - limits[i].age_ms *
+								 MAG_US_PER_MS,
 					   now);
 	}
 }
 
 /*
  * Returns a router's part of a worker's limit.  The routers of the worker's
- * data centre share it, or all where none is there: others have workers of
- * their own.
+ * data centre share it, or all routers if there is none: routers of other data
+ * centres have workers of their own.
  */
 double hint_limit_part(const struct hint_router *routers, int count,
 		       uint32_t self, const struct wk *wk)
--- a/src/hint_load.c
+++ b/src/hint_load.c
@@ -3,20 +3,20 @@
 
 #include "hint_load.h"
 
-/* A worker's own report of its pace is passed on for this long. */
-#define HINT_SLOWDOWN_US (300 * MAG_US_PER_MS)
-/* A pace outside of this is no pace; a peer may be wrong. */
-#define HINT_SLOWDOWN_LEAST 0.01F
-#define HINT_SLOWDOWN_MOST  1000.0F
+/* A slowdown that a worker reported is relayed for this long. */
+#define HINT_SLOWDOWN_EXPIRY_US (300 * MAG_US_PER_MS)
+/* A slowdown outside this range is invalid; a peer may be wrong. */
+#define HINT_SLOWDOWN_MIN 0.01F
+#define HINT_SLOWDOWN_MAX 1000.0F
 
 static float hint_slowdown(const struct wk *wk, int64_t now);
 static void hint_add_load(const struct hint_index *index,
-			  const struct hint_load *load, int64_t heard_us);
-static void hint_take_slowdown(struct wk *wk, const struct hint_load *load,
-			       int64_t heard_us);
-static int hint_by_hash(const void *a, const void *b);
+			  const struct hint_load *load, int64_t received_us);
+static void hint_set_slowdown(struct wk *wk, const struct hint_load *load,
+			      int64_t received_us);
+static int hint_compare_hash(const void *a, const void *b);
 
-/* Lists the workers that this router has given something. */
+/* Lists the workers to which this router has given load. */
 void hint_load_collect(const struct wk_table *table, int64_t now,
 		       struct hint_loads *own)
 {
@@ -39,8 +39,7 @@
 	}
 }
 
-/* Returns how many datagrams it takes to tell a load; an empty one takes one.
- */
+/* Returns the number of datagrams for a load; an empty load takes one. */
 uint32_t hint_load_part_count(const struct hint_loads *own)
 {
 	if (own->count == 0)
@@ -64,7 +63,7 @@
 	       count * sizeof(message->loads[0]));
 }
 
-/* Takes a part of a peer's load; parts that are lost stay as they were. */
+/* Stores a received part of a peer's load; lost parts keep their old values. */
 void hint_load_receive(struct hint_peer_loads *peer,
 		       const struct hint_message *message)
 {
@@ -79,8 +78,8 @@
 }
 
 /*
- * Clears what peers hold of each worker, and what they cannot have counted
- * yet, and indexes the workers by hash.
+ * Clears the peers' load on each worker, and our load that peers cannot have
+ * counted yet, and indexes the workers by hash.
  */
 int hint_load_index_workers(struct hint_index *index,
 			    const struct wk_table *table)
@@ -109,24 +108,25 @@
 			(struct hint_slot){ hint_load_hash(wk->is.id), wk };
 	}
 	qsort(index->slots, (size_t)index->count, sizeof(index->slots[0]),
-	      hint_by_hash);
+	      hint_compare_hash);
 	return HINT_LOAD_OK;
 }
 
-/* Adds what one peer holds to the workers that it names. */
+/* Adds the load of one peer to the workers that it names. */
 void hint_load_add(const struct hint_index *index,
-		   const struct hint_peer_loads *peer, int64_t heard_us)
+		   const struct hint_peer_loads *peer, int64_t received_us)
 {
 	uint32_t part;
 	uint32_t i;
 
 	for (part = 0; part < peer->part_count; part++) {
 		for (i = 0; i < peer->counts[part]; i++)
-			hint_add_load(index, &peer->loads[part][i], heard_us);
+			hint_add_load(index, &peer->loads[part][i],
+				      received_us);
 	}
 }
 
-/* Returns the first worker with a hash, others may follow, or NULL. */
+/* Returns the first worker with a hash, or NULL; others may follow it. */
 const struct hint_slot *hint_load_find(const struct hint_index *index,
 				       uint32_t hash)
 {
@@ -152,7 +152,7 @@
 	memset(index, 0, sizeof(*index));
 }
 
-/* FNV-1a of a worker's id. */
+/* FNV-1a hash of a worker's id. */
 uint32_t hint_load_hash(const char *id)
 {
 	uint32_t hash = 2166136261U;
@@ -162,16 +162,16 @@
 	return hash;
 }
 
-/* Returns a worker's slowdown for a message, 0 if it was learned long ago. */
+/* Returns a worker's slowdown for a message, 0 if it is outdated. */
 static float hint_slowdown(const struct wk *wk, int64_t now)
 {
-	if (!wk->reported_us || now - wk->reported_us > HINT_SLOWDOWN_US)
+	if (!wk->reported_us || now - wk->reported_us > HINT_SLOWDOWN_EXPIRY_US)
 		return 0;
 	return (float)wk->slowdown;
 }
 
 static void hint_add_load(const struct hint_index *index,
-			  const struct hint_load *load, int64_t heard_us)
+			  const struct hint_load *load, int64_t received_us)
 {
 	const struct hint_slot *end = index->slots + index->count;
 	const struct hint_slot *slot = hint_load_find(index, load->worker);
@@ -179,23 +179,23 @@
 	for (; slot && slot < end && slot->hash == load->worker; slot++) {
 		slot->wk->peer_held += (double)load->held;
 		slot->wk->peer_firsts += (int)load->first_stage_requests;
-		hint_take_slowdown(slot->wk, load, heard_us);
+		hint_set_slowdown(slot->wk, load, received_us);
 	}
 }
 
-/* A peer's newer report spares us a question of our own. */
-static void hint_take_slowdown(struct wk *wk, const struct hint_load *load,
-			       int64_t heard_us)
+/* A newer report from a peer saves us a probe of our own. */
+static void hint_set_slowdown(struct wk *wk, const struct hint_load *load,
+			      int64_t received_us)
 {
-	if (!(load->slowdown >= HINT_SLOWDOWN_LEAST &&
-	      load->slowdown <= HINT_SLOWDOWN_MOST) ||
-	    heard_us <= wk->slowdown_us)
+	if (!(load->slowdown >= HINT_SLOWDOWN_MIN &&
+	      load->slowdown <= HINT_SLOWDOWN_MAX) ||
+	    received_us <= wk->slowdown_us)
 		return;
 	wk->slowdown = (double)load->slowdown;
-	wk->slowdown_us = heard_us;
+	wk->slowdown_us = received_us;
 }
 
-static int hint_by_hash(const void *a, const void *b)
+static int hint_compare_hash(const void *a, const void *b)
 {
 	const struct hint_slot *x = a;
 	const struct hint_slot *y = b;
--- a/src/hint_msg.c
+++ b/src/hint_msg.c
@@ -6,16 +6,19 @@
 
 #define HINT_MSG_MAGIC	 0x4d414748U
 #define HINT_MSG_VERSION 6U
-/* A load on the wire: 16 bits of memory, 8 of firsts, 8 of slowdown. */
-#define HINT_HELD_UNIT	   1024.0F /* tokens x layers */
-#define HINT_HELD_MOST	   0xffffU
-#define HINT_FIRSTS_MOST   0xffU
-#define HINT_SLOWDOWN_UNIT (1 / 16.0F)
-#define HINT_SLOWDOWN_MOST 0xffU
-/* A limit on the wire: 16 bits of requests a second, 16 of its age in ms. */
+/*
+ * A load is encoded as 16 bits of memory, 8 of first-stage requests, 8 of
+ * slowdown.
+ */
+#define HINT_HELD_UNIT	     1024.0F /* tokens x layers */
+#define HINT_HELD_MAX	     0xffffU
+#define HINT_FIRST_STAGE_MAX 0xffU
+#define HINT_SLOWDOWN_UNIT   (1 / 16.0F)
+#define HINT_SLOWDOWN_MAX    0xffU
+/* A limit is encoded as 16 bits of requests per second and 16 of age in ms. */
 #define HINT_LIMIT_UNIT (1 / 16.0F)
-#define HINT_LIMIT_MOST 0xffffU
-#define HINT_AGE_MOST	0xffffU
+#define HINT_LIMIT_MAX	0xffffU
+#define HINT_AGE_MAX	0xffffU
 
 static bool_t hint_msg_xdr(XDR *xdr, struct hint_message *message);
 static bool_t hint_msg_claim(XDR *xdr, struct hint_message *message);
@@ -23,9 +26,9 @@
 static bool_t hint_msg_load(XDR *xdr, struct hint_load *load);
 static bool_t hint_msg_limits(XDR *xdr, struct hint_message *message);
 static bool_t hint_msg_limit(XDR *xdr, struct hint_limit *limit);
-static uint32_t hint_msg_round(float value, float unit, uint32_t most);
+static uint32_t hint_msg_round(float value, float unit, uint32_t max);
 
-/* Writes a message into HINT_BYTES_MAX bytes. */
+/* Encodes a message into a buffer of HINT_BYTES_MAX bytes. */
 int hint_msg_encode(struct hint_message *message, char *bytes, size_t *len)
 {
 	XDR xdr;
@@ -37,7 +40,7 @@
 	return 0;
 }
 
-/* Reads a message; of another version it is none. */
+/* Decodes a message; one of another version is rejected. */
 int hint_msg_decode(struct hint_message *message, char *bytes, size_t len)
 {
 	XDR xdr;
@@ -46,7 +49,7 @@
 	return hint_msg_xdr(&xdr, message) ? 0 : -1;
 }
 
-/* The whole message, in both directions. */
+/* Encodes or decodes the whole message. */
 static bool_t hint_msg_xdr(XDR *xdr, struct hint_message *message)
 {
 	uint32_t version = HINT_MSG_VERSION;
@@ -78,7 +81,9 @@
 	return hint_msg_limits(xdr, message);
 }
 
-/* What the sender knows of the configuration, and the receiver's own clock. */
+/*
+ * The sender's knowledge of the configuration, and the receiver's echoed clock.
+ */
 static bool_t hint_msg_claim(XDR *xdr, struct hint_message *message)
 {
 	struct attest_claim *claim = &message->claim;
@@ -118,24 +123,24 @@
 
 	if (xdr->x_op == XDR_ENCODE) {
 		packed = hint_msg_round(load->held, HINT_HELD_UNIT,
-					HINT_HELD_MOST)
+					HINT_HELD_MAX)
 				 << 16 |
 			 hint_msg_round((float)load->first_stage_requests, 1,
-					HINT_FIRSTS_MOST)
+					HINT_FIRST_STAGE_MAX)
 				 << 8 |
 			 hint_msg_round(load->slowdown, HINT_SLOWDOWN_UNIT,
-					HINT_SLOWDOWN_MOST);
+					HINT_SLOWDOWN_MAX);
 	}
 	if (!xdr_uint32_t(xdr, &load->worker) || !xdr_uint32_t(xdr, &packed))
 		return FALSE;
 	load->held = (float)(packed >> 16) * HINT_HELD_UNIT;
-	load->first_stage_requests = packed >> 8 & HINT_FIRSTS_MOST;
+	load->first_stage_requests = packed >> 8 & HINT_FIRST_STAGE_MAX;
 	load->slowdown =
-		(float)(packed & HINT_SLOWDOWN_MOST) * HINT_SLOWDOWN_UNIT;
+		(float)(packed & HINT_SLOWDOWN_MAX) * HINT_SLOWDOWN_UNIT;
 	return TRUE;
 }
 
-/* Where the sender is, its load, and the limits of workers that it knows. */
+/* The sender's data centre and demand, and the worker limits that it knows. */
 static bool_t hint_msg_limits(XDR *xdr, struct hint_message *message)
 {
 	uint32_t i;
@@ -158,24 +163,24 @@
 
 	if (xdr->x_op == XDR_ENCODE) {
 		packed = hint_msg_round(limit->per_s, HINT_LIMIT_UNIT,
-					HINT_LIMIT_MOST)
+					HINT_LIMIT_MAX)
 				 << 16 |
-			 (limit->age_ms < HINT_AGE_MOST ? limit->age_ms
-							: HINT_AGE_MOST);
+			 (limit->age_ms < HINT_AGE_MAX ? limit->age_ms
+						       : HINT_AGE_MAX);
 	}
 	if (!xdr_uint32_t(xdr, &limit->worker) || !xdr_uint32_t(xdr, &packed))
 		return FALSE;
 	limit->per_s = (float)(packed >> 16) * HINT_LIMIT_UNIT;
-	limit->age_ms = packed & HINT_AGE_MOST;
+	limit->age_ms = packed & HINT_AGE_MAX;
 	return TRUE;
 }
 
-/* Rounds a value to whole units, at most so many. */
-static uint32_t hint_msg_round(float value, float unit, uint32_t most)
+/* Rounds a value to whole units, with an upper bound. */
+static uint32_t hint_msg_round(float value, float unit, uint32_t max)
 {
 	float units = roundf(value / unit);
 
 	if (!(units > 0))
 		return 0;
-	return units < (float)most ? (uint32_t)units : most;
+	return units < (float)max ? (uint32_t)units : max;
 }
--- a/src/hint_msg.h
+++ b/src/hint_msg.h
@@ -1,7 +1,7 @@
 #ifndef HINT_MSG_H
 #define HINT_MSG_H
 
-/* The datagram that routers tell each other, and its form in XDR. */
+/* The datagram that routers exchange, and its XDR encoding. */
 
 #include <stddef.h>
 #include <stdint.h>
@@ -10,34 +10,34 @@
 #include "attest.h"
 #include "pos.h"
 
-/* A datagram stays below the smallest common transfer unit. */
+/* A datagram must fit the smallest common MTU. */
 #define HINT_BYTES_MAX	  1400
-#define HINT_LOADS_MAX	  112 /* in one datagram */
-#define HINT_PARTS_MAX	  4   /* datagrams that tell one router's load */
+#define HINT_LOADS_MAX	  112 /* per datagram */
+#define HINT_PARTS_MAX	  4   /* datagrams for the load of one router */
 #define HINT_CRASHES_MAX  4
 #define HINT_SUSPECTS_MAX 16
 #define HINT_LIMITS_MAX	  16
-#define HINT_ROUTERS_MAX  1024 /* that one router knows */
+#define HINT_ROUTERS_MAX  1024 /* that a router knows */
 
 /*
- * What a router has given a worker.  On the wire it takes eight bytes, with
- * memory and slowdown rounded to the units in hint_msg.c.
+ * The load that a router has given a worker.  It is encoded in eight bytes,
+ * with memory and slowdown rounded to the units in hint_msg.c.
  */
 struct hint_load {
 	uint32_t worker; /* hash of its id */
-	float held;	 /* tokens x layers */
+	float held;	 /* tokens x layers held */
 	uint32_t first_stage_requests;
-	float slowdown; /* as learned a moment ago; 0: not known */
+	float slowdown; /* reported recently; 0: unknown */
 };
 
 /*
- * A rate limit that a worker named.  On the wire it takes eight bytes, with
+ * A rate limit that a worker announced.  It is encoded in eight bytes, with
  * limit and age rounded to the units in hint_msg.c.
  */
 struct hint_limit {
 	uint32_t worker; /* hash of its id */
-	float per_s;	 /* requests a second of all routers */
-	uint32_t age_ms; /* since the worker named it */
+	float per_s;	 /* requests per second over all routers */
+	uint32_t age_ms; /* since the worker announced it */
 };
 
 /* A request that crashes workers. */
@@ -48,13 +48,12 @@
 
 struct hint_message {
 	char name[MAG_NAME_MAX];
-	uint32_t ready; /* it takes callers and can check their keys */
+	uint32_t ready; /* accepts callers and can check their keys */
 	uint32_t session;
 	int64_t sent_us;      /* the sender's clock */
-	struct pos store_pos; /* in the store's history, up to which the sender
-			 knows all */
+	struct pos store_pos; /* the sender knows everything up to it */
 	struct attest_claim claim;
-	uint32_t part; /* of the sender's load that is in this message */
+	uint32_t part; /* index of this part of the sender's load */
 	uint32_t part_count;
 	uint32_t load_count;
 	struct hint_load loads[HINT_LOADS_MAX];
@@ -68,7 +67,7 @@
 	struct hint_limit limits[HINT_LIMITS_MAX];
 };
 
-/* Each returns a negative number for what is no message, or does not fit. */
+/* Both return a negative number if the message is invalid or does not fit. */
 int hint_msg_encode(struct hint_message *message, char *bytes, size_t *len);
 int hint_msg_decode(struct hint_message *message, char *bytes, size_t len);
 
