--- a/src/attest.c
+++ b/src/attest.c
@@ -2,42 +2,47 @@
 
 #include "attest.h"
 
-/* Part of the bound for which keys are trusted: clocks run slightly apart. */
-#define ATTEST_TRUST_SHARE 0.98
 /*
- * After this part of the bound a router says that it is not ready, so that
- * the balancer has moved its callers when it must refuse them.
+ * Fraction of the bound during which account keys are trusted: clocks run at
+ * slightly different rates.
  */
-#define ATTEST_READY_SHARE 0.6
+#define ATTEST_TRUST_FRACTION 0.98
 /*
- * The store is asked when knowledge has not become younger for so long, or
- * up to so much later for each router that hears the answer: mostly one of
- * them asks for all.  The spread ends where keys would be refused for it.
+ * After this fraction of the bound a router reports that it is not ready, so
+ * that the load balancer has moved its callers before it must refuse them.
  */
-#define ATTEST_ASK_US	     (400 * MAG_US_PER_MS)
-#define ATTEST_ASK_EACH_US   (100 * MAG_US_PER_MS)
-#define ATTEST_ASK_SPREAD_US (1600 * MAG_US_PER_MS)
-/* Pause after an ask that changed nothing; twice as long each time. */
-#define ATTEST_ASK_AGAIN_US (500 * MAG_US_PER_MS)
-#define ATTEST_ASK_DOUBLE   2
+#define ATTEST_READY_FRACTION 0.6
 /*
- * A watch that fails is tried again after so long for each router at most:
- * in an outage of the store the calls of all of them together stay bounded,
- * and the first one that is answered tells the others.
+ * The store is queried when the configuration has not been confirmed for this
+ * long, plus a random delay that grows with the number of routers, each of
+ * which learns the answer: mostly one router queries for all.  The delay is
+ * limited where account keys would otherwise be refused because of it.
  */
-#define ATTEST_RETRY_EACH_US  (50 * MAG_US_PER_MS)
-#define ATTEST_RETRY_LEAST_US (500 * MAG_US_PER_MS)
-#define ATTEST_RETRY_MOST_US  (2 * MAG_US_PER_S)
+#define ATTEST_QUERY_US	       (400 * MAG_US_PER_MS)
+#define ATTEST_QUERY_EACH_US   (100 * MAG_US_PER_MS)
+#define ATTEST_QUERY_SPREAD_US (1600 * MAG_US_PER_MS)
+/* Delay after a query that confirmed nothing; it doubles each time. */
+#define ATTEST_QUERY_RETRY_US (500 * MAG_US_PER_MS)
+#define ATTEST_QUERY_BACKOFF  2
 /*
- * Changes are gathered for so long before the next watch, so that one call
- * tells of many, but for no more than a part of the shorter bound: a lost call
- * can be made again within it.  Work is placed by what workers were last told
- * to hold, which is why a longer bound does not make it longer.
+ * The longest delay before a failed watch is retried, per router: in an outage
+ * of the store the calls of all routers together stay bounded, and the first
+ * router that gets an answer informs the others.
  */
-#define ATTEST_GATHER_US    (800 * MAG_US_PER_MS)
-#define ATTEST_GATHER_SHARE 0.4
+#define ATTEST_RETRY_EACH_US (50 * MAG_US_PER_MS)
+#define ATTEST_RETRY_MIN_US  (500 * MAG_US_PER_MS)
+#define ATTEST_RETRY_MAX_US  (2 * MAG_US_PER_S)
+/*
+ * Changes are collected for this long before the next watch, so that one call
+ * returns several, but for no more than a fraction of the shorter bound: a lost
+ * call can then be repeated within the bound.  A longer bound does not extend
+ * the delay, because work is placed by the layers that workers were last known
+ * to hold.
+ */
+#define ATTEST_COALESCE_US	 (800 * MAG_US_PER_MS)
+#define ATTEST_COALESCE_FRACTION 0.4
 
-static int64_t attest_pause(struct attest *attest, int routers);
+static int64_t attest_query_delay(struct attest *attest, int routers);
 
 void attest_init(struct attest *attest, uint32_t session, uint64_t seed)
 {
@@ -46,7 +51,7 @@
 	attest->seed = seed | 1;
 }
 
-/* The store has shown that the set in force was the newest at a time. */
+/* Records that the set in force was the newest in the store at a time. */
 void attest_from_store(struct attest *attest, int64_t at_us)
 {
 	if (at_us > attest->confirmed_us)
@@ -54,26 +59,26 @@
 }
 
 /*
- * Takes a peer's statement if it is about the version in force here, or an
- * older one, and answers a message of this process.  Returns true if knowledge
- * became younger by it.
+ * Accepts a peer's claim if it concerns the version in force here or an older
+ * one, and echoes a clock reading of this process.  Returns true if this moved
+ * the time of the last confirmation forward.
  */
 bool attest_from_peer(struct attest *attest, const struct attest_claim *claim,
 		      int64_t version, int64_t now)
 {
-	int64_t fresh_us;
+	int64_t confirmed_us;
 
 	if (claim->session != attest->session || claim->version > version ||
 	    claim->echo_us < 0 || claim->echo_us > now || claim->age_us < 0)
 		return false;
-	fresh_us = claim->echo_us - claim->age_us;
-	if (fresh_us <= attest->confirmed_us)
+	confirmed_us = claim->echo_us - claim->age_us;
+	if (confirmed_us <= attest->confirmed_us)
 		return false;
-	attest->confirmed_us = fresh_us;
+	attest->confirmed_us = confirmed_us;
 	return true;
 }
 
-/* Fills in what this instance knows; the receiver's fields are the caller's. */
+/* Fills in what this instance knows; the caller sets the receiver's fields. */
 void attest_fill_claim(const struct attest *attest, int64_t version,
 		       int64_t now, struct attest_claim *claim)
 {
@@ -81,71 +86,78 @@
 	claim->age_us = attest->confirmed_us ? now - attest->confirmed_us : -1;
 }
 
-/* Tells whether a key that is in force here may be accepted. */
+/* Returns whether an account key in force here may be accepted. */
 bool attest_is_trusted(const struct attest *attest, int64_t bound_us,
 		       int64_t now)
 {
 	return attest->confirmed_us &&
 	       (double)(now - attest->confirmed_us) <
-		       (double)bound_us * ATTEST_TRUST_SHARE;
+		       (double)bound_us * ATTEST_TRUST_FRACTION;
 }
 
-/* Tells whether keys will be refused here if nothing comes in some time. */
+/*
+ * Returns whether account keys will be refused here soon unless the
+ * configuration is confirmed.
+ */
 bool attest_soon_untrusted(const struct attest *attest, int64_t bound_us,
 			   int64_t now)
 {
 	return !attest->confirmed_us ||
 	       (double)(now - attest->confirmed_us) >=
-		       (double)bound_us * ATTEST_READY_SHARE;
+		       (double)bound_us * ATTEST_READY_FRACTION;
 }
 
-/* Returns the longest pause between two tries of a watch that fails. */
+/* Returns the longest delay between attempts of a failing watch. */
 int64_t attest_retry_max_us(int routers)
 {
-	int64_t pause = ATTEST_RETRY_EACH_US * routers;
+	int64_t delay = ATTEST_RETRY_EACH_US * routers;
 
-	if (pause < ATTEST_RETRY_LEAST_US)
-		return ATTEST_RETRY_LEAST_US;
-	return pause < ATTEST_RETRY_MOST_US ? pause : ATTEST_RETRY_MOST_US;
+	if (delay < ATTEST_RETRY_MIN_US)
+		return ATTEST_RETRY_MIN_US;
+	return delay < ATTEST_RETRY_MAX_US ? delay : ATTEST_RETRY_MAX_US;
 }
 
 /*
- * Returns how long changes of the store may gather, under the bounds within
- * which a configuration is in force and a leaving worker gets nothing new.
+ * Returns how long store changes may be collected, given the bounds within
+ * which a new configuration takes effect and a leaving worker gets no new
+ * requests.
  */
 int64_t attest_coalesce_us(int64_t config_apply_us, int64_t drain_us)
 {
 	int64_t bound_us =
 		config_apply_us < drain_us ? config_apply_us : drain_us;
-	int64_t most_us = (int64_t)((double)bound_us * ATTEST_GATHER_SHARE);
+	int64_t max_us = (int64_t)((double)bound_us * ATTEST_COALESCE_FRACTION);
 
-	return most_us < ATTEST_GATHER_US ? most_us : ATTEST_GATHER_US;
+	return max_us < ATTEST_COALESCE_US ? max_us : ATTEST_COALESCE_US;
 }
 
-/* Tells whether this instance should ask the store now, and plans the next. */
+/*
+ * Returns whether this instance should query the store now, and schedules the
+ * next query.
+ */
 bool attest_query_due(struct attest *attest, int routers, int64_t now)
 {
 	if (attest->planned_for_us != attest->confirmed_us) {
 		attest->planned_for_us = attest->confirmed_us;
-		attest->query_us =
-			attest->confirmed_us + attest_pause(attest, routers);
+		attest->query_us = attest->confirmed_us +
+				   attest_query_delay(attest, routers);
 		attest->queries = 0;
 	}
 	if (now < attest->query_us)
 		return false;
 	attest->query_us =
-		now + mag_backoff(ATTEST_ASK_AGAIN_US, attest->queries,
-				  ATTEST_ASK_DOUBLE);
+		now + mag_backoff(ATTEST_QUERY_RETRY_US, attest->queries,
+				  ATTEST_QUERY_BACKOFF);
 	attest->queries++;
 	return true;
 }
 
-static int64_t attest_pause(struct attest *attest, int routers)
+static int64_t attest_query_delay(struct attest *attest, int routers)
 {
-	int64_t spread = ATTEST_ASK_EACH_US * routers;
+	int64_t spread = ATTEST_QUERY_EACH_US * routers;
 
-	if (spread > ATTEST_ASK_SPREAD_US)
-		spread = ATTEST_ASK_SPREAD_US;
-	return ATTEST_ASK_US +
+	if (spread > ATTEST_QUERY_SPREAD_US)
+		spread = ATTEST_QUERY_SPREAD_US;
+	return ATTEST_QUERY_US +
 	       (int64_t)(mag_random(&attest->seed) % (uint64_t)spread);
 }
--- a/src/attest.h
+++ b/src/attest.h
@@ -2,16 +2,16 @@
 #define ATTEST_H
 
 /*
- * How old the configuration in force may be, and who attests it.  Pure.
+ * The maximum age of the configuration in force, and who attests it.  Pure.
  *
- * Load pattern: the store goes away, for one router or for all.  Keys may be
- * trusted for a bounded time after they were last known to be current, and
- * then every request with a key is refused.  Each call of a router to the
- * store therefore serves all of them: routers tell each other which version
- * they know to be the newest, and since when.  The time is always one of the
- * receiver's own clock, which the sender gives back: a message that was held
- * up, or a sender that slept, can make knowledge older than it is, and never
- * younger.
+ * Load pattern: the store becomes unreachable, for one router or for all.
+ * Account keys may be trusted for a bounded time after they were last known to
+ * be current; after that every request with a key is refused.  Each store call
+ * of a router therefore serves all of them: routers tell each other which
+ * version they know to be the newest, and since when.  The time is always a
+ * reading of the receiver's own clock, which the sender echoes.  A message that
+ * was delayed, or a sender that was suspended, can therefore make the
+ * configuration look older than it is, and never newer.
  */
 
 #include <stdbool.h>
@@ -19,21 +19,20 @@
 
 #include "mag.h"
 
-/* What one router tells another one of the configuration. */
+/* One router's statement to another on the configuration. */
 struct attest_claim {
-	uint32_t session; /* of the receiver, 0: it was not heard yet */
-	int64_t echo_us;  /* newest time heard from the receiver */
-	int64_t age_us;	  /* so old is what the sender knows; -1: nothing */
+	uint32_t session; /* of the receiver; 0: no message from it yet */
+	int64_t echo_us;  /* newest clock reading received from it */
+	int64_t age_us;	  /* age of the sender's knowledge; -1: none */
 	int64_t version;  /* of the configuration that it knows */
 };
 
 struct attest {
-	uint32_t session;     /* of this process; not 0 */
-	int64_t confirmed_us; /* the set in force was the newest then; 0: never
-			       */
-	int64_t query_us;     /* when the store is asked next */
-	int64_t planned_for_us; /* the fresh_us for which that was planned */
-	int queries;		/* since then, without an answer */
+	uint32_t session;	/* of this process; not 0 */
+	int64_t confirmed_us;	/* set in force was the newest; 0: never */
+	int64_t query_us;	/* when to query the store next */
+	int64_t planned_for_us; /* confirmed_us on which query_us is based */
+	int queries;		/* since then, unanswered */
 	uint64_t seed;
 };
 
