--- a/regress/fake_store.c
+++ b/regress/fake_store.c
@@ -1,8 +1,8 @@
 /*
- * Stand-in for the platform's store: items with revisions, leases, watches,
- * and its faults, which a test asks for at /stand-in/fault.  It can be away
- * and come back from an older copy of itself: /stand-in/copy makes the copy,
- * /stand-in/restore goes back to it.
+ * Test double of the platform's store: items with revisions, leases and
+ * watches, and faults that a test requests at /stand-in/fault.  It can be
+ * unavailable and be restored from an older backup: /stand-in/copy makes the
+ * backup, /stand-in/restore goes back to it.
  */
 
 #include <inttypes.h>
@@ -21,7 +21,7 @@
 #include "mag.h"
 
 #define ITEMS_MAX   1024
-#define EVENTS_MAX  65536
+#define CHANGES_MAX 65536
 #define LEASES_MAX  1024
 #define WATCHES_MAX 256
 #define TICK_MS	    20
@@ -32,7 +32,7 @@
 	int64_t revision;
 	int64_t created;
 	int64_t lease;
-	int64_t until_us; /* of entries that workers write; MAG_NEVER */
+	int64_t expires_us; /* for entries of workers, else MAG_NEVER */
 };
 
 struct change {
@@ -43,14 +43,14 @@
 struct lease {
 	int64_t id;
 	int64_t ttl_ms;
-	int64_t until_us;
+	int64_t expires_us;
 };
 
 struct watch {
 	struct hs_conn *conn;
 	char prefix[128];
 	int64_t after;
-	int64_t until_us;
+	int64_t expires_us;
 };
 
 enum fault {
@@ -63,17 +63,17 @@
 
 static struct item items[ITEMS_MAX];
 static int item_count;
-static struct change changes[EVENTS_MAX];
+static struct change changes[CHANGES_MAX];
 static int change_count;
-static int64_t oldest; /* changes up to here are forgotten */
+static int64_t dropped_revision; /* changes up to this revision are dropped */
 static struct lease leases[LEASES_MAX];
 static int lease_count;
 static struct watch watches[WATCHES_MAX];
 static int64_t revision = 1;
 static enum fault fault;
 
-/* What a copy holds; history goes on from its revision. */
-struct copy {
+/* Contents of a backup; history continues from its revision. */
+struct backup {
 	struct item items[ITEMS_MAX];
 	int item_count;
 	struct lease leases[LEASES_MAX];
@@ -81,16 +81,16 @@
 	int64_t revision;
 };
 
-static struct copy copy;
+static struct backup backup;
 static int64_t era = 1;
-static int64_t restore_us = MAG_NEVER; /* the store is away until then */
-static int64_t restore_bump;	       /* writes of others right after it */
-static int64_t late_us; /* writes of workers are lost until then */
-/* Entries of workers live for so long after a return without a new write. */
+static int64_t restore_us = MAG_NEVER; /* the store is unavailable until then */
+static int64_t restore_extra_writes;   /* writes by others right after it */
+static int64_t refuse_until_us;	       /* no writes of workers until then */
+/* How long entries of workers live after a restore unless they are renewed. */
 #define RESTORED_TTL_US (3 * MAG_US_PER_S)
 
-/* Finds an item, or makes room for it. */
-static struct item *find(const char *key, bool make)
+/* Finds an item, or creates it if create is set. */
+static struct item *find(const char *key, bool create)
 {
 	int i;
 
@@ -98,30 +98,30 @@
 		if (strcmp(items[i].key, key) == 0)
 			return &items[i];
 	}
-	if (!make || item_count == ITEMS_MAX)
+	if (!create || item_count == ITEMS_MAX)
 		return NULL;
 	memset(&items[item_count], 0, sizeof(items[0]));
 	items[item_count].key = strdup(key);
 	return &items[item_count++];
 }
 
-static void note(const char *key)
+static void record_change(const char *key)
 {
-	if (change_count == EVENTS_MAX)
+	if (change_count == CHANGES_MAX)
 		exit(1);
 	changes[change_count].revision = revision;
 	changes[change_count++].key = strdup(key);
 }
 
 static void put(const char *key, const char *value, int64_t lease,
-		int64_t until_us)
+		int64_t expires_us)
 {
 	struct item *item = find(key, true);
 	bool same = item && item->value && strcmp(item->value, value) == 0;
 
 	if (!item)
 		return;
-	item->until_us = until_us;
+	item->expires_us = expires_us;
 	if (same && item->lease == lease)
 		return;
 	revision++;
@@ -131,7 +131,7 @@
 	item->value = strdup(value);
 	item->revision = revision;
 	item->lease = lease;
-	note(key);
+	record_change(key);
 }
 
 static void drop(struct item *item)
@@ -141,10 +141,10 @@
 	revision++;
 	free(item->value);
 	item->value = NULL;
-	note(item->key);
+	record_change(item->key);
 }
 
-static json_t *as_json(const struct item *item)
+static json_t *item_json(const struct item *item)
 {
 	if (!item->value)
 		return json_pack("{s:s,s:I,s:b}", "Key", item->key, "Revision",
@@ -168,13 +168,13 @@
 	json_decref(json);
 }
 
-/* Answers a watch if there is something for it, or if its time is over. */
+/* Answers a watch if it has events or has timed out; returns whether it did. */
 static bool serve_watch(struct watch *watch, int64_t now)
 {
 	json_t *events;
 	int i;
 
-	if (watch->after < oldest || watch->after > revision) {
+	if (watch->after < dropped_revision || watch->after > revision) {
 		answer(watch->conn, 410, NULL);
 		return true;
 	}
@@ -184,9 +184,9 @@
 		    strncmp(changes[i].key, watch->prefix,
 			    strlen(watch->prefix)) == 0)
 			json_array_append_new(
-				events, as_json(find(changes[i].key, false)));
+				events, item_json(find(changes[i].key, false)));
 	}
-	if (json_array_size(events) == 0 && now < watch->until_us) {
+	if (json_array_size(events) == 0 && now < watch->expires_us) {
 		json_decref(events);
 		return false;
 	}
@@ -211,7 +211,7 @@
 	watches[i].conn = conn;
 	snprintf(watches[i].prefix, sizeof(watches[i].prefix), "%s", prefix);
 	watches[i].after = after;
-	watches[i].until_us = now + wait_ms * MAG_US_PER_MS;
+	watches[i].expires_us = now + wait_ms * MAG_US_PER_MS;
 	hs_set_user(conn, &watches[i]);
 	if (serve_watch(&watches[i], now))
 		watches[i].conn = NULL;
@@ -222,7 +222,7 @@
 	int i;
 
 	for (i = 0; i < lease_count; i++) {
-		if (leases[i].id == id && clk_boot_us() < leases[i].until_us)
+		if (leases[i].id == id && clk_boot_us() < leases[i].expires_us)
 			return &leases[i];
 	}
 	return NULL;
@@ -268,39 +268,39 @@
 		exit(1);
 	lease->id = ++lease_count;
 	lease->ttl_ms = json_integer_value(json_object_get(body, "TtlMs"));
-	lease->until_us = clk_boot_us() + lease->ttl_ms * MAG_US_PER_MS;
+	lease->expires_us = clk_boot_us() + lease->ttl_ms * MAG_US_PER_MS;
 	answer(conn, 200,
 	       json_pack("{s:I,s:I}", "Lease", (json_int_t)lease->id, "TtlMs",
 			 (json_int_t)lease->ttl_ms));
 }
 
-static char *copy_text(const char *text)
+static char *duplicate_text(const char *text)
 {
 	return text ? strdup(text) : NULL;
 }
 
-/* Copies all items; what the copy held before is not freed. */
-static void copy_items(struct item *to, const struct item *from, int count)
+/* Copies all items; the previous contents of the target are not freed. */
+static void duplicate_items(struct item *to, const struct item *from, int count)
 {
 	int i;
 
 	for (i = 0; i < count; i++) {
 		to[i] = from[i];
-		to[i].key = copy_text(from[i].key);
-		to[i].value = copy_text(from[i].value);
+		to[i].key = duplicate_text(from[i].key);
+		to[i].value = duplicate_text(from[i].value);
 	}
 }
 
-static void make_copy(void)
+static void make_backup(void)
 {
-	copy_items(copy.items, items, item_count);
-	copy.item_count = item_count;
-	memcpy(copy.leases, leases, sizeof(leases));
-	copy.lease_count = lease_count;
-	copy.revision = revision;
+	duplicate_items(backup.items, items, item_count);
+	backup.item_count = item_count;
+	memcpy(backup.leases, leases, sizeof(leases));
+	backup.lease_count = lease_count;
+	backup.revision = revision;
 }
 
-/* Comes back from the copy: all written since, leases too, is gone. */
+/* Restores the backup: everything written since, including leases, is lost. */
 static void restore(int64_t now)
 {
 	int i;
@@ -308,19 +308,19 @@
 	restore_us = MAG_NEVER;
 	fault = FAULT_NONE;
 	era++;
-	copy_items(items, copy.items, copy.item_count);
-	item_count = copy.item_count;
-	memcpy(leases, copy.leases, sizeof(leases));
-	lease_count = copy.lease_count;
-	revision = copy.revision;
+	duplicate_items(items, backup.items, backup.item_count);
+	item_count = backup.item_count;
+	memcpy(leases, backup.leases, sizeof(leases));
+	lease_count = backup.lease_count;
+	revision = backup.revision;
 	while (change_count > 0 &&
 	       changes[change_count - 1].revision > revision)
 		change_count--;
 	for (i = 0; i < lease_count; i++)
-		leases[i].until_us = now + leases[i].ttl_ms * MAG_US_PER_MS;
+		leases[i].expires_us = now + leases[i].ttl_ms * MAG_US_PER_MS;
 	for (i = 0; i < item_count; i++) {
-		if (items[i].until_us != MAG_NEVER)
-			items[i].until_us = now + RESTORED_TTL_US;
+		if (items[i].expires_us != MAG_NEVER)
+			items[i].expires_us = now + RESTORED_TTL_US;
 	}
 	for (i = 0; i < WATCHES_MAX; i++) {
 		if (!watches[i].conn)
@@ -329,8 +329,8 @@
 		hs_abort(watches[i].conn);
 		watches[i].conn = NULL;
 	}
-	/* Revisions that routers have seen are given to others. */
-	for (i = 0; i < restore_bump; i++)
+	/* Revisions that routers have already seen are assigned again. */
+	for (i = 0; i < restore_extra_writes; i++)
 		put(i % 2 ? "others/a" : "others/b",
 		    i % 4 < 2 ? "MQ==" : "Mg==", 0, MAG_NEVER);
 	printf("RESTORED era %" PRId64 " revision %" PRId64 " at %" PRId64 "\n",
@@ -338,7 +338,7 @@
 	fflush(stdout);
 }
 
-/* Is away for a while, as a fault says, and comes back from the copy. */
+/* Makes the store unavailable for a while, then restores it from the backup. */
 static void restore_later(struct evkeyvalq *query)
 {
 	const char *away = evhttp_find_header(query, "AwayMs");
@@ -347,13 +347,12 @@
 
 	fault = FAULT_SILENT;
 	restore_us = clk_boot_us() + (away ? atoll(away) : 0) * MAG_US_PER_MS;
-	restore_bump = bump ? atoll(bump) : 0;
-	late_us = restore_us + (late ? atoll(late) : 0) * MAG_US_PER_MS;
+	restore_extra_writes = bump ? atoll(bump) : 0;
+	refuse_until_us = restore_us + (late ? atoll(late) : 0) * MAG_US_PER_MS;
 }
 
-/* What the operator, the workers and the tests do beside the pages. */
-/* Open watches are never answered, and their connections stay open. */
-static void deafen(void)
+/* Open watches are never answered, but their connections stay open. */
+static void silence_watches(void)
 {
 	int i;
 
@@ -364,8 +363,12 @@
 	}
 }
 
-static void stand_in(struct hs_conn *conn, const char *path,
-		     struct evkeyvalq *query)
+/*
+ * Serves what tests request under /stand-in/, also in place of the operator and
+ * the workers.
+ */
+static void serve_test_request(struct hs_conn *conn, const char *path,
+			       struct evkeyvalq *query)
 {
 	static const char *const faults[] = { "none", "busy", "reset", "silent",
 					      "lost" };
@@ -378,12 +381,12 @@
 	size_t size;
 	size_t i;
 
-	if (strstr(path, "/put") && ttl && clk_boot_us() < late_us) {
+	if (strstr(path, "/put") && ttl && clk_boot_us() < refuse_until_us) {
 		answer(conn, 503, NULL);
 		return;
 	}
 	if (strstr(path, "/copy")) {
-		make_copy();
+		make_backup();
 	} else if (strstr(path, "/restore")) {
 		restore_later(query);
 	} else if (strstr(path, "/put") && key) {
@@ -399,9 +402,9 @@
 	} else if (strstr(path, "/drop") && key) {
 		drop(find(key, false));
 	} else if (strstr(path, "/forget")) {
-		oldest = revision;
+		dropped_revision = revision;
 	} else if (strstr(path, "/deafen")) {
-		deafen();
+		silence_watches();
 	} else if (strstr(path, "/fault") && kind) {
 		for (i = 0; i < MAG_ARRAY_SIZE(faults); i++) {
 			if (strcmp(kind, faults[i]) == 0)
@@ -420,7 +423,7 @@
 		if (items[i].value &&
 		    strncmp(items[i].key, prefix, strlen(prefix)) == 0 &&
 		    (!after || strcmp(items[i].key, after) > 0))
-			json_array_append_new(list, as_json(&items[i]));
+			json_array_append_new(list, item_json(&items[i]));
 	}
 	answer(conn, 200,
 	       json_pack("{s:o,s:b,s:I}", "Items", list, "HasMore", 0,
@@ -453,7 +456,7 @@
 	} else if (strncmp(path, "/api/kv-keep/", 13) == 0) {
 		lease = find_lease(atoll(path + 13));
 		if (lease)
-			lease->until_us =
+			lease->expires_us =
 				clk_boot_us() + lease->ttl_ms * MAG_US_PER_MS;
 		answer(conn, lease ? 200 : 404,
 		       lease ? json_pack("{s:I}", "TtlMs",
@@ -462,7 +465,7 @@
 	} else if (strncmp(path, "/api/kv-lease-end/", 18) == 0) {
 		lease = find_lease(atoll(path + 18));
 		if (lease)
-			lease->until_us = 0;
+			lease->expires_us = 0;
 		answer(conn, lease ? 200 : 404, NULL);
 	} else {
 		answer(conn, 404, NULL);
@@ -480,7 +483,7 @@
 	if (evhttp_uri_get_query(uri))
 		evhttp_parse_query_str(evhttp_uri_get_query(uri), &query);
 	if (strncmp(path, "/stand-in/", 10) == 0)
-		stand_in(conn, path, &query);
+		serve_test_request(conn, path, &query);
 	else if (fault == FAULT_BUSY)
 		answer(conn, 503, NULL);
 	else if (fault == FAULT_RESET)
@@ -501,7 +504,7 @@
 		watch->conn = NULL;
 }
 
-/* Ends leases and entries that ran out, and serves watches. */
+/* Expires leases and entries, and serves watches. */
 static void on_tick(evutil_socket_t fd, short what, void *arg)
 {
 	int64_t now = clk_boot_us();
@@ -515,7 +518,7 @@
 	for (i = 0; i < item_count; i++) {
 		if (!items[i].value)
 			continue;
-		if (now > items[i].until_us ||
+		if (now > items[i].expires_us ||
 		    (items[i].lease && !find_lease(items[i].lease)))
 			drop(&items[i]);
 	}
