--- a/spec/attest.pml
+++ b/spec/attest.pml
@@ -1,74 +1,76 @@
 /*
- * Routers attest for the age of the configuration (src/attest.c).  A key is taken
- * away once, at any moment.  Two routers read the store, the first one
- * tells the second one what it knows; they are frozen anywhere in between, and
- * the second one starts anew.  Messages are held up for as long as they like.
+ * Routers attest the age of the configuration (src/attest.c).  A key is
+ * removed once, at any moment.  Two routers read the store, and the first one
+ * sends the second one claims about what it knows.  Either router may be
+ * suspended at any point, and the second one may restart.  Messages may be
+ * delayed for any time.
  *
- * Promise: a router that still holds the old configuration never takes it for
- * known to be current at a moment after the change.  With the bound on the
- * trust, that is "a removed key stops in time".
+ * Property: a router that still holds the old configuration never considers it
+ * confirmed at a moment after the change.  Together with the bound on how long
+ * keys are trusted, this means that a removed key is refused in time.
  *
- * RECEIVED_AGE: the age in a message counts from its arrival.
- * ANY_VERSION: a peer's word counts whatever version it is about.
+ * Faults, each of which must violate the property:
+ * RECEIVED_AGE: the age in a message is counted from its arrival.
+ * ANY_VERSION: a claim is accepted whatever version it concerns.
  */
 
-#define TIMES 4
-#define TELLER 0
-#define HEARER 1
+#define MAX_TIME 4
+#define SENDER 0
+#define RECEIVER 1
 
 #ifdef ANY_VERSION
-#define FITS true
+#define VERSION_MATCHES true
 #else
-#define FITS (word_version <= version[HEARER])
+#define VERSION_MATCHES (claim_version <= version[RECEIVER])
 #endif
 
 byte now = 1;
 byte changed_at = 0;	/* 0: not yet */
-byte fresh[2];		/* 0: never */
+byte confirmed[2];	/* last confirmation; 0: never */
 byte version[2];	/* 0: none, 1: old, 2: new */
 
-/* A read of the store on its way; version 0: it has not looked yet. */
+/* A read of the store in progress; version 0: not yet executed. */
 byte read_sent[2];
 byte read_version[2];
 
-/* The newest clock of the second one that the first one has heard. */
-byte heard;
+/* The receiver's newest clock reading that has reached the sender. */
+byte received_clock;
 
-/* The message, written and not yet arrived; version 0: none. */
-byte word_echo;
-byte word_age;
-byte word_version;
+/* The claim that was written but has not arrived; version 0: none. */
+byte claim_echo;
+byte claim_age;
+byte claim_version;
 
-inline safe() {
-	assert(changed_at == 0 || version[0] != 1 || fresh[0] <= changed_at);
-	assert(changed_at == 0 || version[1] != 1 || fresh[1] <= changed_at)
+inline check_property() {
+	assert(changed_at == 0 || version[0] != 1 || confirmed[0] <= changed_at);
+	assert(changed_at == 0 || version[1] != 1 || confirmed[1] <= changed_at)
 }
 
-inline take_word() {
+inline receive_claim() {
 #ifdef RECEIVED_AGE
-	tmp = now - word_age;
+	confirmed_then = now - claim_age;
 #else
-	tmp = (word_echo > word_age -> word_echo - word_age : 0);
+	confirmed_then = (claim_echo > claim_age -> claim_echo - claim_age : 0);
 #endif
 	if
-	:: version[HEARER] > 0 && tmp > fresh[HEARER] && FITS ->
-		fresh[HEARER] = tmp
+	:: version[RECEIVER] > 0 && confirmed_then > confirmed[RECEIVER] && VERSION_MATCHES ->
+		confirmed[RECEIVER] = confirmed_then
 	:: else
 	fi;
-	word_version = 0;
-	word_echo = 0;
-	word_age = 0;
-	tmp = 0
+	claim_version = 0;
+	claim_echo = 0;
+	claim_age = 0;
+	confirmed_then = 0
 }
 
-/* A read is sent, looks at the store, and comes back. */
-inline read_back(r) {
+/* Handles the answer to a read of the store. */
+inline finish_read(r) {
 	if
 	:: read_version[r] > version[r] -> version[r] = read_version[r]
 	:: else
 	fi;
 	if
-	:: read_sent[r] > fresh[r] -> fresh[r] = read_sent[r]
+	:: read_sent[r] > confirmed[r] -> confirmed[r] = read_sent[r]
 	:: else
 	fi;
 	read_sent[r] = 0;
@@ -76,10 +78,10 @@
 }
 
 active proctype world() {
-	byte tmp = 0;
+	byte confirmed_then = 0;
 
 	do
-	:: now < TIMES -> now++
+	:: now < MAX_TIME -> now++
 	:: changed_at == 0 -> changed_at = now
 	:: read_sent[0] == 0 -> read_sent[0] = now
 	:: read_sent[1] == 0 -> read_sent[1] = now
@@ -87,27 +89,27 @@
 		read_version[0] = (changed_at > 0 -> 2 : 1)
 	:: read_sent[1] > 0 && read_version[1] == 0 ->
 		read_version[1] = (changed_at > 0 -> 2 : 1)
-	:: read_version[0] > 0 -> atomic { read_back(0); safe() }
-	:: read_version[1] > 0 -> atomic { read_back(1); safe() }
-	:: heard < now -> heard = now
-	:: word_version == 0 && fresh[TELLER] > 0 && heard > 0 -> atomic {
-			word_echo = heard;
-			word_age = now - fresh[TELLER];
-			word_version = version[TELLER]
+	:: read_version[0] > 0 -> atomic { finish_read(0); check_property() }
+	:: read_version[1] > 0 -> atomic { finish_read(1); check_property() }
+	:: received_clock < now -> received_clock = now
+	:: claim_version == 0 && confirmed[SENDER] > 0 && received_clock > 0 -> atomic {
+			claim_echo = received_clock;
+			claim_age = now - confirmed[SENDER];
+			claim_version = version[SENDER]
 		}
-	:: word_version > 0 -> atomic { take_word(); safe() }
-	:: version[HEARER] > 0 -> atomic {
-			/* What was meant for its predecessor names another
-			 * session. */
-			version[HEARER] = 0;
-			fresh[HEARER] = 0;
-			read_sent[HEARER] = 0;
-			read_version[HEARER] = 0;
-			heard = 0;
-			word_version = 0;
-			word_echo = 0;
-			word_age = 0
+	:: claim_version > 0 -> atomic { receive_claim(); check_property() }
+	:: version[RECEIVER] > 0 -> atomic {
+			/* The receiver restarts.  A claim for its predecessor
+			 * names another session and is discarded. */
+			version[RECEIVER] = 0;
+			confirmed[RECEIVER] = 0;
+			read_sent[RECEIVER] = 0;
+			read_version[RECEIVER] = 0;
+			received_clock = 0;
+			claim_version = 0;
+			claim_echo = 0;
+			claim_age = 0
 		}
-	:: now == TIMES -> break
+	:: now == MAX_TIME -> break
 	od
 }
--- a/spec/copy.pml
+++ b/spec/copy.pml
@@ -1,40 +1,42 @@
 /*
- * The age of the configuration while the store comes back from an older copy
- * (src/era.c, edge_fresh).  A key is taken away at any moment; the copy may lack
- * that change, and the operator writes it again within SETTLE of the return.
+ * The age of the configuration while the store is restored from an older
+ * backup (src/era.c, edge_fresh).  A key is removed at any moment.  The backup
+ * may lack that change; the operator then writes it again within SETTLE of the
+ * restore.
  *
- * Promise: a router that still holds the old configuration never takes it for
- * known to be current at a moment after the change.
+ * Property: a router that still holds the old configuration never considers it
+ * confirmed at a moment after the change.
  *
- * NO_SETTLE: what the copy shows counts at once.
- * EARLY_SETTLE: the time runs from the return and not from when it was seen,
- * and ends before the operator has written.
+ * Faults, each of which must violate the property:
+ * NO_SETTLE: the restored contents confirm the configuration at once.
+ * EARLY_SETTLE: the settle time starts at the restore instead of when the
+ * router sees it, and ends before the operator has written.
  */
 
 #define SETTLE 2
-#define TIMES 7
+#define MAX_TIME 7
 
 byte now = 1;
 byte era = 1;
 byte changed_at = 0;	/* 0: not yet */
-bool has_change;	/* the store's configuration is the new one */
-byte returned_at = 0;
+bool has_change;	/* the store holds the new configuration */
+byte restored_at = 0;
 
-byte seen_era[2] = { 1, 1 };
+byte known_era[2] = { 1, 1 };
 byte settled[2];
-byte fresh[2];
+byte confirmed[2];
 bool has_new[2];	/* the router holds the new configuration */
 
-/* A claim of the first router to the second one, on its way. */
-byte claim_fresh;
+/* A claim of the first router to the second one, not yet received. */
+byte claim_confirmed;
 byte claim_era;
 
 inline read(r) {
 	if
-	:: seen_era[r] < era ->
-		seen_era[r] = era;
+	:: known_era[r] < era ->
+		known_era[r] = era;
 #ifdef EARLY_SETTLE
-		settled[r] = returned_at
+		settled[r] = restored_at
 #else
 		settled[r] = now + SETTLE
 #endif
@@ -44,10 +46,10 @@
 		:: else
 		fi;
 #ifdef NO_SETTLE
-		fresh[r] = now
+		confirmed[r] = now
 #else
 		if
-		:: now >= settled[r] -> fresh[r] = now
+		:: now >= settled[r] -> confirmed[r] = now
 		:: else
 		fi
 #endif
@@ -56,21 +58,21 @@
 
 active proctype world() {
 	do
-	:: atomic { now < TIMES &&
-		(has_change || changed_at == 0 || now + 1 < returned_at + SETTLE) ->
+	:: atomic { now < MAX_TIME &&
+		(has_change || changed_at == 0 || now + 1 < restored_at + SETTLE) ->
 		now++ }
-	:: atomic { changed_at == 0 && now < TIMES ->
+	:: atomic { changed_at == 0 && now < MAX_TIME ->
 		changed_at = now; has_change = true }
-	/* Back from a copy that lacks the change, or has it. */
-	:: atomic { era < 3 && now < TIMES - SETTLE - 1 ->
+	/* The store is restored from a backup that lacks the change, or has it. */
+	:: atomic { era < 3 && now < MAX_TIME - SETTLE - 1 ->
 		era++;
-		returned_at = now;
+		restored_at = now;
 		if
 		:: has_change = false
 		:: skip
 		fi }
 	:: atomic { changed_at != 0 && !has_change -> has_change = true }
-	:: now >= TIMES -> break
+	:: now >= MAX_TIME -> break
 	od
 }
 
@@ -78,30 +80,30 @@
 	byte me = _pid - 1;
 
 	do
-	:: atomic { now < TIMES -> read(me) }
-	:: atomic { now < TIMES && me == 0 && claim_era == 0 ->
-		claim_fresh = fresh[0]; claim_era = seen_era[0] }
-	:: atomic { now < TIMES && me == 1 && claim_era != 0 ->
+	:: atomic { now < MAX_TIME -> read(me) }
+	:: atomic { now < MAX_TIME && me == 0 && claim_era == 0 ->
+		claim_confirmed = confirmed[0]; claim_era = known_era[0] }
+	:: atomic { now < MAX_TIME && me == 1 && claim_era != 0 ->
 		if
-		:: claim_era == seen_era[1] && (!has_new[0] || has_new[1]) ->
+		:: claim_era == known_era[1] && (!has_new[0] || has_new[1]) ->
 			if
-			:: claim_fresh > fresh[1] -> fresh[1] = claim_fresh
+			:: claim_confirmed > confirmed[1] -> confirmed[1] = claim_confirmed
 			:: else
 			fi
 		:: else
 		fi;
-		claim_era = 0; claim_fresh = 0 }
-	:: now >= TIMES -> break
+		claim_era = 0; claim_confirmed = 0 }
+	:: now >= MAX_TIME -> break
 	od
 }
 
-active proctype watch() {
+active proctype monitor() {
 	byte r;
 
 	do
-	:: atomic { now < TIMES ->
-		assert(changed_at == 0 || has_new[0] || fresh[0] <= changed_at);
-		assert(changed_at == 0 || has_new[1] || fresh[1] <= changed_at) }
-	:: now >= TIMES -> break
+	:: atomic { now < MAX_TIME ->
+		assert(changed_at == 0 || has_new[0] || confirmed[0] <= changed_at);
+		assert(changed_at == 0 || has_new[1] || confirmed[1] <= changed_at) }
+	:: now >= MAX_TIME -> break
 	od
 }
--- a/spec/title.pml
+++ b/spec/title.pml
@@ -1,56 +1,57 @@
 /*
- * The placer's title while the store comes back from an older copy (src/pres.c).
- * The store loses the title, gives its lease number out again, and the new era
- * is seen by each of two routers at any later moment.
+ * The placer role while the store is restored from an older backup
+ * (src/pres.c).  The store loses the placer's key and assigns its lease number
+ * again; each of two routers sees the new era at any later moment.
  *
- * Promise: no two routers take themselves for the placer at the same time.
+ * Property: no two routers consider themselves the placer at the same time.
  *
- * NO_STAND_WAIT: a router that sees the new era stands at once.
- * ANY_LEASE: a holder goes on when its lease number can be renewed.
- * NO_TITLE_END: a holder's title does not end by its own clock.
+ * Faults, each of which must violate the property:
+ * NO_STAND_WAIT: a router that sees the new era tries to become placer at once.
+ * ANY_LEASE: a holder remains placer if its lease number can be renewed.
+ * NO_TITLE_END: a holder's role does not expire by its own clock.
  */
 
 #define LEASE 2
-#define TIMES 8
-#define NOBODY 2
+#define MAX_TIME 8
+#define NO_HOLDER 2
 
 byte now = 1;
 byte era = 1;
-byte holder = 0;	/* by the store's key */
+byte holder = 0;	/* according to the placer's key in the store */
 byte lease = 7;		/* number of the key's lease; 0: none */
-byte lapses = 3;	/* the key's lease ends then */
-byte other_lease = 0;	/* a number given to somebody else */
+byte expires = 3;	/* the key's lease expires then */
+byte other_lease = 0;	/* a lease number assigned to another holder */
 
-byte seen_era[2] = { 1, 1 };
+byte known_era[2] = { 1, 1 };
 byte own_lease[2] = { 7, 0 };
-byte valid[2] = { 3, 0 };	/* the title holds before then */
-byte stand_after[2];
+byte valid_until[2] = { 3, 0 };	/* the role is valid before then */
+byte acquire_after[2];
 
 #ifdef NO_TITLE_END
 #define IS_PLACER(r) (own_lease[r] != 0)
 #else
-#define IS_PLACER(r) (own_lease[r] != 0 && now < valid[r])
+#define IS_PLACER(r) (own_lease[r] != 0 && now < valid_until[r])
 #endif
 
-inline see(r) {
+inline observe_era(r) {
 	if
-	:: seen_era[r] < era ->
-		seen_era[r] = era;
+	:: known_era[r] < era ->
+		known_era[r] = era;
 #ifndef NO_STAND_WAIT
-		stand_after[r] = now + LEASE;
+		acquire_after[r] = now + LEASE;
 #endif
-		/* It goes on only if the key is its own, under its lease. */
+		/* It remains placer only if the key is its own, under its lease. */
 		if
 		:: holder == r && own_lease[r] == lease
 		:: else ->
 #ifdef ANY_LEASE
 			if
 			:: own_lease[r] != 0 && own_lease[r] == other_lease
-			:: else -> own_lease[r] = 0; valid[r] = 0
+			:: else -> own_lease[r] = 0; valid_until[r] = 0
 			fi
 #else
 			own_lease[r] = 0;
-			valid[r] = 0
+			valid_until[r] = 0
 #endif
 		fi
 	:: else
@@ -58,47 +59,47 @@
 }
 
 inline renew(r) {
-	/* The answer is of the era that is seen, or it counts as lost. */
+	/* An answer from an era other than the known one counts as lost. */
 	if
-	:: own_lease[r] != 0 && seen_era[r] == era && own_lease[r] == lease &&
-	   holder == r -> lapses = now + LEASE; valid[r] = now + LEASE
+	:: own_lease[r] != 0 && known_era[r] == era && own_lease[r] == lease &&
+	   holder == r -> expires = now + LEASE; valid_until[r] = now + LEASE
 #ifdef ANY_LEASE
-	:: own_lease[r] != 0 && seen_era[r] == era &&
-	   own_lease[r] == other_lease -> valid[r] = now + LEASE
+	:: own_lease[r] != 0 && known_era[r] == era &&
+	   own_lease[r] == other_lease -> valid_until[r] = now + LEASE
 #endif
-	:: else -> see(r)
+	:: else -> observe_era(r)
 	fi
 }
 
-inline stand(r) {
-	see(r);
+inline acquire(r) {
+	observe_era(r);
 	if
-	:: own_lease[r] == 0 && holder == NOBODY && now >= stand_after[r] ->
+	:: own_lease[r] == 0 && holder == NO_HOLDER && now >= acquire_after[r] ->
 		holder = r;
 		lease = 8 + r;
-		lapses = now + LEASE;
+		expires = now + LEASE;
 		own_lease[r] = lease;
-		valid[r] = now + LEASE
+		valid_until[r] = now + LEASE
 	:: else
 	fi
 }
 
 active proctype world() {
 	do
-	:: atomic { now < TIMES -> now++;
+	:: atomic { now < MAX_TIME -> now++;
 		if
-		:: holder != NOBODY && now >= lapses ->
-			holder = NOBODY;
+		:: holder != NO_HOLDER && now >= expires ->
+			holder = NO_HOLDER;
 			lease = 0
 		:: else
 		fi }
-	/* The store comes back from a copy that lacks the title, or has it. */
-	:: atomic { era < 3 && now < TIMES - 2 -> era++;
+	/* The store is restored from a backup that lacks the key, or has it. */
+	:: atomic { era < 3 && now < MAX_TIME - 2 -> era++;
 		if
-		:: holder = NOBODY; lease = 0; other_lease = 7
-		:: holder != NOBODY -> lapses = now + LEASE
+		:: holder = NO_HOLDER; lease = 0; other_lease = 7
+		:: holder != NO_HOLDER -> expires = now + LEASE
 		fi }
-	:: atomic { now >= TIMES -> break }
+	:: atomic { now >= MAX_TIME -> break }
 	od
 }
 
@@ -106,15 +107,15 @@
 	byte me = _pid - 1;
 
 	do
-	:: atomic { now < TIMES -> renew(me) }
-	:: atomic { now < TIMES -> stand(me) }
-	:: now >= TIMES -> break
+	:: atomic { now < MAX_TIME -> renew(me) }
+	:: atomic { now < MAX_TIME -> acquire(me) }
+	:: now >= MAX_TIME -> break
 	od
 }
 
-active proctype watch() {
+active proctype monitor() {
 	do
-	:: atomic { assert(!(IS_PLACER(0) && IS_PLACER(1))); now < TIMES }
-	:: now >= TIMES -> break
+	:: atomic { assert(!(IS_PLACER(0) && IS_PLACER(1))); now < MAX_TIME }
+	:: now >= MAX_TIME -> break
 	od
 }
