--- a/src/hint.c
+++ b/src/hint.c
@@ -452,17 +452,17 @@
  */
 bool hint_others_ready(const struct hint *hint, int64_t now)
 {
-	bool heard = false;
+	bool any_recent = false;
 	int i;
 
 	for (i = 0; i < hint->peer_count; i++) {
 		if (now - hint->peers[i].received_us > HINT_EXPIRY_US)
 			continue;
-		heard = true;
+		any_recent = true;
 		if (hint->peers[i].ready)
 			return true;
 	}
-	return !heard;
+	return !any_recent;
 }
 
 /*
--- a/src/hint_msg.h
+++ b/src/hint_msg.h
@@ -43,7 +43,7 @@
 /* A request that crashes workers. */
 struct hint_crash {
 	uint8_t fingerprint[MAG_DIGEST_BYTES];
-	uint32_t endpoints_lost;
+	uint32_t endpoints_lost; /* that crashed while they ran it */
 };
 
 struct hint_message {
--- a/src/pres.c
+++ b/src/pres.c
@@ -64,7 +64,7 @@
 	bool settling;		  /* the store lacks recently written entries */
 	uint64_t seed;
 	struct pres_peer *peers;
-	bool *seen;
+	bool *seen; /* of each peer: it is in the list being read */
 	int peer_count;
 };
 
--- a/src/sto_follow.c
+++ b/src/sto_follow.c
@@ -45,7 +45,7 @@
 	int failures; /* consecutive */
 
 	struct sto_call *call;	   /* list or watch in progress */
-	struct pos store_pos;	   /* of the store, by the newest query */
+	struct pos store_pos;	   /* the store's, by the newest query */
 	int64_t store_pos_sent_us; /* when that query was sent */
 	struct pos known_pos;	   /* newest position known from any source */
 	int64_t lagging_since_us;  /* behind known_pos since; 0: no */
