--- a/src/sto.h
+++ b/src/sto.h
@@ -68,7 +68,10 @@
 uint64_t sto_calls(const struct sto *sto);
 int64_t sto_era(const struct sto *sto);
 
-/* Each call reports its result exactly once, through done. */
+/*
+ * Each call reports its result exactly once, through done; a call that cannot
+ * be sent reports STO_REFUSED before the function returns.
+ */
 void sto_create_lease(struct sto *sto, int64_t ttl_ms, sto_done_fn done,
 		      void *user);
 void sto_renew_lease(struct sto *sto, int64_t lease, sto_done_fn done,
