--- a/src/hint_load.c
+++ b/src/hint_load.c
@@ -178,7 +178,7 @@
 
 	for (; slot && slot < end && slot->hash == load->worker; slot++) {
 		slot->wk->peer_held += (double)load->held;
-		slot->wk->peer_firsts += (int)load->first_stage_requests;
+		slot->wk->peer_firsts += (int)load->first_hops;
 		hint_set_slowdown(slot->wk, load, received_us);
 	}
 }
--- a/src/hint_msg.c
+++ b/src/hint_msg.c
@@ -6,15 +6,12 @@
 
 #define HINT_MSG_MAGIC	 0x4d414748U
 #define HINT_MSG_VERSION 6U
-/*
- * A load is encoded as 16 bits of memory, 8 of first-stage requests, 8 of
- * slowdown.
- */
-#define HINT_HELD_UNIT	     1024.0F /* tokens x layers */
-#define HINT_HELD_MAX	     0xffffU
-#define HINT_FIRST_STAGE_MAX 0xffU
-#define HINT_SLOWDOWN_UNIT   (1 / 16.0F)
-#define HINT_SLOWDOWN_MAX    0xffU
+/* A load is encoded as 16 bits of memory, 8 of first hops, 8 of slowdown. */
+#define HINT_HELD_UNIT	    1024.0F /* tokens x layers */
+#define HINT_HELD_MAX	    0xffffU
+#define HINT_FIRST_HOPS_MAX 0xffU
+#define HINT_SLOWDOWN_UNIT  (1 / 16.0F)
+#define HINT_SLOWDOWN_MAX   0xffU
 /* A limit is encoded as 16 bits of requests per second and 16 of age in ms. */
 #define HINT_LIMIT_UNIT (1 / 16.0F)
 #define HINT_LIMIT_MAX	0xffffU
@@ -125,8 +122,8 @@
 		packed = hint_msg_round(load->held, HINT_HELD_UNIT,
 					HINT_HELD_MAX)
 				 << 16 |
-			 hint_msg_round((float)load->first_stage_requests, 1,
-					HINT_FIRST_STAGE_MAX)
+			 hint_msg_round((float)load->first_hops, 1,
+					HINT_FIRST_HOPS_MAX)
 				 << 8 |
 			 hint_msg_round(load->slowdown, HINT_SLOWDOWN_UNIT,
 					HINT_SLOWDOWN_MAX);
@@ -134,7 +131,7 @@
 	if (!xdr_uint32_t(xdr, &load->worker) || !xdr_uint32_t(xdr, &packed))
 		return FALSE;
 	load->held = (float)(packed >> 16) * HINT_HELD_UNIT;
-	load->first_stage_requests = packed >> 8 & HINT_FIRST_STAGE_MAX;
+	load->first_hops = packed >> 8 & HINT_FIRST_HOPS_MAX;
 	load->slowdown =
 		(float)(packed & HINT_SLOWDOWN_MAX) * HINT_SLOWDOWN_UNIT;
 	return TRUE;
--- a/src/hint_msg.h
+++ b/src/hint_msg.h
@@ -24,10 +24,10 @@
  * with memory and slowdown rounded to the units in hint_msg.c.
  */
 struct hint_load {
-	uint32_t worker; /* hash of its id */
-	float held;	 /* tokens x layers held */
-	uint32_t first_stage_requests;
-	float slowdown; /* reported recently; 0: unknown */
+	uint32_t worker;     /* hash of its id */
+	float held;	     /* tokens x layers held */
+	uint32_t first_hops; /* requests whose first hop it is */
+	float slowdown;	     /* reported recently; 0: unknown */
 };
 
 /*
