--- a/src/attest.h
+++ b/src/attest.h
@@ -2,16 +2,16 @@
 #define ATTEST_H
 
 /*
- * How old the configuration in force may be, and who attests it.  Pure.
+ * The maximum age of the configuration in force, and who attests it.  Pure.
  *
- * Load pattern: the store goes away, for one router or for all.  Keys may be
- * trusted for a bounded time after they were last known to be current, and
- * then every request with a key is refused.  Each call of a router to the
- * store therefore serves all of them: routers tell each other which version
- * they know to be the newest, and since when.  The time is always one of the
- * receiver's own clock, which the sender gives back: a message that was held
- * up, or a sender that slept, can make knowledge older than it is, and never
- * younger.
+ * Load pattern: the store becomes unreachable, for one router or for all.
+ * Account keys may be trusted for a bounded time after they were last known to
+ * be current; after that every request with a key is refused.  Each store call
+ * of a router therefore serves all of them: routers tell each other which
+ * version they know to be the newest, and since when.  The time is always a
+ * reading of the receiver's own clock, which the sender echoes.  A message that
+ * was delayed, or a sender that was suspended, can therefore make the
+ * configuration look older than it is, and never newer.
  */
 
 #include <stdbool.h>
@@ -19,20 +19,20 @@
 
 #include "mag.h"
 
-/* What one router tells another one of the configuration. */
+/* One router's statement to another on the configuration. */
 struct attest_claim {
-	uint32_t session; /* of the receiver, 0: it was not heard yet */
-	int64_t echo_us;  /* newest time heard from the receiver */
-	int64_t age_us;	  /* so old is what the sender knows; -1: nothing */
+	uint32_t session; /* of the receiver; 0: no message from it yet */
+	int64_t echo_us;  /* newest clock reading received from it */
+	int64_t age_us;	  /* age of the sender's knowledge; -1: none */
 	int64_t version;  /* of the configuration that it knows */
 };
 
 struct attest {
-	uint32_t session;   /* of this process; not 0 */
-	int64_t fresh_us;   /* the set in force was the newest then; 0: never */
-	int64_t ask_us;	    /* when the store is asked next */
-	int64_t planned_us; /* the fresh_us for which that was planned */
-	int asks;	    /* since then, without an answer */
+	uint32_t session;	/* of this process; not 0 */
+	int64_t confirmed_us;	/* set in force was the newest; 0: never */
+	int64_t query_us;	/* when to query the store next */
+	int64_t planned_for_us; /* confirmed_us on which query_us is based */
+	int queries;		/* since then, unanswered */
 	uint64_t seed;
 };
 
@@ -40,13 +40,14 @@
 void attest_from_store(struct attest *attest, int64_t at_us);
 bool attest_from_peer(struct attest *attest, const struct attest_claim *claim,
 		      int64_t version, int64_t now);
-void attest_make(const struct attest *attest, int64_t version, int64_t now,
-		 struct attest_claim *claim);
-bool attest_trusted(const struct attest *attest, int64_t bound_us, int64_t now);
+void attest_fill_claim(const struct attest *attest, int64_t version,
+		       int64_t now, struct attest_claim *claim);
+bool attest_is_trusted(const struct attest *attest, int64_t bound_us,
+		       int64_t now);
 bool attest_soon_untrusted(const struct attest *attest, int64_t bound_us,
 			   int64_t now);
-int64_t attest_retry_us(int routers);
-int64_t attest_gather_us(int64_t config_apply_us, int64_t drain_us);
-bool attest_is_time_to_ask(struct attest *attest, int routers, int64_t now);
+int64_t attest_retry_max_us(int routers);
+int64_t attest_coalesce_us(int64_t config_apply_us, int64_t drain_us);
+bool attest_query_due(struct attest *attest, int routers, int64_t now);
 
 #endif /* ATTEST_H */
--- a/src/edge_follow.c
+++ b/src/edge_follow.c
@@ -42,11 +42,11 @@
 static int64_t edge_gone_us(const struct edge *edge, int64_t now);
 
 static const struct sto_follow_ops edge_ops = {
-	.begin = edge_begin,
+	.list_begin = edge_begin,
 	.item = edge_item,
-	.end = edge_end,
-	.fresh = edge_fresh,
-	.returned = edge_returned,
+	.list_end = edge_end,
+	.confirmed = edge_fresh,
+	.restored = edge_returned,
 	.reachable = edge_reachable,
 };
 
@@ -57,14 +57,14 @@
  */
 int edge_follow(struct edge *edge)
 {
-	struct sto_follow_settings all = {
-		"",
-		EDGE_WATCH_MS,
-		attest_gather_us(edge->set.config_apply_us, edge->set.drain_us),
-		attest_retry_us(1),
-		&edge_ops,
-		edge
-	};
+	struct sto_follow_settings all = { "",
+					   EDGE_WATCH_MS,
+					   attest_coalesce_us(
+						   edge->set.config_apply_us,
+						   edge->set.drain_us),
+					   attest_retry_max_us(1),
+					   &edge_ops,
+					   edge };
 
 	edge->store_reachable = true;
 	if (sto_follow(edge->sto, &all, &edge->follow)) {
@@ -79,12 +79,12 @@
 {
 	int routers = 1 + pres_peer_count(edge->pres);
 
-	sto_follow_retry(edge->follow, attest_retry_us(routers));
-	if (era_ends(&edge->era, now))
+	sto_follow_set_retry_max(edge->follow, attest_retry_max_us(routers));
+	if (era_relist_due(&edge->era, now))
 		edge_settle(edge);
 	sto_tick(edge->sto, now);
-	if (attest_is_time_to_ask(&edge->attest, routers, now))
-		sto_follow_ask(edge->follow);
+	if (attest_query_due(&edge->attest, routers, now))
+		sto_follow_query(edge->follow);
 }
 
 /* A whole list of the store's keys begins. */
@@ -93,7 +93,7 @@
 	struct edge *edge = user;
 
 	wk_list_begin(&edge->workers);
-	pres_begin(edge->pres);
+	pres_list_begin(edge->pres);
 }
 
 /* Hands a key to the module that it belongs to. */
@@ -114,11 +114,11 @@
 	struct edge *edge = user;
 	int64_t now = clk_boot_us();
 
-	if (era_settled(&edge->era))
+	if (era_list_done(&edge->era))
 		edge_log_settled(edge, now);
 	wk_list_end(&edge->workers, edge_gone_us(edge, now), now);
 	edge->workers_listed = true;
-	pres_end(edge->pres);
+	pres_list_end(edge->pres);
 }
 
 /*
@@ -128,15 +128,16 @@
 static void edge_fresh(void *user, int64_t sent_us)
 {
 	struct edge *edge = user;
-	int64_t before_us = edge->attest.fresh_us;
+	int64_t before_us = edge->attest.confirmed_us;
 	int64_t now = clk_boot_us();
 
-	if (!era_is_news(&edge->era, sent_us) || !edge_has_config(edge, now) ||
+	if (!era_is_authoritative(&edge->era, sent_us) ||
+	    !edge_has_config(edge, now) ||
 	    edge->rt->version < edge->newest_version)
 		return;
 	attest_from_store(&edge->attest, sent_us);
-	if (edge->attest.fresh_us - before_us >= EDGE_ANNOUNCE_US)
-		hint_soon(edge->hint, clk_boot_us());
+	if (edge->attest.confirmed_us - before_us >= EDGE_ANNOUNCE_US)
+		hint_send_soon(edge->hint, clk_boot_us());
 }
 
 /* Takes a newer configuration; an older one never comes back. */
@@ -227,30 +228,30 @@
 	int64_t now = clk_boot_us();
 
 	met_add(&edge->met, MET_RETURNS);
-	era_returned(&edge->era, now);
+	era_store_restored(&edge->era, now);
 	wk_store_restored(&edge->workers, now);
-	pres_returned(edge->pres, now);
-	hint_soon(edge->hint, now);
+	pres_store_restored(edge->pres, now);
+	hint_send_soon(edge->hint, now);
 }
 
 /* All have written again by now: the next list is taken as it stands. */
 static void edge_settle(struct edge *edge)
 {
 	wk_store_settled(&edge->workers);
-	pres_settled(edge->pres);
-	sto_follow_list(edge->follow);
+	pres_store_settled(edge->pres);
+	sto_follow_relist(edge->follow);
 }
 
 /* All is read again; what is missing from the list is gone. */
 static void edge_log_settled(struct edge *edge, int64_t now)
 {
-	met_time(&edge->met, MET_RECOVERY, now - edge->era.returned_us);
+	met_time(&edge->met, MET_RECOVERY, now - edge->era.restored_us);
 	jlog(LOG_PF_SETTLED,
 	     "\"era\":%lld,\"took_ms\":%d,\"workers_gone\":%d,"
 	     "\"peers_gone\":%d,\"config\":%lld,\"config_in_store\":%lld",
 	     (long long)sto_era(edge->sto),
-	     (int)((now - edge->era.returned_us) / MAG_US_PER_MS),
-	     wk_count_missing(&edge->workers), pres_missing(edge->pres),
+	     (int)((now - edge->era.restored_us) / MAG_US_PER_MS),
+	     wk_count_missing(&edge->workers), pres_missing_count(edge->pres),
 	     edge->rt ? (long long)edge->rt->version : -1LL,
 	     (long long)edge->listed_version);
 }
--- a/src/era.c
+++ b/src/era.c
@@ -8,53 +8,56 @@
 	era->started_us = now;
 }
 
-/* An answer has shown that the store has come back from a copy. */
-void era_returned(struct era *era, int64_t now)
+/* An answer has shown that the store was restored from a backup. */
+void era_store_restored(struct era *era, int64_t now)
 {
-	era->returned_us = now;
+	era->restored_us = now;
 	era->settled_us = now + ERA_SETTLE_US;
 	era->settling = true;
-	era->reading = false;
+	era->relisting = false;
 	era->config_written = false;
 }
 
-/* Tells, once, that it is time to read all again and take it as it stands. */
-bool era_ends(struct era *era, int64_t now)
+/*
+ * Returns true once, when it is time to list all keys and use the list as it
+ * is.
+ */
+bool era_relist_due(struct era *era, int64_t now)
 {
-	if (!era->settling || era->reading || now < era->settled_us)
+	if (!era->settling || era->relisting || now < era->settled_us)
 		return false;
-	era->reading = true;
+	era->relisting = true;
 	return true;
 }
 
-/* A whole list was read; tells whether it is the one to take as it stands. */
-bool era_settled(struct era *era)
+/* A complete list was read; returns whether it is the one to use as it is. */
+bool era_list_done(struct era *era)
 {
-	if (!era->reading)
+	if (!era->relisting)
 		return false;
 	era->settling = false;
-	era->reading = false;
+	era->relisting = false;
 	return true;
 }
 
 /*
- * Tells whether what the store showed at at_us proves that the configuration
- * known was the newest then.  A copy does not: a newer one may be missing
- * until the operator has written it again.
+ * Returns whether the store's state at at_us proves that the known
+ * configuration was the newest at that time.  A restored backup does not: a
+ * newer configuration may be missing until the operator has written it again.
  */
-bool era_is_news(const struct era *era, int64_t at_us)
+bool era_is_authoritative(const struct era *era, int64_t at_us)
 {
-	return !era->returned_us || era->config_written ||
+	return !era->restored_us || era->config_written ||
 	       at_us >= era->settled_us;
 }
 
 /*
- * Tells whether a router that has started may go by the store's configuration.
- * It does not know when the store came back, but others may: it waits for
- * their word, for a bounded time.
+ * Returns whether a router that has started may use the store's configuration.
+ * It cannot know when the store was restored, but its peers may: it waits for a
+ * message from one of them, for a bounded time.
  */
-bool era_may_begin(const struct era *era, bool has_eras, int64_t now)
+bool era_may_use_config(const struct era *era, bool has_eras, int64_t now)
 {
-	return !has_eras || era->peers_heard ||
-	       now - era->started_us >= ERA_PEERS_US;
+	return !has_eras || era->peer_message_seen ||
+	       now - era->started_us >= ERA_PEER_WAIT_US;
 }
--- a/src/hint.h
+++ b/src/hint.h
@@ -2,9 +2,9 @@
 #define HINT_H
 
 /*
- * Hints between the routers: how much of each worker they have taken, and
- * which requests crash workers.  Datagrams in XDR; a lost one is made up for
- * by the next.  Nothing that must hold rests on them.
+ * Hints that routers exchange: the load that each has given every worker, and
+ * the requests that crash workers.  They are XDR datagrams; the next one makes
+ * up for one that is lost.  Nothing may depend on hints for correctness.
  */
 
 #include <stdbool.h>
@@ -21,8 +21,9 @@
 int hint_new(struct edge *edge, struct hint **out);
 void hint_free(struct hint *hint);
 void hint_tick(struct hint *hint, int64_t now);
-void hint_soon(struct hint *hint, int64_t now);
-double hint_part(const struct hint *hint, const struct wk *wk, int64_t now);
+void hint_send_soon(struct hint *hint, int64_t now);
+double hint_own_limit_part(const struct hint *hint, const struct wk *wk,
+			   int64_t now);
 bool hint_others_ready(const struct hint *hint, int64_t now);
 
 #endif /* HINT_H */
