--- a/src/edge_main.c
+++ b/src/edge_main.c
@@ -163,7 +163,8 @@
 
 static int edge_listen(struct edge *edge)
 {
-	static const struct hs_ops callers = { eq_arrive, eq_caller_gone };
+	static const struct hs_ops callers = { eq_on_request,
+					       eq_on_caller_gone };
 	static const struct hs_ops ready = { edge_ask_ready, edge_asker_gone };
 	static const struct hs_ops metrics = { edge_ask_metrics,
 					       edge_asker_gone };
--- a/src/eq.c
+++ b/src/eq.c
@@ -47,7 +47,7 @@
 static bool eq_too_late_to_begin(const struct eq *eq, int64_t now);
 
 /* A whole request of a caller has been read. */
-void eq_arrive(void *ctx, struct hs_conn *conn)
+void eq_on_request(void *ctx, struct hs_conn *conn)
 {
 	struct edge *edge = ctx;
 	int64_t now = clk_boot_us();
@@ -71,11 +71,11 @@
 		eq_refuse(eq, 503, eq_where(eq, now), "stopping");
 		return;
 	}
-	eq_try(eq, now);
+	eq_dispatch(eq, now);
 }
 
 /* The caller left: whatever works for it stops. */
-void eq_caller_gone(void *ctx, struct hs_conn *conn, void *user)
+void eq_on_caller_gone(void *ctx, struct hs_conn *conn, void *user)
 {
 	struct edge *edge = ctx;
 	struct eq *eq = user;
@@ -95,7 +95,7 @@
 
 	cds_list_for_each_entry_safe (eq, next, &edge->requests, node) {
 		if (!eq->call)
-			eq_try(eq, now);
+			eq_dispatch(eq, now);
 	}
 }
 
@@ -114,7 +114,7 @@
 		eq_try_waiting(edge, now);
 	}
 	eq_stall_tick(edge, now);
-	eq_cover_tick(edge, now);
+	eq_coverage_tick(edge, now);
 }
 
 /*
@@ -148,7 +148,7 @@
 static void eq_retry_fields(const struct eq *eq, enum eq_retry retry,
 			    char *fields, size_t size)
 {
-	int64_t wait = eq->asks.wait_ms;
+	int64_t wait = eq->request.wait_ms;
 	double spread = (double)(edge_random(eq->edge) % 1000) / 1000;
 	double left;
 
@@ -178,9 +178,10 @@
 /* Ends a request that may have run, or that ran out of time. */
 void eq_fail(struct eq *eq, int status, const char *why)
 {
-	met_add(&eq->edge->met, eq->state == EQ_STREAMS ? MET_CUT : MET_FAILED);
+	met_add(&eq->edge->met,
+		eq->state == EQ_STREAMING ? MET_CUT : MET_FAILED);
 	eq_log_end(eq, status, why);
-	if (eq->state == EQ_STREAMS)
+	if (eq->state == EQ_STREAMING)
 		hs_abort(eq->caller);
 	else
 		hs_reply(eq->caller, status, NULL, NULL, 0);
@@ -194,10 +195,10 @@
 	int64_t now = clk_boot_us();
 
 	met_add(&eq->edge->met, MET_ANSWERED);
-	if (eq->first_us) {
+	if (eq->first_event_us) {
 		met_time(&eq->edge->met, MET_FIRST_EVENT,
-			 eq->first_us - eq->arrived_us);
-		met_time(&eq->edge->met, MET_GAP, eq->gap_us);
+			 eq->first_event_us - eq->arrived_us);
+		met_time(&eq->edge->met, MET_GAP, eq->max_gap_us);
 	} else {
 		met_time(&eq->edge->met, MET_ANSWER, now - eq->arrived_us);
 	}
@@ -249,8 +250,8 @@
 	eq->rt = rt_hold(edge->rt);
 	eq->arrived_us = now;
 	eq->deadline_us = MAG_NEVER;
-	pl_request_decode(hs_headers(conn), &eq->asks);
-	eq->last_event = eq->asks.last_event;
+	pl_request_decode(hs_headers(conn), &eq->request);
+	eq->last_event = eq->request.last_event;
 	cds_list_add_tail(&eq->node, &edge->requests);
 	edge->request_count++;
 	hs_set_user(conn, eq);
@@ -262,9 +263,9 @@
 {
 	int account;
 
-	if (eq->asks.host)
-		eq->route =
-			rt_find(eq->rt, eq->asks.host, hs_target(eq->caller));
+	if (eq->request.host)
+		eq->route = rt_find(eq->rt, eq->request.host,
+				    hs_target(eq->caller));
 	if (!eq->route) {
 		met_add(&eq->edge->met, MET_NO_ROUTE);
 		eq_refuse(eq, 404, EQ_RETRY_NEVER, "no route");
@@ -277,7 +278,7 @@
 	}
 	if (!eq->rt->has_accounts || eq->route->no_account)
 		return true;
-	account = eq->asks.key ? rt_account_of(eq->rt, eq->asks.key) : -1;
+	account = eq->request.key ? rt_account_of(eq->rt, eq->request.key) : -1;
 	if (account < 0) {
 		met_add(&eq->edge->met, MET_NO_KEY);
 		eq_refuse(eq, 401, EQ_RETRY_NEVER, "unknown key");
@@ -302,7 +303,7 @@
 		return false;
 	}
 	eq_fingerprint(eq);
-	if (quar_check(edge->quar, eq->print, now) == QUAR_QUARANTINED) {
+	if (quar_check(edge->quar, eq->fingerprint, now) == QUAR_QUARANTINED) {
 		met_add(&eq->edge->met, MET_POISON);
 		eq_refuse(eq, 503, EQ_RETRY_NEVER, "crashes workers");
 		return false;
@@ -328,17 +329,18 @@
 	const char *target = hs_target(eq->caller);
 	crypto_generichash_state state;
 
-	crypto_generichash_init(&state, NULL, 0, sizeof(eq->print));
+	crypto_generichash_init(&state, NULL, 0, sizeof(eq->fingerprint));
 	crypto_generichash_update(&state, (const unsigned char *)target,
 				  strlen(target) + 1);
-	if (eq->asks.key)
-		crypto_generichash_update(&state,
-					  (const unsigned char *)eq->asks.key,
-					  strlen(eq->asks.key) + 1);
+	if (eq->request.key)
+		crypto_generichash_update(
+			&state, (const unsigned char *)eq->request.key,
+			strlen(eq->request.key) + 1);
 	if (len > 0)
 		crypto_generichash_update(&state, evbuffer_pullup(body, -1),
 					  len);
-	crypto_generichash_final(&state, eq->print, sizeof(eq->print));
+	crypto_generichash_final(&state, eq->fingerprint,
+				 sizeof(eq->fingerprint));
 }
 
 /*
@@ -348,14 +350,14 @@
 static void eq_deadlines(struct eq *eq)
 {
 	int64_t limit = eq->route->timeout_us;
-	int64_t wait = eq->asks.wait_ms * MAG_US_PER_MS;
+	int64_t wait = eq->request.wait_ms * MAG_US_PER_MS;
 
 	if (wait > 0 && wait < limit)
 		limit = wait;
 	eq->deadline_us = eq->arrived_us + limit - EQ_ANSWER_MARGIN_US;
-	eq->aim_us = eq->arrived_us + eq->route->target_us -
-		     age_of(&eq->edge->callers_age, eq->route->name,
-			    wait > 0 ? limit : 0, eq->arrived_us);
+	eq->target_deadline_us = eq->arrived_us + eq->route->target_us -
+				 age_of(&eq->edge->callers_age, eq->route->name,
+					wait > 0 ? limit : 0, eq->arrived_us);
 }
 
 /* Draws the service by the route's weights. */
@@ -391,13 +393,13 @@
 	     "\"target_ms\":%d,\"gap_aim_ms\":%d,\"sends\":%d,"
 	     "\"may_have_run\":%s,\"config\":%lld,\"config_age_ms\":%d,"
 	     "\"worker\":\"%s\"",
-	     jlog_text(id, sizeof(id), eq->asks.attempt_id),
+	     jlog_text(id, sizeof(id), eq->request.attempt_id),
 	     eq->route ? eq->route->name : "", eq->account ? eq->account : "",
 	     status, why, (int)((now - eq->arrived_us) / MAG_US_PER_MS),
-	     eq->first_us
-		     ? (int)((eq->first_us - eq->arrived_us) / MAG_US_PER_MS)
-		     : -1,
-	     (int)(eq->gap_us / MAG_US_PER_MS),
+	     eq->first_event_us ? (int)((eq->first_event_us - eq->arrived_us) /
+					MAG_US_PER_MS)
+				: -1,
+	     (int)(eq->max_gap_us / MAG_US_PER_MS),
 	     eq->route ? (int)(eq->route->target_us / MAG_US_PER_MS) : 0,
 	     eq->route ? (int)(eq->route->gap_us / MAG_US_PER_MS) : 0,
 	     eq->sends, eq->may_have_run ? "true" : "false",
--- a/src/eq.h
+++ b/src/eq.h
@@ -16,9 +16,9 @@
 #define EQ_CHAIN_TEXT 768
 
 enum eq_state {
-	EQ_WAITING, /* for a place at a worker */
-	EQ_SENT,    /* with a worker, nothing has gone to the caller */
-	EQ_STREAMS, /* events have gone to the caller */
+	EQ_WAITING,   /* for a place at a worker */
+	EQ_SENT,      /* with a worker, nothing has gone to the caller */
+	EQ_STREAMING, /* events have gone to the caller */
 };
 
 /* A worker that runs a part of the request. */
@@ -39,21 +39,23 @@
 	const struct rt_route *route;
 	const struct rt_service *service;
 	const char *account; /* NULL: the route needs none */
-	struct pl_request asks;
-	uint8_t print[MAG_DIGEST_BYTES];
+	struct pl_request request;
+	uint8_t fingerprint[MAG_DIGEST_BYTES];
 	enum eq_state state;
 
 	int64_t arrived_us;
-	int64_t deadline_us; /* the final answer is out by then */
-	int64_t aim_us;	     /* an answer, or its first event, is in time */
+	int64_t deadline_us;	    /* the final answer is out by then */
+	int64_t target_deadline_us; /* an answer, or its first event, is in time
+				     */
 	int64_t wait_until_us;
 	int64_t sent_us;
 	int64_t progress_us; /* of this attempt: its send, or its last event */
-	int64_t asked_us;    /* when its workers were asked last */
+	int64_t probed_us;   /* when its workers were asked last */
 	int64_t repaired_us; /* its chain was repaired last; 0: never */
-	int64_t gap_us;	     /* longest pause so far */
-	int64_t pace_us;     /* time between events, smoothed; 0: unknown */
-	int64_t first_us;    /* first event handed on, 0: none */
+	int64_t max_gap_us;  /* longest pause so far */
+	int64_t event_interval_us; /* time between events, smoothed; 0: unknown
+				    */
+	int64_t first_event_us;	   /* first event handed on, 0: none */
 
 	struct eq_hop hops[CHN_HOPS_MAX];
 	int hop_count;
@@ -68,7 +70,7 @@
 
 	/* The answer of the attempt in progress. */
 	int status;
-	struct pl_answer says;
+	struct pl_answer answer;
 	char at_fault[MAG_ADDR_MAX];
 	bool answered; /* its header has come */
 	bool garbled;
@@ -79,8 +81,8 @@
 };
 
 /* eq.c */
-void eq_arrive(void *ctx, struct hs_conn *conn);
-void eq_caller_gone(void *ctx, struct hs_conn *conn, void *user);
+void eq_on_request(void *ctx, struct hs_conn *conn);
+void eq_on_caller_gone(void *ctx, struct hs_conn *conn, void *user);
 void eq_tick(struct edge *edge, int64_t now);
 /* When a refused caller should come back. */
 enum eq_retry {
@@ -95,26 +97,26 @@
 void eq_finish(struct eq *eq);
 
 /* eq_send.c */
-void eq_try(struct eq *eq, int64_t now);
+void eq_dispatch(struct eq *eq, int64_t now);
 void eq_release(struct eq *eq);
 bool eq_avoids(const struct eq *eq, const struct wk *wk);
 void eq_avoid(struct eq *eq, const struct wk *wk);
-void eq_blame(struct eq *eq, struct wk *wk, int64_t now);
+void eq_add_crash_candidate(struct eq *eq, struct wk *wk, int64_t now);
 
 /* eq_chain.c */
 enum eq_choice {
 	EQ_CHOSEN,
-	EQ_BUSY, /* all are at their limit */
-	EQ_NONE, /* there is no worker for it */
+	EQ_BUSY,      /* all are at their limit */
+	EQ_NO_WORKER, /* there is no worker for it */
 };
 
 enum eq_choice eq_choose_chain(struct eq *eq, int64_t now);
 bool eq_choose_repair(struct eq *eq, int64_t now);
-void eq_cover_tick(struct edge *edge, int64_t now);
-void eq_take_hop(struct eq *eq, struct wk *wk, int from, int to);
+void eq_coverage_tick(struct edge *edge, int64_t now);
+void eq_reserve_hop(struct eq *eq, struct wk *wk, int from, int to);
 int eq_wire_hops(const struct eq *eq, struct wire_hop *hops);
-const struct eq_hop *eq_hop_of(const struct eq *eq, const struct wk *wk);
-struct wk *eq_hop_at(const struct eq *eq, const char *address);
+const struct eq_hop *eq_find_hop(const struct eq *eq, const struct wk *wk);
+struct wk *eq_worker_at_address(const struct eq *eq, const char *address);
 const char *eq_chain_text(const struct eq *eq, char *dst, size_t size);
 
 /* eq_repair.c */
@@ -123,11 +125,11 @@
 
 /* eq_answer.c */
 extern const struct hc_ops eq_ops;
-void eq_again(struct eq *eq, const char *why);
+void eq_retry_or_fail(struct eq *eq, const char *why);
 
 /* eq_stall.c */
 void eq_stall_tick(struct edge *edge, int64_t now);
-void eq_passed(struct eq *eq, int64_t now);
+void eq_on_progress(struct eq *eq, int64_t now);
 void eq_restart(struct eq *eq, const char *why);
 void eq_on_report(struct edge *edge, struct wk *wk,
 		  const struct wire_report *report, int64_t now);
--- a/src/eq_answer.c
+++ b/src/eq_answer.c
@@ -32,7 +32,7 @@
  * Tries a request again after an attempt that ended without its answer, if
  * that is allowed; else ends it.
  */
-void eq_again(struct eq *eq, const char *why)
+void eq_retry_or_fail(struct eq *eq, const char *why)
 {
 	const struct rt_route *route = eq->route;
 	bool repeatable = route->repeat == RT_IDEMPOTENT ||
@@ -43,7 +43,7 @@
 	     "\"request\":\"%s\",\"why\":\"%s\",\"sends\":%d,\"runs\":%d,"
 	     "\"may_have_run\":%s,\"last_event\":%lld,\"answer\":%d,"
 	     "\"at_fault\":\"%s\"",
-	     jlog_text(id, sizeof(id), eq->asks.attempt_id), why, eq->sends,
+	     jlog_text(id, sizeof(id), eq->request.attempt_id), why, eq->sends,
 	     eq->runs, eq->may_have_run ? "true" : "false",
 	     (long long)eq->last_event, eq->answered ? eq->status : 0,
 	     eq->at_fault);
@@ -58,9 +58,9 @@
 	}
 	if (eq->state == EQ_SENT)
 		eq->state = EQ_WAITING;
-	if (eq->state == EQ_STREAMS)
+	if (eq->state == EQ_STREAMING)
 		met_add(&eq->edge->met, MET_RESUMES);
-	eq_try(eq, clk_boot_us());
+	eq_dispatch(eq, clk_boot_us());
 }
 
 /* An answer that names another request is skipped: ours may follow it. */
@@ -68,21 +68,21 @@
 {
 	struct eq *eq = user;
 
-	pl_answer_decode(answer->status, answer->headers, &eq->says);
-	if (eq->says.attempt_id && eq->asks.attempt_id &&
-	    strcmp(eq->says.attempt_id, eq->asks.attempt_id) != 0)
+	pl_answer_decode(answer->status, answer->headers, &eq->answer);
+	if (eq->answer.attempt_id && eq->request.attempt_id &&
+	    strcmp(eq->answer.attempt_id, eq->request.attempt_id) != 0)
 		return false;
 	eq_take_limit(eq, answer);
 	eq->answered = true;
 	eq->status = answer->status;
 	eq->at_fault[0] = '\0';
-	if (eq->says.at_fault &&
-	    strlen(eq->says.at_fault) < sizeof(eq->at_fault))
+	if (eq->answer.at_fault &&
+	    strlen(eq->answer.at_fault) < sizeof(eq->at_fault))
 		mag_copy_name(eq->at_fault, sizeof(eq->at_fault),
-			      eq->says.at_fault);
-	if (eq->status / 100 == 2 && (!eq->says.sealed || eq->says.encoded))
+			      eq->answer.at_fault);
+	if (eq->status / 100 == 2 && (!eq->answer.sealed || eq->answer.encoded))
 		eq->garbled = true;
-	if (eq->state != EQ_STREAMS) {
+	if (eq->state != EQ_STREAMING) {
 		evbuffer_drain(eq->fields, evbuffer_get_length(eq->fields));
 		pl_answer_fields(answer->headers, eq->fields);
 		evbuffer_add(eq->fields, "", 1);
@@ -93,7 +93,7 @@
 /* Takes the rate limit that the first worker names, or no longer names. */
 static void eq_take_limit(const struct eq *eq, const struct hc_answer *answer)
 {
-	bool sound = answer->status / 100 == 2 && eq->says.sealed;
+	bool sound = answer->status / 100 == 2 && eq->answer.sealed;
 
 	wkp_take_limit(eq->edge, eq->hops[0].worker, answer,
 		       sound ? WK_ANSWER_SOUND : WK_ANSWER_OTHER, eq->sent_us);
@@ -142,9 +142,9 @@
 	ready = evbuffer_get_length(out);
 	if (ready == 0)
 		return;
-	if (eq->state != EQ_STREAMS) {
-		eq->state = EQ_STREAMS;
-		eq->first_us = now;
+	if (eq->state != EQ_STREAMING) {
+		eq->state = EQ_STREAMING;
+		eq->first_event_us = now;
 		eq_began(eq);
 		hs_stream_begin(eq->caller, eq->status,
 				(const char *)evbuffer_pullup(eq->fields, -1));
@@ -152,7 +152,7 @@
 		eq_take_gap(eq, now - eq->progress_us);
 	}
 	eq->progress_us = now;
-	eq_passed(eq, now);
+	eq_on_progress(eq, now);
 	hs_stream_data(eq->caller, evbuffer_pullup(out, -1), ready);
 	evbuffer_drain(out, ready);
 }
@@ -170,11 +170,12 @@
 /* Notes the time between two events. */
 static void eq_take_gap(struct eq *eq, int64_t gap_us)
 {
-	if (gap_us > eq->gap_us)
-		eq->gap_us = gap_us;
-	if (eq->pace_us == 0)
-		eq->pace_us = gap_us;
-	eq->pace_us += (gap_us - eq->pace_us) / EQ_PACE_PARTS;
+	if (gap_us > eq->max_gap_us)
+		eq->max_gap_us = gap_us;
+	if (eq->event_interval_us == 0)
+		eq->event_interval_us = gap_us;
+	eq->event_interval_us +=
+		(gap_us - eq->event_interval_us) / EQ_PACE_PARTS;
 }
 
 /* An attempt is over; the call is gone. */
@@ -197,7 +198,7 @@
 	bool idempotent = eq->route->repeat == RT_IDEMPOTENT;
 	bool good = eq->status / 100 == 2;
 
-	if (eq->says.not_run) {
+	if (eq->answer.not_run) {
 		eq_not_run(eq, wk, now);
 		return;
 	}
@@ -207,24 +208,24 @@
 	wk_clear(wk);
 	wk_worked(wk);
 	if (good) {
-		quar_ended_well(eq->edge->quar, eq->print, now);
-		if (eq->state == EQ_STREAMS && evs_pending(&eq->events) > 0) {
-			eq_again(eq, "stream ended inside an event");
+		quar_ended_well(eq->edge->quar, eq->fingerprint, now);
+		if (eq->state == EQ_STREAMING && evs_pending(&eq->events) > 0) {
+			eq_retry_or_fail(eq, "stream ended inside an event");
 			return;
 		}
 		eq_relay(eq);
 		return;
 	}
 	/* A failure of an idempotent request may be another's success. */
-	if (eq->status / 100 == 5 && eq->state != EQ_STREAMS && idempotent &&
+	if (eq->status / 100 == 5 && eq->state != EQ_STREAMING && idempotent &&
 	    eq->runs < eq->route->max_attempts &&
 	    bud_left(edge_budget(eq->edge, eq->service->name, now), now) > 1) {
 		eq_avoid(eq, wk);
-		eq_again(eq, "worker failed it");
+		eq_retry_or_fail(eq, "worker failed it");
 		return;
 	}
-	if (eq->state == EQ_STREAMS) {
-		eq_again(eq, "worker refused to go on");
+	if (eq->state == EQ_STREAMING) {
+		eq_retry_or_fail(eq, "worker refused to go on");
 		return;
 	}
 	eq_relay(eq);
@@ -235,7 +236,7 @@
 {
 	size_t len;
 
-	if (eq->state == EQ_STREAMS) {
+	if (eq->state == EQ_STREAMING) {
 		hs_stream_end(eq->caller);
 		eq_finish(eq);
 		return;
@@ -258,7 +259,7 @@
 	struct wk *fault = NULL;
 
 	if (eq->at_fault[0])
-		fault = eq_hop_at(eq, eq->at_fault);
+		fault = eq_worker_at_address(eq, eq->at_fault);
 	if (!fault)
 		fault = wk;
 	eq_avoid(eq, fault);
@@ -268,7 +269,7 @@
 	} else if (eq->status == 421) {
 		wk_suspect(fault, now, "another worker has its address");
 	}
-	eq_again(eq, "worker did not begin it");
+	eq_retry_or_fail(eq, "worker did not begin it");
 }
 
 /* The attempt ended without a whole answer. */
@@ -280,7 +281,7 @@
 	eq_avoid(eq, wk);
 	if (end == HC_UNSENT) {
 		wk_suspect(wk, now, "no connection");
-		eq_again(eq, "not sent");
+		eq_retry_or_fail(eq, "not sent");
 		eq_on_suspect(edge, wk, now);
 		return;
 	}
@@ -290,9 +291,10 @@
 	if (!eq->answered)
 		wk_broke(wk, now);
 	if (end == HC_BROKEN) {
-		eq_blame(eq, wk, now);
+		eq_add_crash_candidate(eq, wk, now);
 		wkp_ask(edge, wk, now);
 	}
-	eq_again(eq, eq->garbled || end == HC_GARBLED ? "garbled answer"
-						      : "connection broke");
+	eq_retry_or_fail(eq, eq->garbled || end == HC_GARBLED
+				     ? "garbled answer"
+				     : "connection broke");
 }
--- a/src/eq_chain.c
+++ b/src/eq_chain.c
@@ -57,13 +57,13 @@
 	count = eq_chain_workers(eq, NULL, now);
 	rc = chn_choose(&want, eq_list, count, &chain);
 	if (rc)
-		return rc == CHN_E_NONE ? EQ_NONE : EQ_BUSY;
+		return rc == CHN_E_NONE ? EQ_NO_WORKER : EQ_BUSY;
 	edge->cross_bytes -= eq_handed_bytes(eq, chain.crossings);
 	for (i = 0; i < chain.count; i++) {
 		eq_reads(eq, chain.hops[i].ref,
 			 chain.hops[i].to - chain.hops[i].from, now);
-		eq_take_hop(eq, eq_listed[chain.hops[i].ref],
-			    chain.hops[i].from, chain.hops[i].to);
+		eq_reserve_hop(eq, eq_listed[chain.hops[i].ref],
+			       chain.hops[i].from, chain.hops[i].to);
 	}
 	return EQ_CHOSEN;
 }
@@ -98,7 +98,7 @@
  * service.  A router that is cut off with half a copy of the model would take
  * its data centre's callers and refuse them all; see edge_is_ready.
  */
-void eq_cover_tick(struct edge *edge, int64_t now)
+void eq_coverage_tick(struct edge *edge, int64_t now)
 {
 	bool stands = true;
 	int i;
@@ -146,7 +146,7 @@
 }
 
 /* Takes a place at a worker and, for layers, memory of it. */
-void eq_take_hop(struct eq *eq, struct wk *wk, int from, int to)
+void eq_reserve_hop(struct eq *eq, struct wk *wk, int from, int to)
 {
 	struct room_request request = eq_room(eq);
 	struct eq_hop *hop = &eq->hops[eq->hop_count];
@@ -192,8 +192,8 @@
 	want->hop_us = CHN_HOP_US;
 	want->centre_us = EQ_CENTRE_US;
 	want->away_us = EQ_AWAY_US;
-	want->reads = eq->state == EQ_STREAMS;
-	want->yields = eq->last_event < 0 && now >= eq->aim_us;
+	want->reads = eq->state == EQ_STREAMING;
+	want->yields = eq->last_event < 0 && now >= eq->target_deadline_us;
 	want->may_cross = edge_may_cross(edge, &eq->service->engine, now);
 }
 
@@ -228,7 +228,7 @@
 		held = wk->layers.to - wk->layers.from;
 		if (count == CHN_WORKERS_MAX)
 			break;
-		keeps = first ? eq_hop_of(eq, wk) : NULL;
+		keeps = first ? eq_find_hop(eq, wk) : NULL;
 		if (held <= 0 || eq_avoids(eq, wk) ||
 		    !(keeps ? wk_alive(wk, now) && !wk->on_trial
 			    : wk_usable(wk, now)) ||
@@ -262,7 +262,7 @@
 }
 
 /* Returns the part of a request's chain that a worker runs, or NULL. */
-const struct eq_hop *eq_hop_of(const struct eq *eq, const struct wk *wk)
+const struct eq_hop *eq_find_hop(const struct eq *eq, const struct wk *wk)
 {
 	int i;
 
@@ -277,7 +277,7 @@
  * Returns the worker of a request's chain that has an address, or NULL.  The
  * list may name several at one address, of which the request met this one.
  */
-struct wk *eq_hop_at(const struct eq *eq, const char *address)
+struct wk *eq_worker_at_address(const struct eq *eq, const char *address)
 {
 	int i;
 
@@ -318,7 +318,7 @@
 	for (i = 0; i < rest->count; i++) {
 		hop = &rest->hops[i];
 		wk = eq_listed[hop->ref];
-		eq_take_hop(eq, wk, hop->from, hop->to);
+		eq_reserve_hop(eq, wk, hop->from, hop->to);
 		kept = &old[0];
 		while (kept < &old[count] && kept->worker != wk)
 			kept++;
@@ -380,9 +380,9 @@
 	const struct rt_engine *engine = &eq->service->engine;
 
 	return (struct room_request){
-		.prompt = eq->asks.prompt_tokens,
-		.answer_hint = eq->asks.answer_tokens_hint,
-		.answer_max = eq->asks.answer_tokens_max,
+		.prompt = eq->request.prompt_tokens,
+		.answer_hint = eq->request.answer_tokens_hint,
+		.answer_max = eq->request.answer_tokens_max,
 		.usual_prompt = engine->usual_prompt,
 		.usual_answer = engine->usual_answer,
 	};
@@ -395,7 +395,7 @@
 static double eq_read_us(const struct eq *eq, const struct rt_kind *kind)
 {
 	const struct rt_engine *engine = &eq->service->engine;
-	int prompt = eq->asks.prompt_tokens;
+	int prompt = eq->request.prompt_tokens;
 	double pieces = 0;
 	double ms;
 
--- a/src/eq_repair.c
+++ b/src/eq_repair.c
@@ -59,7 +59,7 @@
 	struct eq_repair *repair;
 
 	if (!eq->call || eq->repair || eq->repairs >= EQ_REPAIRS_MAX ||
-	    !eq->asks.attempt_id || eq->hops[0].worker == fault ||
+	    !eq->request.attempt_id || eq->hops[0].worker == fault ||
 	    !eq_repair_alive(eq->hops[0].worker, now))
 		return false;
 	eq_avoid(eq, fault);
@@ -116,7 +116,7 @@
 	char body[PL_ORDER_MAX];
 	int count = eq_wire_hops(eq, hops);
 
-	if (pl_order_repath(body, sizeof(body), eq->asks.attempt_id, hops,
+	if (pl_order_repath(body, sizeof(body), eq->request.attempt_id, hops,
 			    count))
 		return NULL;
 	return pl_call_encode("POST", PL_ORDER_PATH,
@@ -159,7 +159,7 @@
 	     "\"request\":\"%s\",\"worker\":\"%s\",\"hops\":%d,"
 	     "\"chain\":\"%s\",\"repair\":%d,\"status\":%d,\"at_fault\":\"%s\","
 	     "\"silent_ms\":%d",
-	     jlog_text(id, sizeof(id), eq->asks.attempt_id),
+	     jlog_text(id, sizeof(id), eq->request.attempt_id),
 	     eq->hops[0].worker->is.id, eq->hop_count,
 	     eq_chain_text(eq, chain, sizeof(chain)), eq->repairs, status,
 	     address, (int)((now - eq->progress_us) / MAG_US_PER_MS));
@@ -178,7 +178,7 @@
 	struct wk *fault = NULL;
 
 	if (address[0])
-		fault = eq_hop_at(eq, address);
+		fault = eq_worker_at_address(eq, address);
 	if (fault) {
 		wk_refused(fault, now);
 		if (eq_repair_start(eq, fault, now))
--- a/src/eq_send.c
+++ b/src/eq_send.c
@@ -31,7 +31,7 @@
 static struct evbuffer *eq_message(struct eq *eq, int64_t now);
 
 /* Finds a place for a request and sends it, or lets it wait, or ends it. */
-void eq_try(struct eq *eq, int64_t now)
+void eq_dispatch(struct eq *eq, int64_t now)
 {
 	enum eq_choice choice;
 
@@ -91,10 +91,10 @@
  * Remembers a request as one that may have crashed a worker of its chain,
  * unless that worker was silent before the request came there.
  */
-void eq_blame(struct eq *eq, struct wk *wk, int64_t now)
+void eq_add_crash_candidate(struct eq *eq, struct wk *wk, int64_t now)
 {
 	int64_t began_us = eq->sent_us;
-	const struct eq_hop *hop = eq_hop_of(eq, wk);
+	const struct eq_hop *hop = eq_find_hop(eq, wk);
 	bool others = false;
 
 	/* Of plain workers it is not known when they were heard last. */
@@ -103,7 +103,7 @@
 	if (eq->repaired_us > began_us)
 		began_us = eq->repaired_us;
 	if (quar_is_evidence(began_us, wk->passed_us, others))
-		wk_add_victim(wk, eq->print, now);
+		wk_add_victim(wk, eq->fingerprint, now);
 }
 
 /* Waits while that can help, else ends the request at once. */
@@ -112,9 +112,9 @@
 	int64_t patience =
 		(int64_t)((double)eq->route->target_us * EQ_WAIT_SHARE);
 
-	if (eq->service->has_engine && eq->arrived_us >= eq->aim_us)
+	if (eq->service->has_engine && eq->arrived_us >= eq->target_deadline_us)
 		patience = EQ_LATE_WAIT_US;
-	if (eq->state == EQ_STREAMS) {
+	if (eq->state == EQ_STREAMING) {
 		/* It began: the caller waits until the pause is too long. */
 		if (now - eq->progress_us > 1500 * MAG_US_PER_MS)
 			eq_fail(eq, 502, "no chain to go on");
@@ -159,8 +159,8 @@
 		}
 	}
 	if (!best)
-		return any ? EQ_BUSY : EQ_NONE;
-	eq_take_hop(eq, best, 0, 0);
+		return any ? EQ_BUSY : EQ_NO_WORKER;
+	eq_reserve_hop(eq, best, 0, 0);
 	return EQ_CHOSEN;
 }
 
@@ -195,7 +195,7 @@
 		met_time(&eq->edge->met, MET_WAIT, now - eq->arrived_us);
 	} else if (!bud_take(bud, now)) {
 		eq_release(eq);
-		if (eq->state == EQ_STREAMS)
+		if (eq->state == EQ_STREAMING)
 			eq_fail(eq, 502, "retry budget spent");
 		else
 			eq_refuse(eq, 503, EQ_RETRY_SOON, "retry budget spent");
@@ -206,8 +206,8 @@
 	eq->sends++;
 	met_add(&eq->edge->met, MET_SENDS);
 	eq->sent_us = now;
-	eq->progress_us = eq->state == EQ_STREAMS ? eq->progress_us : now;
-	eq->asked_us = now;
+	eq->progress_us = eq->state == EQ_STREAMING ? eq->progress_us : now;
+	eq->probed_us = now;
 	eq->answered = false;
 	eq->garbled = false;
 	eq->status = 0;
@@ -231,7 +231,7 @@
 	     "\"chain\":\"%s\",\"send\":%d,\"from_event\":%lld,"
 	     "\"requests_there\":%d,"
 	     "\"left_ms\":%d",
-	     jlog_text(id, sizeof(id), eq->asks.attempt_id), wk->is.id,
+	     jlog_text(id, sizeof(id), eq->request.attempt_id), wk->is.id,
 	     eq->hop_count, eq_chain_text(eq, chain, sizeof(chain)), eq->sends,
 	     (long long)eq->last_event, wk->firsts,
 	     (int)((eq->deadline_us - now) / MAG_US_PER_MS));
@@ -260,7 +260,7 @@
 	out.account = eq->account;
 	out.left_ms = (eq->deadline_us - now) / MAG_US_PER_MS;
 	out.last_event = -1;
-	if (eq->state == EQ_STREAMS)
+	if (eq->state == EQ_STREAMING)
 		out.last_event = eq->last_event;
 	out.urgency = -1;
 	out.body = hs_body(eq->caller);
--- a/src/eq_stall.c
+++ b/src/eq_stall.c
@@ -54,13 +54,13 @@
 			eq_move(eq, lost, "on a suspected worker");
 			continue;
 		}
-		if (now - eq->asked_us >= ASK_AGAIN_US)
+		if (now - eq->probed_us >= ASK_AGAIN_US)
 			eq_ask(eq, now);
 	}
 }
 
 /* An event came through all workers of a chain. */
-void eq_passed(struct eq *eq, int64_t now)
+void eq_on_progress(struct eq *eq, int64_t now)
 {
 	int i;
 
@@ -102,7 +102,8 @@
 static void eq_ask(struct eq *eq, int64_t now)
 {
 	struct ask_stream stream = { eq->sent_us, now - eq_silence(eq, now),
-				     eq_quiet_limit(eq), eq->first_us != 0 };
+				     eq_quiet_limit(eq),
+				     eq->first_event_us != 0 };
 	struct ask_worker worker;
 	enum ask_why why;
 	struct wk *wk;
@@ -115,13 +116,13 @@
 		why = ask_worker(&stream, &worker, now);
 		if (why == ASK_NOT)
 			continue;
-		eq->asked_us = now;
+		eq->probed_us = now;
 		wk->quiet_asks += why == ASK_QUIET;
 		wkp_ask(eq->edge, wk, now);
 	}
 	if (eq_silence(eq, now) < EQ_SILENCE_US)
 		return;
-	eq->asked_us = now;
+	eq->probed_us = now;
 	wkp_ask(eq->edge, eq->hops[0].worker, now);
 }
 
@@ -133,11 +134,11 @@
 	if (eq->route->gap_us > 0)
 		quiet_us =
 			(int64_t)((double)eq->route->gap_us * EQ_QUIET_SHARE);
-	if (eq->state != EQ_STREAMS || !eq->answered ||
+	if (eq->state != EQ_STREAMING || !eq->answered ||
 	    eq->repaired_us > eq->progress_us)
 		return EQ_FIRST_QUIET_US;
-	if (eq->pace_us * EQ_QUIET_PACES > quiet_us)
-		return eq->pace_us * EQ_QUIET_PACES;
+	if (eq->event_interval_us * EQ_QUIET_PACES > quiet_us)
+		return eq->event_interval_us * EQ_QUIET_PACES;
 	return quiet_us;
 }
 
@@ -158,7 +159,7 @@
 		if (fault != wk)
 			wk_suspect(fault, now, "streams wait for it");
 		eq = eq_by_id(edge, stalled->attempt_id);
-		if (!eq || !eq_on_chain(eq) || !eq_hop_of(eq, fault) ||
+		if (!eq || !eq_on_chain(eq) || !eq_find_hop(eq, fault) ||
 		    eq_silence(eq, now) < EQ_QUIET_US)
 			continue;
 		eq_move(eq, fault, "stalled at a worker");
@@ -176,7 +177,7 @@
 	struct eq *next;
 
 	cds_list_for_each_entry_safe (eq, next, &edge->requests, node) {
-		if (!eq_on_chain(eq) || !eq_hop_of(eq, wk) ||
+		if (!eq_on_chain(eq) || !eq_find_hop(eq, wk) ||
 		    !eq_waits_for(eq, wk, now))
 			continue;
 		eq_move(eq, wk, "on a suspected worker");
@@ -200,7 +201,7 @@
 	int64_t now = clk_boot_us();
 
 	met_add(&eq->edge->met, MET_STALLS);
-	eq_blame(eq, fault, now);
+	eq_add_crash_candidate(eq, fault, now);
 	eq_avoid(eq, fault);
 	if (!eq_may_begin_anew(eq, now) && eq_repair_start(eq, fault, now))
 		return;
@@ -232,7 +233,7 @@
 	eq->call = NULL;
 	eq->may_have_run = true;
 	eq->runs++;
-	eq_again(eq, why);
+	eq_retry_or_fail(eq, why);
 }
 
 static struct eq *eq_by_id(struct edge *edge, const char *attempt_id)
@@ -240,8 +241,8 @@
 	struct eq *eq;
 
 	cds_list_for_each_entry (eq, &edge->requests, node) {
-		if (eq->asks.attempt_id &&
-		    strcmp(eq->asks.attempt_id, attempt_id) == 0)
+		if (eq->request.attempt_id &&
+		    strcmp(eq->request.attempt_id, attempt_id) == 0)
 			return eq;
 	}
 	return NULL;
