--- a/src/edge.c
+++ b/src/edge.c
@@ -15,18 +15,19 @@
 #define EDGE_PIPE_SHARE 0.5
 
 /* Returns the number of a data centre, a new one for a new name. */
-int edge_centre(struct edge *edge, const char *name)
+int edge_data_centre_index(struct edge *edge, const char *name)
 {
 	int i;
 
-	for (i = 0; i < edge->centre_count; i++) {
-		if (strcmp(edge->centres[i], name) == 0)
+	for (i = 0; i < edge->data_centre_count; i++) {
+		if (strcmp(edge->data_centres[i], name) == 0)
 			return i;
 	}
-	if (i == EDGE_CENTRES_MAX)
-		return EDGE_CENTRES_MAX - 1;
-	snprintf(edge->centres[i], sizeof(edge->centres[i]), "%s", name);
-	return edge->centre_count++;
+	if (i == EDGE_DATA_CENTRES_MAX)
+		return EDGE_DATA_CENTRES_MAX - 1;
+	snprintf(edge->data_centres[i], sizeof(edge->data_centres[i]), "%s",
+		 name);
+	return edge->data_centre_count++;
 }
 
 /*
@@ -44,8 +45,8 @@
 	struct edge_budget *budget;
 	int i;
 
-	if (routers > edge->routers_most)
-		edge->routers_most = routers;
+	if (routers > edge->max_routers_seen)
+		edge->max_routers_seen = routers;
 	share = (double)(now - edge->started_us) /
 			(double)edge->set.retry_window_us -
 		1;
@@ -53,7 +54,8 @@
 		share = 1;
 	if (share < EDGE_SLACK_AT_START)
 		share = EDGE_SLACK_AT_START;
-	slack = share * edge->set.retry_slack / (edge->routers_most * 1.5 + 1);
+	slack = share * edge->set.retry_slack /
+		(edge->max_routers_seen * 1.5 + 1);
 	for (i = 0; i < edge->budget_count; i++) {
 		if (strcmp(edge->budgets[i].service, service) == 0)
 			break;
@@ -81,31 +83,33 @@
  * until its caller leaves, and is sent again.  Each router therefore keeps to
  * its part of half a pipe; what does not fit is refused at once.
  */
-bool edge_may_cross(struct edge *edge, const struct rt_engine *engine,
-		    int64_t now)
+bool edge_may_cross_data_centres(struct edge *edge,
+				 const struct rt_engine *engine, int64_t now)
 {
-	double bytes_per_s = engine->pipe_mbps * 1e6 / 8 * EDGE_PIPE_SHARE /
-			     (edge->routers_most > 0 ? edge->routers_most : 1);
+	double bytes_per_s =
+		engine->pipe_mbps * 1e6 / 8 * EDGE_PIPE_SHARE /
+		(edge->max_routers_seen > 0 ? edge->max_routers_seen : 1);
 
-	edge->cross_bytes +=
-		bytes_per_s * (double)(now - edge->cross_us) / MAG_US_PER_S;
-	edge->cross_us = now;
-	if (edge->cross_bytes > bytes_per_s)
-		edge->cross_bytes = bytes_per_s;
-	return edge->cross_bytes > 0;
+	edge->crossing_budget_bytes +=
+		bytes_per_s * (double)(now - edge->crossing_budget_us) /
+		MAG_US_PER_S;
+	edge->crossing_budget_us = now;
+	if (edge->crossing_budget_bytes > bytes_per_s)
+		edge->crossing_budget_bytes = bytes_per_s;
+	return edge->crossing_budget_bytes > 0;
 }
 
 /*
  * Returns how many routers a data centre has, if they are spread evenly:
  * those that meet the same fault at the same moment.
  */
-int edge_routers_here(const struct edge *edge)
+int edge_routers_per_data_centre(const struct edge *edge)
 {
 	int routers = 1 + pres_peer_count(edge->pres);
 
-	if (edge->centre_count > 1)
-		routers =
-			(routers + edge->centre_count - 1) / edge->centre_count;
+	if (edge->data_centre_count > 1)
+		routers = (routers + edge->data_centre_count - 1) /
+			  edge->data_centre_count;
 	return routers;
 }
 
@@ -127,7 +131,7 @@
 		return false;
 	if (edge->attest.fresh_us)
 		return true;
-	return edge->rt->version >= edge->newest_version &&
+	return edge->rt->version >= edge->newest_peer_version &&
 	       era_may_begin(&edge->era, sto_era(edge->sto) != POS_ERA_NONE,
 			     now);
 }
@@ -143,8 +147,8 @@
 	if (!edge_has_config(edge, now) || !edge->workers_listed ||
 	    edge->stopping)
 		return false;
-	if (edge->had_chains && edge->chainless_us &&
-	    now - edge->chainless_us > EDGE_CHAINLESS_US)
+	if (edge->was_covered && edge->uncovered_since_us &&
+	    now - edge->uncovered_since_us > EDGE_CHAINLESS_US)
 		return false;
 	return !edge->rt->has_accounts || !edge->set.keys_fail_closed ||
 	       !attest_soon_untrusted(&edge->attest, edge->set.keys_stale_us,
--- a/src/edge_follow.c
+++ b/src/edge_follow.c
@@ -132,7 +132,7 @@
 	int64_t now = clk_boot_us();
 
 	if (!era_is_news(&edge->era, sent_us) || !edge_has_config(edge, now) ||
-	    edge->rt->version < edge->newest_version)
+	    edge->rt->version < edge->newest_peer_version)
 		return;
 	attest_from_store(&edge->attest, sent_us);
 	if (edge->attest.fresh_us - before_us >= EDGE_ANNOUNCE_US)
@@ -154,7 +154,7 @@
 		     jlog_text(text, sizeof(text), why));
 		return;
 	}
-	edge->listed_version = fresh->version;
+	edge->store_version = fresh->version;
 	if (!edge->workers.listing)
 		edge->era.config_written = true;
 	if (edge->rt && fresh->version <= edge->rt->version) {
@@ -252,7 +252,7 @@
 	     (int)((now - edge->era.returned_us) / MAG_US_PER_MS),
 	     wk_missing(&edge->workers), pres_missing(edge->pres),
 	     edge->rt ? (long long)edge->rt->version : -1LL,
-	     (long long)edge->listed_version);
+	     (long long)edge->store_version);
 }
 
 static void edge_reachable(void *user, bool reachable)
@@ -261,7 +261,7 @@
 
 	edge->store_reachable = reachable;
 	if (reachable)
-		edge->store_back_us = clk_boot_us();
+		edge->store_regained_us = clk_boot_us();
 	jlog(reachable ? LOG_PF_UP : LOG_PF_DOWN, "\"store\":\"%s\"",
 	     edge->set.store);
 }
@@ -276,9 +276,9 @@
  */
 static int64_t edge_gone_us(const struct edge *edge, int64_t now)
 {
-	int64_t lapsed_us = edge->store_back_us + EDGE_LAPSED_US;
+	int64_t lapsed_us = edge->store_regained_us + EDGE_LAPSED_US;
 
 	if (!edge->store_reachable)
 		return now + EDGE_LAPSED_US;
-	return edge->store_back_us && now < lapsed_us ? lapsed_us : now;
+	return edge->store_regained_us && now < lapsed_us ? lapsed_us : now;
 }
--- a/src/edge_main.c
+++ b/src/edge_main.c
@@ -123,7 +123,7 @@
 	randombytes_buf(&incarnation, sizeof(incarnation));
 	edge->seed |= 1;
 	edge->started_us = clk_boot_us();
-	edge->newest_version = -1;
+	edge->newest_peer_version = -1;
 	era_start(&edge->era, edge->started_us);
 	attest_init(&edge->attest, (uint32_t)incarnation, edge_random(edge));
 	CDS_INIT_LIST_HEAD(&edge->requests);
@@ -134,7 +134,7 @@
 		return -1;
 	}
 	wk_init(&edge->workers, edge->hc);
-	edge_centre(edge, edge->set.data_centre);
+	edge_data_centre_index(edge, edge->set.data_centre);
 	if (edge_listen(edge))
 		return -1;
 	if (sto_new(edge->hc, edge->set.store, edge_random(edge), &edge->sto)) {
@@ -201,11 +201,11 @@
 
 	(void)fd;
 	(void)what;
-	if (edge->ticked_us && now - edge->ticked_us > EDGE_LATE_US) {
-		edge->late_us = now;
-		hc_delay(edge->hc, now - edge->ticked_us);
+	if (edge->last_tick_us && now - edge->last_tick_us > EDGE_LATE_US) {
+		edge->last_late_tick_us = now;
+		hc_delay(edge->hc, now - edge->last_tick_us);
 	}
-	edge->ticked_us = now;
+	edge->last_tick_us = now;
 	edge_reload(run, now);
 	hc_tick(edge->hc, now);
 	hs_tick(edge->callers, now);
@@ -215,8 +215,8 @@
 	pres_tick(edge->pres, now);
 	wk_tick(&edge->workers, now);
 	wkp_tick(edge, now);
-	if (now >= edge->placer.next_us) {
-		edge->placer.next_us = now + EDGE_PLAN_US;
+	if (now >= edge->placer.next_plan_us) {
+		edge->placer.next_plan_us = now + EDGE_PLAN_US;
 		plr_tick(edge, now);
 	}
 	hint_tick(edge->hint, now);
--- a/src/eq.c
+++ b/src/eq.c
@@ -109,8 +109,8 @@
 		if (now >= eq->deadline_us)
 			eq_fail(eq, 504, "deadline");
 	}
-	if (now >= edge->wait_us) {
-		edge->wait_us = now + EQ_WAIT_TRY_US;
+	if (now >= edge->next_wait_retry_us) {
+		edge->next_wait_retry_us = now + EQ_WAIT_TRY_US;
 		eq_try_waiting(edge, now);
 	}
 	eq_stall_tick(edge, now);
@@ -356,7 +356,7 @@
 		limit = wait;
 	eq->deadline_us = eq->arrived_us + limit - EQ_ANSWER_MARGIN_US;
 	eq->target_deadline_us = eq->arrived_us + eq->route->target_us -
-				 age_of(&eq->edge->callers_age, eq->route->name,
+				 age_of(&eq->edge->caller_ages, eq->route->name,
 					wait > 0 ? limit : 0, eq->arrived_us);
 }
 
--- a/src/eq_chain.c
+++ b/src/eq_chain.c
@@ -58,7 +58,7 @@
 	rc = chn_choose(&want, eq_list, count, &chain);
 	if (rc)
 		return rc == CHN_E_NONE ? EQ_NO_WORKER : EQ_BUSY;
-	edge->cross_bytes -= eq_handed_bytes(eq, chain.crossings);
+	edge->crossing_budget_bytes -= eq_handed_bytes(eq, chain.crossings);
 	for (i = 0; i < chain.count; i++) {
 		eq_reads(eq, chain.hops[i].ref,
 			 chain.hops[i].to - chain.hops[i].from, now);
@@ -82,13 +82,14 @@
 	int count;
 
 	first.to = hop->to;
-	first.centre = edge_centre(edge, hop->worker->is.data_centre);
+	first.centre =
+		edge_data_centre_index(edge, hop->worker->is.data_centre);
 	eq_chain_want(eq, &want, now);
 	count = eq_chain_workers(eq, hop, now);
 	if (chn_repair(&want, &first, eq_list, count, &rest) ||
 	    rest.count >= CHN_HOPS_MAX)
 		return false;
-	edge->cross_bytes -= eq_handed_bytes(eq, rest.crossings);
+	edge->crossing_budget_bytes -= eq_handed_bytes(eq, rest.crossings);
 	eq_change_hops(eq, &rest, now);
 	return true;
 }
@@ -103,18 +104,18 @@
 	bool stands = true;
 	int i;
 
-	if (!edge->rt || now < edge->cover_us)
+	if (!edge->rt || now < edge->next_coverage_check_us)
 		return;
-	edge->cover_us = now + EQ_COVER_US;
+	edge->next_coverage_check_us = now + EQ_COVER_US;
 	for (i = 0; i < edge->rt->service_count; i++) {
 		if (edge->rt->services[i].has_engine)
 			stands &= eq_covered(edge, &edge->rt->services[i], now);
 	}
-	edge->had_chains |= stands;
+	edge->was_covered |= stands;
 	if (stands)
-		edge->chainless_us = 0;
-	else if (!edge->chainless_us)
-		edge->chainless_us = now;
+		edge->uncovered_since_us = 0;
+	else if (!edge->uncovered_since_us)
+		edge->uncovered_since_us = now;
 }
 
 /* Writes the hops of a request down as they go onto the wire. */
@@ -187,14 +188,15 @@
 	struct edge *edge = eq->edge;
 
 	want->layers = eq->service->engine.layers;
-	want->centre = edge_centre(edge, edge->set.data_centre);
+	want->centre = edge_data_centre_index(edge, edge->set.data_centre);
 	want->tokens = room_tokens(&request);
 	want->hop_us = CHN_HOP_US;
 	want->centre_us = EQ_CENTRE_US;
 	want->away_us = EQ_AWAY_US;
 	want->reads = eq->state == EQ_STREAMING;
 	want->yields = eq->last_event < 0 && now >= eq->target_deadline_us;
-	want->may_cross = edge_may_cross(edge, &eq->service->engine, now);
+	want->may_cross =
+		edge_may_cross_data_centres(edge, &eq->service->engine, now);
 }
 
 /* Returns the bytes that a stream hands on between data centres. */
@@ -242,7 +244,7 @@
 		w = &eq_list[count];
 		eq_listed[count] = wk;
 		w->ref = count++;
-		w->centre = edge_centre(edge, wk->is.data_centre);
+		w->centre = edge_data_centre_index(edge, wk->is.data_centre);
 		w->from = wk->layers.from;
 		w->to = wk->layers.to;
 		w->layer_us = engine->step_ms * 1000 * kind->step_factor *
@@ -299,7 +301,7 @@
 	if (wk->read_until_us < now)
 		wk->read_until_us = now;
 	wk->read_until_us += (int64_t)(eq_list[listed].read_us * layers *
-				       edge_routers_here(eq->edge));
+				       edge_routers_per_data_centre(eq->edge));
 }
 
 /* Takes the places of a repaired chain, then gives the old ones back. */
@@ -346,7 +348,7 @@
 		.own = wk->held,
 		.recent = wk->recent_held,
 		.peers = wk->peer_held,
-		.routers = edge_routers_here(eq->edge),
+		.routers = edge_routers_per_data_centre(eq->edge),
 		.reported = wk->reported_held,
 		.reported_us = wk->reported_us,
 	};
--- a/src/hint.c
+++ b/src/hint.c
@@ -370,8 +370,8 @@
 	       message->limit_count * sizeof(message->limits[0]));
 	sto_follow_heard(edge->follow, message->at);
 	edge->era.peers_heard = true;
-	if (message->claim.version > edge->newest_version)
-		edge->newest_version = message->claim.version;
+	if (message->claim.version > edge->newest_peer_version)
+		edge->newest_peer_version = message->claim.version;
 	if (message->at.era == sto_era(edge->sto))
 		hint_take_attestation(edge, &message->claim, now);
 	for (k = 0; k < message->suspect_count; k++)
--- a/src/plr.c
+++ b/src/plr.c
@@ -91,12 +91,12 @@
 static void plr_service(struct edge *edge, int index, int64_t now)
 {
 	const struct rt_service *service = &edge->rt->services[index];
-	int64_t *hole_since_us = &edge->placer.hole_since_us[index];
+	int64_t *hole_since_us = &edge->placer.coverage_gap_since_us[index];
 	static struct lay_card cards[PLR_CARDS_MAX];
 	static struct wk *workers[PLR_CARDS_MAX];
 	struct lay_model model = plr_model(&service->engine);
 	struct wire_range range;
-	bool holes[EDGE_CENTRES_MAX];
+	bool holes[EDGE_DATA_CENTRES_MAX];
 	bool hole = false;
 	bool fresh;
 	int count;
@@ -106,7 +106,7 @@
 	fresh = lay_is_fresh(cards, count);
 	if (fresh && now - edge->workers.grew_us < PLR_SETTLE_US)
 		return;
-	for (i = 0; i < edge->centre_count; i++) {
+	for (i = 0; i < edge->data_centre_count; i++) {
 		holes[i] = lay_has_hole(&model, cards, count, i);
 		hole |= holes[i];
 	}
@@ -137,7 +137,7 @@
 			const struct lay_model *model, struct lay_card *cards,
 			int count, bool fresh, int64_t now)
 {
-	int64_t *next_us = &edge->placer.balance_us[index];
+	int64_t *next_us = &edge->placer.next_balance_us[index];
 
 	if (!fresh && now < *next_us)
 		return;
@@ -155,16 +155,16 @@
 	struct lay_cover cover;
 	int i;
 
-	if (now < edge->placer.cover_log_us)
+	if (now < edge->placer.next_coverage_log_us)
 		return;
-	edge->placer.cover_log_us = now + PLR_COVER_US;
-	for (i = 0; i < edge->centre_count; i++) {
+	edge->placer.next_coverage_log_us = now + PLR_COVER_US;
+	for (i = 0; i < edge->data_centre_count; i++) {
 		lay_least(model, cards, count, i, &cover);
 		jlog(LOG_PLR_COVER,
 		     "\"data_centre\":\"%s\",\"workers\":%d,"
 		     "\"least_layer\":%d,\"holders\":%d,\"tokens\":%.0f",
-		     edge->centres[i], cover.cards, cover.layer, cover.holders,
-		     cover.tokens);
+		     edge->data_centres[i], cover.cards, cover.layer,
+		     cover.holders, cover.tokens);
 	}
 }
 
@@ -205,7 +205,7 @@
 		card = &cards[count];
 		workers[count++] = wk;
 		memset(card, 0, sizeof(*card));
-		card->centre = edge_centre(edge, wk->is.data_centre);
+		card->centre = edge_data_centre_index(edge, wk->is.data_centre);
 		card->memory_mb = kind->memory_mb;
 		card->step_factor = kind->step_factor;
 		card->from = wk->ordered ? wk->order.from : wk->layers.from;
--- a/src/wkp.c
+++ b/src/wkp.c
@@ -141,7 +141,7 @@
 	cds_list_for_each_entry (wk, &edge->workers.workers, node) {
 		if (wk->probing && !wk->unresponsive &&
 		    now - wk->probed_us >= WKP_UNRESPONSIVE_US &&
-		    now - edge->late_us >= WKP_UNRESPONSIVE_US)
+		    now - edge->last_late_tick_us >= WKP_UNRESPONSIVE_US)
 			wkp_unresponsive(wk, now);
 		if (wk->slowdown > WKP_SLOW && wk_alive(wk, now) &&
 		    now - wk->slowdown_us >= WKP_SLOW_AGAIN_US &&
