--- a/regress/check_pl.c
+++ b/regress/check_pl.c
@@ -25,7 +25,7 @@
 	for (i = 0; i < set->route_count; i++)
 		fprintf(out, "route %s %s%s repeat %d attempts %d to %s\n",
 			set->routes[i].name, set->routes[i].host,
-			set->routes[i].prefix, set->routes[i].repeat,
+			set->routes[i].prefix, set->routes[i].kind,
 			set->routes[i].max_attempts,
 			set->services[set->routes[i].splits[0].service].name);
 	rt_drop(set);
--- a/regress/fuzz_pl.c
+++ b/regress/fuzz_pl.c
@@ -40,8 +40,8 @@
 	case 0:
 		if (pl_config_decode(text, size - 1, &set, why, sizeof(why)) ==
 		    RT_OK) {
-			rt_find(set, "h.example", "/a/b");
-			rt_account_of(set, "key");
+			rt_find_route(set, "h.example", "/a/b");
+			rt_account_by_key(set, "key");
 			rt_drop(set);
 		}
 		break;
--- a/src/edge.c
+++ b/src/edge.c
@@ -87,7 +87,7 @@
 				 const struct rt_engine *engine, int64_t now)
 {
 	double bytes_per_s =
-		engine->pipe_mbps * 1e6 / 8 * EDGE_PIPE_SHARE /
+		engine->link_mbps * 1e6 / 8 * EDGE_PIPE_SHARE /
 		(edge->max_routers_seen > 0 ? edge->max_routers_seen : 1);
 
 	edge->crossing_budget_bytes +=
--- a/src/edge_follow.c
+++ b/src/edge_follow.c
@@ -210,7 +210,7 @@
 	}
 	if (wk_list_put(&edge->workers, &worker, now, &wk))
 		return;
-	service = edge->rt ? rt_service_named(edge->rt, worker.service) : -1;
+	service = edge->rt ? rt_find_service(edge->rt, worker.service) : -1;
 	if (service >= 0)
 		hc_host_limit(
 			wk->host,
--- a/src/eq.c
+++ b/src/eq.c
@@ -264,8 +264,8 @@
 	int account;
 
 	if (eq->request.host)
-		eq->route = rt_find(eq->rt, eq->request.host,
-				    hs_target(eq->caller));
+		eq->route = rt_find_route(eq->rt, eq->request.host,
+					  hs_target(eq->caller));
 	if (!eq->route) {
 		met_add(&eq->edge->met, MET_NO_ROUTE);
 		eq_refuse(eq, 404, EQ_RETRY_NEVER, "no route");
@@ -276,9 +276,10 @@
 		eq_refuse(eq, 503, EQ_RETRY_LATER, "route has no service");
 		return false;
 	}
-	if (!eq->rt->has_accounts || eq->route->no_account)
+	if (!eq->rt->has_accounts || eq->route->auth_exempt)
 		return true;
-	account = eq->request.key ? rt_account_of(eq->rt, eq->request.key) : -1;
+	account = eq->request.key ? rt_account_by_key(eq->rt, eq->request.key)
+				  : -1;
 	if (account < 0) {
 		met_add(&eq->edge->met, MET_NO_KEY);
 		eq_refuse(eq, 401, EQ_RETRY_NEVER, "unknown key");
@@ -401,7 +402,7 @@
 				: -1,
 	     (int)(eq->max_gap_us / MAG_US_PER_MS),
 	     eq->route ? (int)(eq->route->target_us / MAG_US_PER_MS) : 0,
-	     eq->route ? (int)(eq->route->gap_us / MAG_US_PER_MS) : 0,
+	     eq->route ? (int)(eq->route->max_gap_us / MAG_US_PER_MS) : 0,
 	     eq->sends, eq->may_have_run ? "true" : "false",
 	     (long long)eq->rt->version,
 	     (int)((now - eq->edge->attest.fresh_us) / MAG_US_PER_MS),
--- a/src/eq_answer.c
+++ b/src/eq_answer.c
@@ -35,8 +35,8 @@
 void eq_retry_or_fail(struct eq *eq, const char *why)
 {
 	const struct rt_route *route = eq->route;
-	bool repeatable = route->repeat == RT_IDEMPOTENT ||
-			  (route->repeat == RT_STREAM && route->resumable);
+	bool repeatable = route->kind == RT_IDEMPOTENT ||
+			  (route->kind == RT_STREAMING && route->resumable);
 	char id[WIRE_ID_MAX];
 
 	jlog(LOG_EQ_AGAIN,
@@ -105,7 +105,7 @@
 
 	if (eq->garbled)
 		return;
-	if (eq->status == 200 && eq->route->repeat == RT_STREAM)
+	if (eq->status == 200 && eq->route->kind == RT_STREAMING)
 		eq_events(eq, bytes, len);
 	else
 		evbuffer_add(eq->body, bytes, len);
@@ -195,7 +195,7 @@
 /* The worker's answer is complete. */
 static void eq_whole(struct eq *eq, struct wk *wk, int64_t now)
 {
-	bool idempotent = eq->route->repeat == RT_IDEMPOTENT;
+	bool idempotent = eq->route->kind == RT_IDEMPOTENT;
 	bool good = eq->status / 100 == 2;
 
 	if (eq->answer.not_run) {
--- a/src/eq_chain.c
+++ b/src/eq_chain.c
@@ -40,7 +40,8 @@
 			  struct chn_worker *w);
 static struct room_request eq_room(const struct eq *eq);
 static double eq_handed_bytes(const struct eq *eq, int crossings);
-static double eq_read_us(const struct eq *eq, const struct rt_kind *kind);
+static double eq_read_us(const struct eq *eq,
+			 const struct rt_accelerator *kind);
 static double eq_noise(struct edge *edge);
 
 /* Takes the cheapest chain that fits. */
@@ -205,7 +206,7 @@
 	struct room_request request = eq_room(eq);
 
 	return crossings * room_tokens_in_all(&request) *
-	       eq->service->engine.handed_bytes;
+	       eq->service->engine.activation_bytes;
 }
 
 /*
@@ -218,7 +219,7 @@
 {
 	const struct eq_hop *keeps;
 	const struct rt_engine *engine = &eq->service->engine;
-	const struct rt_kind *kind;
+	const struct rt_accelerator *kind;
 	struct edge *edge = eq->edge;
 	struct chn_worker *w;
 	struct wk *wk;
@@ -238,7 +239,7 @@
 			continue;
 		if (first && wk == first->worker)
 			continue;
-		kind = rt_kind_named(engine, wk->is.kind);
+		kind = rt_find_accelerator(engine, wk->is.kind);
 		if (!kind)
 			continue;
 		w = &eq_list[count];
@@ -250,8 +251,8 @@
 		w->layer_us = engine->step_ms * 1000 * kind->step_factor *
 			      wk->slowdown * eq_noise(edge) / engine->layers;
 		spare_mb = kind->memory_mb - held * engine->layer_mb;
-		w->memory =
-			spare_mb * 1e6 * engine->layers / engine->token_bytes;
+		w->memory = spare_mb * 1e6 * engine->layers /
+			    engine->kv_token_bytes;
 		eq_known_load(eq, wk, now, w);
 		w->keeps_from = keeps ? keeps->from : 0;
 		w->keeps_to = keeps ? keeps->to : 0;
@@ -394,7 +395,7 @@
  * Time in which a worker reads the request's prompt through one layer.  It
  * reads in pieces, a step of the requests that it writes for between them.
  */
-static double eq_read_us(const struct eq *eq, const struct rt_kind *kind)
+static double eq_read_us(const struct eq *eq, const struct rt_accelerator *kind)
 {
 	const struct rt_engine *engine = &eq->service->engine;
 	int prompt = eq->request.prompt_tokens;
@@ -403,9 +404,10 @@
 
 	if (prompt <= 0)
 		prompt = engine->usual_prompt;
-	if (engine->piece_tokens > 0)
-		pieces = (double)prompt / engine->piece_tokens;
-	ms = prompt / engine->read_tokens_per_s * 1000 * kind->read_factor;
+	if (engine->prefill_chunk_tokens > 0)
+		pieces = (double)prompt / engine->prefill_chunk_tokens;
+	ms = prompt / engine->prefill_tokens_per_s * 1000 *
+	     kind->prefill_factor;
 	ms += pieces * engine->step_ms * kind->step_factor;
 	return ms * MAG_US_PER_MS / engine->layers;
 }
--- a/src/eq_send.c
+++ b/src/eq_send.c
@@ -224,7 +224,7 @@
 	 * A worker may close an idle connection while a request is on its
 	 * way; nobody could tell then whether it ran.
 	 */
-	send.fresh = eq->route->repeat == RT_ONCE;
+	send.fresh = eq->route->kind == RT_NON_IDEMPOTENT;
 	send.head = strcmp(hs_method(eq->caller), "HEAD") == 0;
 	jlog(LOG_EQ_SENT,
 	     "\"request\":\"%s\",\"worker\":\"%s\",\"hops\":%d,"
--- a/src/eq_stall.c
+++ b/src/eq_stall.c
@@ -131,9 +131,9 @@
 {
 	int64_t quiet_us = EQ_QUIET_US;
 
-	if (eq->route->gap_us > 0)
-		quiet_us =
-			(int64_t)((double)eq->route->gap_us * EQ_QUIET_SHARE);
+	if (eq->route->max_gap_us > 0)
+		quiet_us = (int64_t)((double)eq->route->max_gap_us *
+				     EQ_QUIET_SHARE);
 	if (eq->state != EQ_STREAMING || !eq->answered ||
 	    eq->repaired_us > eq->progress_us)
 		return EQ_FIRST_QUIET_US;
--- a/src/plr.c
+++ b/src/plr.c
@@ -175,7 +175,7 @@
 
 	model.layers = engine->layers;
 	model.layer_mb = engine->layer_mb;
-	model.token_mb = engine->token_bytes / 1e6 / engine->layers;
+	model.token_mb = engine->kv_token_bytes / 1e6 / engine->layers;
 	model.places = engine->slots;
 	model.request_tokens =
 		engine->usual_prompt + engine->usual_answer / 2.0;
@@ -188,7 +188,7 @@
 static int plr_cards(struct edge *edge, const struct rt_service *service,
 		     struct lay_card *cards, struct wk **workers, int64_t now)
 {
-	const struct rt_kind *kind;
+	const struct rt_accelerator *kind;
 	struct lay_card *card;
 	struct wk *wk;
 	int count = 0;
@@ -199,7 +199,7 @@
 		if (strcmp(wk->is.service, service->name) != 0 || !wk->listed ||
 		    !wk_alive(wk, now))
 			continue;
-		kind = rt_kind_named(&service->engine, wk->is.kind);
+		kind = rt_find_accelerator(&service->engine, wk->is.kind);
 		if (!kind)
 			continue;
 		card = &cards[count];
--- a/src/rt.c
+++ b/src/rt.c
@@ -46,7 +46,7 @@
 }
 
 /* Orders the tables for look-ups; to be called once they are filled. */
-void rt_finish(struct rt_set *set)
+void rt_sort_tables(struct rt_set *set)
 {
 	qsort(set->routes, (size_t)set->route_count, sizeof(*set->routes),
 	      rt_by_prefix);
@@ -54,8 +54,8 @@
 }
 
 /* Returns the route of the longest prefix that begins the path, or NULL. */
-const struct rt_route *rt_find(const struct rt_set *set, const char *host,
-			       const char *target)
+const struct rt_route *rt_find_route(const struct rt_set *set, const char *host,
+				     const char *target)
 {
 	const struct rt_route *route;
 	size_t path_len = strcspn(target, "?#");
@@ -72,7 +72,7 @@
 }
 
 /* Returns the index of the account that holds a key, or -1. */
-int rt_account_of(const struct rt_set *set, const char *key)
+int rt_account_by_key(const struct rt_set *set, const char *key)
 {
 	const struct rt_key *found;
 	struct rt_key want;
@@ -86,7 +86,7 @@
 }
 
 /* Returns the index of a service, or -1. */
-int rt_service_named(const struct rt_set *set, const char *name)
+int rt_find_service(const struct rt_set *set, const char *name)
 {
 	int i;
 
@@ -98,14 +98,14 @@
 }
 
 /* Returns a kind of accelerator by its name, or NULL. */
-const struct rt_kind *rt_kind_named(const struct rt_engine *engine,
-				    const char *name)
+const struct rt_accelerator *rt_find_accelerator(const struct rt_engine *engine,
+						 const char *name)
 {
 	int i;
 
-	for (i = 0; i < engine->kind_count; i++) {
-		if (strcmp(engine->kinds[i].name, name) == 0)
-			return &engine->kinds[i];
+	for (i = 0; i < engine->accelerator_count; i++) {
+		if (strcmp(engine->accelerators[i].name, name) == 0)
+			return &engine->accelerators[i];
 	}
 	return NULL;
 }
--- a/src/rt.h
+++ b/src/rt.h
@@ -14,11 +14,11 @@
 #include "hs_limits.h"
 #include "mag.h"
 
-#define RT_SPLIT_MAX  8
-#define RT_HOST_MAX   128
-#define RT_PREFIX_MAX 256
-#define RT_KEY_MAX    128
-#define RT_KIND_MAX   16
+#define RT_SPLIT_MAX	    8
+#define RT_HOST_MAX	    128
+#define RT_PREFIX_MAX	    256
+#define RT_KEY_MAX	    128
+#define RT_ACCELERATORS_MAX 16
 
 enum rt_err {
 	RT_OK = 0,
@@ -27,10 +27,10 @@
 };
 
 /* What may be done again with a request that failed. */
-enum rt_repeat {
-	RT_IDEMPOTENT, /* may run any number of times */
-	RT_ONCE,       /* at most once for each attempt of a client */
-	RT_STREAM,     /* events with increasing ids */
+enum rt_request_kind {
+	RT_IDEMPOTENT,	   /* may run any number of times */
+	RT_NON_IDEMPOTENT, /* at most once for each attempt of a client */
+	RT_STREAMING,	   /* events with increasing ids */
 };
 
 struct rt_split {
@@ -43,25 +43,25 @@
 	char host[RT_HOST_MAX];
 	char prefix[RT_PREFIX_MAX];
 	size_t prefix_len;
-	enum rt_repeat repeat;
-	bool resumable;	 /* a stream may go on at another worker */
-	bool no_account; /* needs no key */
-	bool generates;	 /* carries a prompt for a model */
+	enum rt_request_kind kind;
+	bool resumable;	  /* a stream may go on at another worker */
+	bool auth_exempt; /* needs no key */
+	bool generates;	  /* carries a prompt for a model */
 	int64_t timeout_us;
-	int64_t target_us; /* an answer within this is worth the most */
-	int64_t gap_us;	   /* longest pause between events in time */
-	int priority;	   /* 0 is the most urgent */
+	int64_t target_us;  /* an answer within this is worth the most */
+	int64_t max_gap_us; /* longest pause between events in time */
+	int priority;	    /* 0 is the most urgent */
 	int max_attempts;
 	struct rt_split splits[RT_SPLIT_MAX];
 	int split_count;
 };
 
 /* One kind of accelerator. */
-struct rt_kind {
+struct rt_accelerator {
 	char name[MAG_NAME_MAX];
 	double memory_mb;
-	double step_factor; /* time of a step against the reference */
-	double read_factor; /* time of reading a prompt, likewise */
+	double step_factor;    /* time of a step against the reference */
+	double prefill_factor; /* time of reading a prompt, likewise */
 };
 
 /* How the model's workers behave; times are those of all layers. */
@@ -69,20 +69,21 @@
 	char model[MAG_NAME_MAX];
 	int layers;
 	double layer_mb;
-	double token_bytes; /* memory of a token over all layers */
+	double kv_token_bytes; /* memory of a token over all layers */
 	double step_ms;
 	double per_sequence_ms;
 	double context_ms_per_k;
-	double read_tokens_per_s;
-	int piece_tokens;    /* of a prompt, read in one step; 0: unknown */
-	double handed_bytes; /* of a token, from one worker to the next */
-	double pipe_mbps;    /* between two data centres, for all */
-	double load_s;	     /* of the whole model */
+	double prefill_tokens_per_s;
+	int prefill_chunk_tokens; /* of a prompt, read in one step; 0: unknown
+				   */
+	double activation_bytes;  /* of a token, from one worker to the next */
+	double link_mbps;	  /* between two data centres, for all */
+	double load_s;		  /* of the whole model */
 	int slots;
 	int usual_prompt;
 	int usual_answer;
-	struct rt_kind kinds[RT_KIND_MAX];
-	int kind_count;
+	struct rt_accelerator accelerators[RT_ACCELERATORS_MAX];
+	int accelerator_count;
 };
 
 struct rt_service {
@@ -121,12 +122,12 @@
 struct rt_set *rt_new(int routes, int services, int accounts, int keys);
 struct rt_set *rt_hold(struct rt_set *set);
 void rt_drop(struct rt_set *set);
-void rt_finish(struct rt_set *set);
-const struct rt_route *rt_find(const struct rt_set *set, const char *host,
-			       const char *target);
-int rt_account_of(const struct rt_set *set, const char *key);
-int rt_service_named(const struct rt_set *set, const char *name);
-const struct rt_kind *rt_kind_named(const struct rt_engine *engine,
-				    const char *name);
+void rt_sort_tables(struct rt_set *set);
+const struct rt_route *rt_find_route(const struct rt_set *set, const char *host,
+				     const char *target);
+int rt_account_by_key(const struct rt_set *set, const char *key);
+int rt_find_service(const struct rt_set *set, const char *name);
+const struct rt_accelerator *rt_find_accelerator(const struct rt_engine *engine,
+						 const char *name);
 
 #endif /* RT_H */
--- a/src/wkp.c
+++ b/src/wkp.c
@@ -91,8 +91,7 @@
 /* Sends a question, on a new connection if fresh is set. */
 static void wkp_start(struct edge *edge, struct wk *wk, bool fresh, int64_t now)
 {
-	int service =
-		edge->rt ? rt_service_named(edge->rt, wk->is.service) : -1;
+	int service = edge->rt ? rt_find_service(edge->rt, wk->is.service) : -1;
 	struct hc_send send = { 0 };
 	struct wkp_call *call;
 	struct hc_call *started;
