--- a/regress/check_thr.c
+++ b/regress/check_thr.c
@@ -83,7 +83,7 @@
 				(double)routers[r].heard[i].demand
 			};
 	}
-	thr_set_part(
+	thr_set_fraction(
 		&routers[r].wk.thr,
 		hint_limit_part(known, n, routers[r].self.id, &routers[r].wk),
 		now);
@@ -125,7 +125,7 @@
 				   limit };
 
 	if (wk_take_limit(&routers[r].wk, &said, WK_ANSWER_SOUND, sent_us,
-			  now) != THR_SAME)
+			  now) != THR_UNCHANGED)
 		share(r);
 }
 
--- a/src/hint.c
+++ b/src/hint.c
@@ -493,9 +493,10 @@
 			continue;
 		if (!routers)
 			routers = hint_routers(hint, now, &count);
-		thr_set_part(&wk->thr,
-			     hint_limit_part(routers, count, hint->self.id, wk),
-			     now);
+		thr_set_fraction(
+			&wk->thr,
+			hint_limit_part(routers, count, hint->self.id, wk),
+			now);
 	}
 }
 
--- a/src/hint_limit.c
+++ b/src/hint_limit.c
@@ -27,8 +27,8 @@
 		limit = &message->limits[message->limit_count++];
 		limit->worker = hint_load_hash(wk->is.id);
 		limit->per_s = (float)wk->thr.limit;
-		limit->age_ms =
-			(uint32_t)((now - wk->thr.named_us) / MAG_US_PER_MS);
+		limit->age_ms = (uint32_t)((now - wk->thr.advertised_us) /
+					   MAG_US_PER_MS);
 	}
 }
 
@@ -60,7 +60,7 @@
 double hint_limit_part(const struct hint_router *routers, int count,
 		       uint32_t self, const struct wk *wk)
 {
-	static struct thr_member members[HINT_ROUTERS_MAX + 1];
+	static struct thr_router members[HINT_ROUTERS_MAX + 1];
 	uint32_t centre = hint_load_hash(wk->is.data_centre);
 	int found = 0;
 	bool all;
@@ -73,9 +73,9 @@
 	for (i = 0; i < count && found <= HINT_ROUTERS_MAX; i++) {
 		if (all || routers[i].centre == centre)
 			members[found++] =
-				(struct thr_member){ routers[i].id,
+				(struct thr_router){ routers[i].id,
 						     routers[i].demand };
 	}
-	return thr_part(members, found, self, hint_load_hash(wk->is.id),
-			wk->thr.limit);
+	return thr_router_fraction(members, found, self,
+				   hint_load_hash(wk->is.id), wk->thr.limit);
 }
--- a/src/thr.c
+++ b/src/thr.c
@@ -28,9 +28,9 @@
 static double thr_rate(const struct thr *thr);
 static double thr_level(const struct thr *thr, int64_t now);
 static int thr_recent(const struct thr *thr, int64_t now);
-static double thr_least_weight(const struct thr_member *members, int count);
+static double thr_least_weight(const struct thr_router *members, int count);
 static uint32_t thr_rank(uint32_t member, uint32_t worker);
-static bool thr_is_sender(const struct thr_member *members, int count,
+static bool thr_is_sender(const struct thr_router *members, int count,
 			  int index, uint32_t worker, int senders);
 
 /*
@@ -38,25 +38,25 @@
  * older than what is known changes nothing: peers pass on limits that have
  * ended since.
  */
-enum thr_change thr_named(struct thr *thr, double limit, int64_t at_us,
-			  int64_t now)
+enum thr_change thr_limit_advertised(struct thr *thr, double limit,
+				     int64_t at_us, int64_t now)
 {
 	double before = thr->limit;
 
-	if (at_us < thr->named_us || at_us <= thr->none_us ||
+	if (at_us < thr->advertised_us || at_us <= thr->absent_us ||
 	    now - at_us > THR_LAPSE_US)
-		return THR_SAME;
-	thr->named_us = at_us;
+		return THR_UNCHANGED;
+	thr->advertised_us = at_us;
 	if (thr->limited) {
 		thr->level = thr_level(thr, now);
 		thr->level_us = now;
 		thr->limit = limit;
 		return limit < before || limit > before ? THR_CHANGED
-							: THR_SAME;
+							: THR_UNCHANGED;
 	}
 	thr->limited = true;
 	thr->limit = limit;
-	thr->part = -1;
+	thr->fraction = -1;
 	thr->level = thr_recent(thr, now);
 	thr->level_us = now - THR_BACK_US;
 	return THR_BEGAN;
@@ -66,38 +66,38 @@
  * A request that was sent at sent_us was answered without a limit.  An answer
  * that was on its way when the limit was named does not end it.
  */
-enum thr_change thr_not_named(struct thr *thr, int64_t sent_us)
+enum thr_change thr_limit_absent(struct thr *thr, int64_t sent_us)
 {
-	if (sent_us > thr->none_us)
-		thr->none_us = sent_us;
-	if (!thr->limited || sent_us <= thr->named_us)
-		return THR_SAME;
+	if (sent_us > thr->absent_us)
+		thr->absent_us = sent_us;
+	if (!thr->limited || sent_us <= thr->advertised_us)
+		return THR_UNCHANGED;
 	thr->limited = false;
 	return THR_ENDED;
 }
 
 /* Ends a limit that was not named again. */
-enum thr_change thr_lapse(struct thr *thr, int64_t now)
+enum thr_change thr_expire(struct thr *thr, int64_t now)
 {
-	if (!thr->limited || now - thr->named_us <= THR_LAPSE_US)
-		return THR_SAME;
+	if (!thr->limited || now - thr->advertised_us <= THR_LAPSE_US)
+		return THR_UNCHANGED;
 	thr->limited = false;
 	return THR_ENDED;
 }
 
 /* Sets the part of the limit that is this router's, from 0 to 1. */
-void thr_set_part(struct thr *thr, double part, int64_t now)
+void thr_set_fraction(struct thr *thr, double part, int64_t now)
 {
 	double most;
 
-	if (thr->part >= 0) {
+	if (thr->fraction >= 0) {
 		thr->level = thr_level(thr, now);
 		thr->level_us = now;
-		thr->part = part;
+		thr->fraction = part;
 		return;
 	}
 	/* What was sent before the limit was named is made up for from then. */
-	thr->part = part;
+	thr->fraction = part;
 	most = thr_rate(thr) * (THR_BACK_US + THR_BACK_WAIT_US) / MAG_US_PER_S;
 	if (thr->level > most)
 		thr->level = most;
@@ -124,11 +124,11 @@
 {
 	if (!thr->limited)
 		return true;
-	if (!(thr->part > 0))
+	if (!(thr->fraction > 0))
 		return false;
 	if (thr_rate(thr) > 0 && thr_level(thr, now) + 1 <= THR_BURST)
 		return true;
-	return now - thr->named_us > THR_TRIAL_US &&
+	return now - thr->advertised_us > THR_TRIAL_US &&
 	       now - thr->sent_us > THR_TRIAL_US;
 }
 
@@ -136,7 +136,7 @@
  * Tells whether the worker may be asked how it is.  Questions show that it is
  * dead and do not wait for room, but come no faster than requests may.
  */
-bool thr_may_ask(const struct thr *thr, int64_t asked_us, int64_t now)
+bool thr_may_probe(const struct thr *thr, int64_t asked_us, int64_t now)
 {
 	double rate = thr_rate(thr);
 	int64_t pause_us = THR_TRIAL_US;
@@ -154,8 +154,8 @@
  * Where there are many routers for a small limit, some have no part; which
  * ones differs from worker to worker.
  */
-double thr_part(const struct thr_member *members, int count, uint32_t self,
-		uint32_t worker, double limit)
+double thr_router_fraction(const struct thr_router *members, int count,
+			   uint32_t self, uint32_t worker, double limit)
 {
 	int senders = 1 + (int)(limit < count ? limit * THR_SENDERS_PER_LIMIT
 					      : count);
@@ -177,7 +177,7 @@
 }
 
 /* Returns the weight of a router that may have had no caller. */
-static double thr_least_weight(const struct thr_member *members, int count)
+static double thr_least_weight(const struct thr_router *members, int count)
 {
 	double sum = 0;
 	int i;
@@ -190,7 +190,7 @@
 /* Returns the requests a second that this router may send. */
 static double thr_rate(const struct thr *thr)
 {
-	return thr->part > 0 ? thr->limit * thr->part : 0;
+	return thr->fraction > 0 ? thr->limit * thr->fraction : 0;
 }
 
 /* Returns the level after what the rate has made up for since. */
@@ -218,7 +218,7 @@
 }
 
 /* Tells whether a router is among the first so many by rank. */
-static bool thr_is_sender(const struct thr_member *members, int count,
+static bool thr_is_sender(const struct thr_router *members, int count,
 			  int index, uint32_t worker, int senders)
 {
 	uint32_t rank = thr_rank(members[index].id, worker);
--- a/src/thr.h
+++ b/src/thr.h
@@ -21,7 +21,7 @@
 
 /* What a word of the worker changed. */
 enum thr_change {
-	THR_SAME,
+	THR_UNCHANGED,
 	THR_BEGAN,
 	THR_CHANGED,
 	THR_ENDED,
@@ -35,31 +35,32 @@
 
 struct thr {
 	bool limited;
-	double limit;	  /* requests a second of all routers */
-	int64_t named_us; /* when the worker named it last; 0: never */
-	int64_t none_us;  /* at some time since then it named none; 0: never */
-	double part;  /* of the limit that is this router's; below 0: unset */
-	double level; /* sends that its rate has not made up for yet */
-	int64_t level_us; /* when that was so */
-	int64_t sent_us;  /* when something was sent to it last */
+	double limit;	       /* requests a second of all routers */
+	int64_t advertised_us; /* when the worker named it last; 0: never */
+	int64_t absent_us; /* at some time since then it named none; 0: never */
+	double fraction;   /* of the limit that is this router's; below 0: unset
+			    */
+	double level;	   /* sends that its rate has not made up for yet */
+	int64_t level_us;  /* when that was so */
+	int64_t sent_us;   /* when something was sent to it last */
 	struct thr_slice slices[THR_SLICES];
 };
 
 /* A router that may send to the worker. */
-struct thr_member {
+struct thr_router {
 	uint32_t id;
 	double demand; /* requests a second of callers, as reported last */
 };
 
-enum thr_change thr_named(struct thr *thr, double limit, int64_t at_us,
-			  int64_t now);
-enum thr_change thr_not_named(struct thr *thr, int64_t sent_us);
-enum thr_change thr_lapse(struct thr *thr, int64_t now);
-void thr_set_part(struct thr *thr, double part, int64_t now);
+enum thr_change thr_limit_advertised(struct thr *thr, double limit,
+				     int64_t at_us, int64_t now);
+enum thr_change thr_limit_absent(struct thr *thr, int64_t sent_us);
+enum thr_change thr_expire(struct thr *thr, int64_t now);
+void thr_set_fraction(struct thr *thr, double part, int64_t now);
 void thr_sent(struct thr *thr, int64_t now);
 bool thr_may_send(const struct thr *thr, int64_t now);
-bool thr_may_ask(const struct thr *thr, int64_t asked_us, int64_t now);
-double thr_part(const struct thr_member *members, int count, uint32_t self,
-		uint32_t worker, double limit);
+bool thr_may_probe(const struct thr *thr, int64_t asked_us, int64_t now);
+double thr_router_fraction(const struct thr_router *members, int count,
+			   uint32_t self, uint32_t worker, double limit);
 
 #endif /* THR_H */
--- a/src/wk_limit.c
+++ b/src/wk_limit.c
@@ -25,17 +25,17 @@
 			      enum wk_answer answer, int64_t sent_us,
 			      int64_t now)
 {
-	enum thr_change change = THR_SAME;
+	enum thr_change change = THR_UNCHANGED;
 
 	if (limit->word == WIRE_LIMIT_BAD) {
-		wk_log_limit(wk, THR_SAME, wk_limit_sources[answer], now);
-		return THR_SAME;
+		wk_log_limit(wk, THR_UNCHANGED, wk_limit_sources[answer], now);
+		return THR_UNCHANGED;
 	}
 	if (limit->word == WIRE_LIMIT_NAMED)
-		change = thr_named(&wk->thr, limit->per_s, now, now);
+		change = thr_limit_advertised(&wk->thr, limit->per_s, now, now);
 	else if (answer == WK_ANSWER_SOUND)
-		change = thr_not_named(&wk->thr, sent_us);
-	if (change != THR_SAME)
+		change = thr_limit_absent(&wk->thr, sent_us);
+	if (change != THR_UNCHANGED)
 		wk_log_limit(wk, change, wk_limit_sources[answer], now);
 	return change;
 }
@@ -44,25 +44,26 @@
 void wk_limit_from_peer(struct wk *wk, double limit, int64_t named_us,
 			int64_t now)
 {
-	enum thr_change change = thr_named(&wk->thr, limit, named_us, now);
+	enum thr_change change =
+		thr_limit_advertised(&wk->thr, limit, named_us, now);
 
-	if (change != THR_SAME)
+	if (change != THR_UNCHANGED)
 		wk_log_limit(wk, change, "peer", now);
 }
 
 /* Ends a limit that was not named again for long. */
 void wk_limit_tick(struct wk *wk, int64_t now)
 {
-	if (thr_lapse(&wk->thr, now) == THR_ENDED)
+	if (thr_expire(&wk->thr, now) == THR_ENDED)
 		wk_log_limit(wk, THR_ENDED, "", now);
 }
 
-/* Logs a change; THR_SAME stands for a limit that cannot be read. */
+/* Logs a change; THR_UNCHANGED stands for a limit that cannot be read. */
 static void wk_log_limit(struct wk *wk, enum thr_change change,
 			 const char *source, int64_t now)
 {
 	static const char *const changes[] = {
-		[THR_SAME] = "unreadable",
+		[THR_UNCHANGED] = "unreadable",
 		[THR_BEGAN] = "began",
 		[THR_CHANGED] = "changed",
 		[THR_ENDED] = "ended",
--- a/src/wkp.c
+++ b/src/wkp.c
@@ -73,8 +73,8 @@
 	struct wire_limit limit = pl_limit_decode(answer->headers);
 	int64_t now = clk_boot_us();
 
-	if (wk_take_limit(wk, &limit, kind, sent_us, now) != THR_SAME)
-		thr_set_part(&wk->thr, hint_part(edge->hint, wk, now), now);
+	if (wk_take_limit(wk, &limit, kind, sent_us, now) != THR_UNCHANGED)
+		thr_set_fraction(&wk->thr, hint_part(edge->hint, wk, now), now);
 }
 
 /*
@@ -84,7 +84,7 @@
 void wkp_ask(struct edge *edge, struct wk *wk, int64_t now)
 {
 	if (!wk->probing && now - wk->probed_us >= WKP_AGAIN_US &&
-	    thr_may_ask(&wk->thr, wk->probed_us, now))
+	    thr_may_probe(&wk->thr, wk->probed_us, now))
 		wkp_start(edge, wk, false, now);
 }
 
