--- a/regress/check_chn.c
+++ b/regress/check_chn.c
@@ -226,10 +226,10 @@
 /* Returns what a router knows to be held by a worker. */
 static double rush_known(int worker, double own, int64_t now)
 {
-	struct room_known known = { .own = own,
-				    .recent = own,
-				    .peers = rush.told[worker],
-				    .routers = RUSH_ROUTERS };
+	struct room_load known = { .own = own,
+				   .recent = own,
+				   .peers = rush.told[worker],
+				   .routers = RUSH_ROUTERS };
 
 	return room_held(&known, now);
 }
--- a/regress/check_room.c
+++ b/regress/check_room.c
@@ -14,8 +14,8 @@
 	if (sscanf(line, "%*s %d %d %d", &r.prompt, &r.answer_hint,
 		   &r.answer_max) != 3)
 		return;
-	fprintf(out, "%.0f tokens, %.0f in all\n", room_tokens(&r),
-		room_tokens_in_all(&r));
+	fprintf(out, "%.0f tokens, %.0f in all\n", room_mean_tokens(&r),
+		room_final_tokens(&r));
 }
 
 /*
@@ -35,7 +35,7 @@
 		return;
 	for (i = 0; i < count; i++)
 		held += r.prompt + (i + 0.5) / count * r.answer_hint;
-	expected = count * room_tokens(&r);
+	expected = count * room_mean_tokens(&r);
 	fprintf(out, "%s\n",
 		expected < 0.99 * held	 ? "too little"
 		: expected > 1.01 * held ? "too much"
@@ -48,7 +48,7 @@
  */
 static void worker(const char *line, FILE *out)
 {
-	struct room_known known = { 0 };
+	struct room_load known = { 0 };
 	long age_ms;
 
 	if (sscanf(line, "%*s %lf %lf %lf %ld %lf %d", &known.own, &known.peers,
--- a/src/eq_chain.c
+++ b/src/eq_chain.c
@@ -156,7 +156,7 @@
 	hop->worker = wk_hold(wk);
 	hop->from = from;
 	hop->to = to;
-	hop->held = to > from ? room_tokens(&request) * (to - from) : 0;
+	hop->held = to > from ? room_mean_tokens(&request) * (to - from) : 0;
 	wk->held += hop->held;
 	wk->recent_held += hop->held;
 	if (eq->hop_count == 0)
@@ -190,7 +190,7 @@
 
 	want->layers = eq->service->engine.layers;
 	want->centre = edge_data_centre_index(edge, edge->set.data_centre);
-	want->tokens = room_tokens(&request);
+	want->tokens = room_mean_tokens(&request);
 	want->hop_us = CHN_HOP_US;
 	want->centre_us = EQ_CENTRE_US;
 	want->away_us = EQ_AWAY_US;
@@ -205,7 +205,7 @@
 {
 	struct room_request request = eq_room(eq);
 
-	return crossings * room_tokens_in_all(&request) *
+	return crossings * room_final_tokens(&request) *
 	       eq->service->engine.activation_bytes;
 }
 
@@ -345,7 +345,7 @@
 static void eq_known_load(const struct eq *eq, const struct wk *wk, int64_t now,
 			  struct chn_worker *w)
 {
-	struct room_known known = {
+	struct room_load known = {
 		.own = wk->held,
 		.recent = wk->recent_held,
 		.peers = wk->peer_held,
--- a/src/room.c
+++ b/src/room.c
@@ -20,7 +20,7 @@
 static int room_answer(const struct room_request *request);
 
 /* Returns the memory of a worker that is taken. */
-double room_held(const struct room_known *known, int64_t now)
+double room_held(const struct room_load *known, int64_t now)
 {
 	double held = known->own + known->peers;
 
@@ -39,13 +39,13 @@
 }
 
 /* Returns the tokens that a request is expected to hold, in its mean. */
-double room_tokens(const struct room_request *request)
+double room_mean_tokens(const struct room_request *request)
 {
 	return room_prompt(request) + ROOM_ANSWER_SHARE * room_answer(request);
 }
 
 /* Returns the tokens that a request is expected to have at its end. */
-double room_tokens_in_all(const struct room_request *request)
+double room_final_tokens(const struct room_request *request)
 {
 	return room_prompt(request) + room_answer(request);
 }
--- a/src/room.h
+++ b/src/room.h
@@ -17,7 +17,7 @@
 #include "mag.h"
 
 /* A worker's load; memory in tokens x layers. */
-struct room_known {
+struct room_load {
 	double own;	     /* held by requests of this router */
 	double recent;	     /* of these, what peers cannot have counted yet */
 	double peers;	     /* of other routers, as they said last */
@@ -35,9 +35,9 @@
 	int usual_answer;
 };
 
-double room_held(const struct room_known *known, int64_t now);
-double room_tokens(const struct room_request *request);
-double room_tokens_in_all(const struct room_request *request);
+double room_held(const struct room_load *known, int64_t now);
+double room_mean_tokens(const struct room_request *request);
+double room_final_tokens(const struct room_request *request);
 bool room_is_report_fresh(int64_t reported_us, int64_t now);
 
 #endif /* ROOM_H */
