--- a/regress/check_age.c
+++ b/regress/check_age.c
@@ -24,16 +24,17 @@
 			continue;
 		if (sscanf(line, "call %63s %ld", route, &left_ms) == 2)
 			fprintf(out, "asks for %lld ms\n",
-				(long long)(age_of(&age, route,
-						   left_ms * MAG_US_PER_MS,
-						   now_ms * MAG_US_PER_MS) /
+				(long long)(age_estimate(
+						    &age, route,
+						    left_ms * MAG_US_PER_MS,
+						    now_ms * MAG_US_PER_MS) /
 					    MAG_US_PER_MS));
 		if (sscanf(line, "routes %d", &n) != 1)
 			continue;
 		while (n-- > 0) {
 			snprintf(route, sizeof(route), "other-%d", n);
-			age_of(&age, route, MAG_US_PER_S,
-			       now_ms * MAG_US_PER_MS);
+			age_estimate(&age, route, MAG_US_PER_S,
+				     now_ms * MAG_US_PER_MS);
 		}
 	}
 }
--- a/src/age.c
+++ b/src/age.c
@@ -18,7 +18,8 @@
  * has left and the most that others of its route had, in microseconds.  One
  * that is only less patient than others, or names no time (0), is a new one.
  */
-int64_t age_of(struct age *age, const char *route, int64_t left_us, int64_t now)
+int64_t age_estimate(struct age *age, const char *route, int64_t left_us,
+		     int64_t now)
 {
 	struct age_route *r;
 	int64_t most;
@@ -26,14 +27,16 @@
 	if (left_us <= 0)
 		return 0;
 	r = age_route_named(age, route, now);
-	if (now >= r->until_us) {
-		r->before_us = r->most_us;
-		r->most_us = 0;
-		r->until_us = now + AGE_WINDOW_US;
+	if (now >= r->window_end_us) {
+		r->previous_max_left_us = r->max_left_us;
+		r->max_left_us = 0;
+		r->window_end_us = now + AGE_WINDOW_US;
 	}
-	if (left_us > r->most_us)
-		r->most_us = left_us;
-	most = r->most_us > r->before_us ? r->most_us : r->before_us;
+	if (left_us > r->max_left_us)
+		r->max_left_us = left_us;
+	most = r->max_left_us > r->previous_max_left_us
+		       ? r->max_left_us
+		       : r->previous_max_left_us;
 	if ((double)(most - left_us) < (double)most * AGE_PATIENCE_SPREAD)
 		return 0;
 	return most - left_us;
@@ -49,13 +52,13 @@
 	for (i = 0; i < age->count; i++) {
 		if (strcmp(age->routes[i].name, name) == 0)
 			return &age->routes[i];
-		if (age->routes[i].until_us < oldest->until_us)
+		if (age->routes[i].window_end_us < oldest->window_end_us)
 			oldest = &age->routes[i];
 	}
 	if (age->count < AGE_ROUTES_MAX)
 		oldest = &age->routes[age->count++];
 	memset(oldest, 0, sizeof(*oldest));
 	mag_copy_name(oldest->name, sizeof(oldest->name), name);
-	oldest->until_us = now + AGE_WINDOW_US;
+	oldest->window_end_us = now + AGE_WINDOW_US;
 	return oldest;
 }
--- a/src/age.h
+++ b/src/age.h
@@ -20,9 +20,9 @@
 /* The most time that callers of a route have left, in two windows. */
 struct age_route {
 	char name[MAG_NAME_MAX];
-	int64_t most_us;   /* of the window that is open */
-	int64_t before_us; /* of the one before it */
-	int64_t until_us;  /* end of the open one */
+	int64_t max_left_us;	      /* of the window that is open */
+	int64_t previous_max_left_us; /* of the one before it */
+	int64_t window_end_us;	      /* end of the open one */
 };
 
 struct age {
@@ -30,7 +30,7 @@
 	int count;
 };
 
-int64_t age_of(struct age *age, const char *route, int64_t left_us,
-	       int64_t now);
+int64_t age_estimate(struct age *age, const char *route, int64_t left_us,
+		     int64_t now);
 
 #endif /* AGE_H */
--- a/src/eq.c
+++ b/src/eq.c
@@ -356,9 +356,10 @@
 	if (wait > 0 && wait < limit)
 		limit = wait;
 	eq->deadline_us = eq->arrived_us + limit - EQ_ANSWER_MARGIN_US;
-	eq->target_deadline_us = eq->arrived_us + eq->route->target_us -
-				 age_of(&eq->edge->caller_ages, eq->route->name,
-					wait > 0 ? limit : 0, eq->arrived_us);
+	eq->target_deadline_us =
+		eq->arrived_us + eq->route->target_us -
+		age_estimate(&eq->edge->caller_ages, eq->route->name,
+			     wait > 0 ? limit : 0, eq->arrived_us);
 }
 
 /* Draws the service by the route's weights. */
