--- a/regress/check_ask.c
+++ b/regress/check_ask.c
@@ -33,16 +33,16 @@
 	struct ask_stream view = { stream->sent_ms * MAG_US_PER_MS,
 				   stream->last_ms * MAG_US_PER_MS,
 				   100 * MAG_US_PER_MS, stream->began };
-	enum ask_why why = ask_worker(&view, &worker, now);
+	enum ask_reason why = ask_worker(&view, &worker, now);
 
-	if (why == ASK_NOT)
+	if (why == ASK_NONE)
 		return;
-	quiet += why == ASK_QUIET;
+	quiet += why == ASK_SILENT;
 	slow += why == ASK_SLOW;
-	worker.asks += why == ASK_QUIET;
-	worker.asked_us = now;
+	worker.probes += why == ASK_SILENT;
+	worker.probed_us = now;
 	if (answers)
-		worker.pace_us = now;
+		worker.slowdown_us = now;
 }
 
 static void tick(void)
@@ -59,7 +59,7 @@
 			stream->last_ms = now_ms;
 			stream->began = true;
 			worker.passed_us = now;
-			worker.asks = 0;
+			worker.probes = 0;
 		}
 	}
 	for (i = 0; i < count; i++)
--- a/src/ask.c
+++ b/src/ask.c
@@ -14,22 +14,22 @@
 			const struct ask_worker *worker, int64_t now);
 
 /* Tells whether, and why, to ask a worker of a stream now. */
-enum ask_why ask_worker(const struct ask_stream *stream,
-			const struct ask_worker *worker, int64_t now)
+enum ask_reason ask_worker(const struct ask_stream *stream,
+			   const struct ask_worker *worker, int64_t now)
 {
 	if (ask_is_quiet(stream, worker, now))
-		return ASK_QUIET;
-	return ask_is_slow(stream, worker, now) ? ASK_SLOW : ASK_NOT;
+		return ASK_SILENT;
+	return ask_is_slow(stream, worker, now) ? ASK_SLOW : ASK_NONE;
 }
 
 /* A stream is silent, and so is all else that runs through the worker. */
 static bool ask_is_quiet(const struct ask_stream *stream,
 			 const struct ask_worker *worker, int64_t now)
 {
-	return now - stream->last_us >= stream->quiet_for_us &&
-	       now - worker->passed_us >= stream->quiet_for_us &&
-	       now - worker->asked_us >=
-		       mag_backoff(ASK_AGAIN_US, worker->asks, ASK_DOUBLE);
+	return now - stream->last_progress_us >= stream->silence_limit_us &&
+	       now - worker->passed_us >= stream->silence_limit_us &&
+	       now - worker->probed_us >=
+		       mag_backoff(ASK_INTERVAL_US, worker->probes, ASK_DOUBLE);
 }
 
 /*
@@ -42,6 +42,6 @@
 			const struct ask_worker *worker, int64_t now)
 {
 	return !stream->began && now - stream->sent_us >= ASK_SLOW_FIRST_US &&
-	       now - worker->pace_us >= ASK_SLOW_US &&
-	       now - worker->asked_us >= ASK_SLOW_US;
+	       now - worker->slowdown_us >= ASK_SLOW_US &&
+	       now - worker->probed_us >= ASK_SLOW_US;
 }
--- a/src/eq_stall.c
+++ b/src/eq_stall.c
@@ -54,7 +54,7 @@
 			eq_move(eq, lost, "on a suspected worker");
 			continue;
 		}
-		if (now - eq->probed_us >= ASK_AGAIN_US)
+		if (now - eq->probed_us >= ASK_INTERVAL_US)
 			eq_ask(eq, now);
 	}
 }
@@ -105,7 +105,7 @@
 				     eq_quiet_limit(eq),
 				     eq->first_event_us != 0 };
 	struct ask_worker worker;
-	enum ask_why why;
+	enum ask_reason why;
 	struct wk *wk;
 	int i;
 
@@ -114,10 +114,10 @@
 		worker = (struct ask_worker){ wk->passed_us, wk->probed_us,
 					      wk->slowdown_us, wk->quiet_asks };
 		why = ask_worker(&stream, &worker, now);
-		if (why == ASK_NOT)
+		if (why == ASK_NONE)
 			continue;
 		eq->probed_us = now;
-		wk->quiet_asks += why == ASK_QUIET;
+		wk->quiet_asks += why == ASK_SILENT;
 		wkp_ask(eq->edge, wk, now);
 	}
 	if (eq_silence(eq, now) < EQ_SILENCE_US)
