--- a/regress/check_bud.c
+++ b/regress/check_bud.c
@@ -31,11 +31,11 @@
 			now = ms * MAG_US_PER_MS;
 		} else if (sscanf(line, "requests %d", &n) == 1) {
 			while (n-- > 0)
-				bud_request(&bud, now);
+				bud_add_request(&bud, now);
 		} else if (sscanf(line, "take %d", &n) == 1) {
 			took = 0;
 			while (n-- > 0)
-				took += bud_take(&bud, now);
+				took += bud_take_retry(&bud, now);
 			fprintf(out, "%d taken\n", took);
 		} else if (sscanf(line, "slack %lf", &slack) == 1) {
 			bud_set_slack(&bud, slack);
--- a/src/bud.c
+++ b/src/bud.c
@@ -27,17 +27,17 @@
 }
 
 /* Notes the first send of a request. */
-void bud_request(struct bud *bud, int64_t now)
+void bud_add_request(struct bud *bud, int64_t now)
 {
 	bud_slice_at(bud, now)->requests++;
 }
 
 /* Takes one second send, if the window still has one. */
-bool bud_take(struct bud *bud, int64_t now)
+bool bud_take_retry(struct bud *bud, int64_t now)
 {
 	if (bud_left(bud, now) < 1)
 		return false;
-	bud_slice_at(bud, now)->repeats++;
+	bud_slice_at(bud, now)->retries++;
 	return true;
 }
 
@@ -53,7 +53,7 @@
 		if (bud->slices[i].number <= number - BUD_WINDOW_SLICES)
 			continue;
 		requests += bud->slices[i].requests;
-		repeats += bud->slices[i].repeats;
+		repeats += bud->slices[i].retries;
 	}
 	return bud->ratio * requests + bud->slack - repeats;
 }
--- a/src/bud.h
+++ b/src/bud.h
@@ -20,7 +20,7 @@
 struct bud_slice {
 	int64_t number; /* of the slice since the clock's zero */
 	int requests;
-	int repeats;
+	int retries;
 };
 
 struct bud {
@@ -32,8 +32,8 @@
 
 void bud_init(struct bud *bud, int64_t window_us, double ratio, double slack);
 void bud_set_slack(struct bud *bud, double slack);
-void bud_request(struct bud *bud, int64_t now);
-bool bud_take(struct bud *bud, int64_t now);
+void bud_add_request(struct bud *bud, int64_t now);
+bool bud_take_retry(struct bud *bud, int64_t now);
 double bud_left(const struct bud *bud, int64_t now);
 
 #endif /* BUD_H */
--- a/src/eq_send.c
+++ b/src/eq_send.c
@@ -191,9 +191,9 @@
 	int i;
 
 	if (eq->sends == 0) {
-		bud_request(bud, now);
+		bud_add_request(bud, now);
 		met_time(&eq->edge->met, MET_WAIT, now - eq->arrived_us);
-	} else if (!bud_take(bud, now)) {
+	} else if (!bud_take_retry(bud, now)) {
 		eq_release(eq);
 		if (eq->state == EQ_STREAMING)
 			eq_fail(eq, 502, "retry budget spent");
