--- a/regress/check_quar.c
+++ b/regress/check_quar.c
@@ -46,7 +46,7 @@
 	int64_t until;
 	uint32_t lost;
 
-	while (quar_next_news(quar, print, &lost, &until))
+	while (quar_next_update(quar, print, &lost, &until))
 		fprintf(script_out, "news: %c lost %u until %d ms\n", print[0],
 			lost, (int)(until / MAG_US_PER_MS));
 }
@@ -72,9 +72,9 @@
 		else if (sscanf(line, "check %c", &letter) == 1)
 			check(quar, letter, now);
 		else if (sscanf(line, "lost %c %d %d", &letter, &a, &b) == 3)
-			quar_lost_endpoint(quar, print_of(letter), a, b, now);
+			quar_endpoint_lost(quar, print_of(letter), a, b, now);
 		else if (sscanf(line, "well %c", &letter) == 1)
-			quar_ended_well(quar, print_of(letter), now);
+			quar_completed(quar, print_of(letter), now);
 		else if (sscanf(line, "learn %c %d %d", &letter, &a, &b) == 3)
 			quar_learn(quar, print_of(letter), (uint32_t)a,
 				   b * MAG_US_PER_MS, now);
--- a/src/core.c
+++ b/src/core.c
@@ -187,7 +187,7 @@
 bool core_next_quarantine(struct core *core, uint8_t print[MAG_DIGEST_BYTES],
 			  uint32_t *endpoints_lost, int64_t *until_us)
 {
-	return quar_next_news(core->quar, print, endpoints_lost, until_us);
+	return quar_next_update(core->quar, print, endpoints_lost, until_us);
 }
 
 /* Takes over what another instance lost to a fingerprint. */
--- a/src/eq_answer.c
+++ b/src/eq_answer.c
@@ -208,7 +208,7 @@
 	wk_clear(wk);
 	wk_worked(wk);
 	if (good) {
-		quar_ended_well(eq->edge->quar, eq->fingerprint, now);
+		quar_completed(eq->edge->quar, eq->fingerprint, now);
 		if (eq->state == EQ_STREAMING && evs_pending(&eq->events) > 0) {
 			eq_retry_or_fail(eq, "stream ended inside an event");
 			return;
--- a/src/hint.c
+++ b/src/hint.c
@@ -316,8 +316,8 @@
 	int64_t until_us;
 
 	while (message->news_count < HINT_NEWS_MAX &&
-	       quar_next_news(quar, news[message->news_count].print,
-			      &news[message->news_count].lost, &until_us))
+	       quar_next_update(quar, news[message->news_count].print,
+				&news[message->news_count].lost, &until_us))
 		message->news_count++;
 }
 
--- a/src/quar.c
+++ b/src/quar.c
@@ -112,7 +112,7 @@
  * other suspect was there (was_alone).  Otherwise it stays a suspect: what
  * ran beside a poisonous request twice by chance would be refused with it.
  */
-void quar_lost_endpoint(struct quar *quar,
+void quar_endpoint_lost(struct quar *quar,
 			const uint8_t print[MAG_DIGEST_BYTES], int endpoint,
 			bool was_alone, int64_t now)
 {
@@ -147,8 +147,8 @@
  * Notes that a request of a fingerprint ran to its end: a suspect is
  * cleared.  A quarantine stays, as nothing should have run.
  */
-void quar_ended_well(struct quar *quar, const uint8_t print[MAG_DIGEST_BYTES],
-		     int64_t now)
+void quar_completed(struct quar *quar, const uint8_t print[MAG_DIGEST_BYTES],
+		    int64_t now)
 {
 	struct quar_entry *entry = quar_find(quar, print);
 
@@ -186,8 +186,8 @@
  * Hands out what other instances should hear of, each change once.  Returns
  * false if there is nothing.
  */
-bool quar_next_news(struct quar *quar, uint8_t print[MAG_DIGEST_BYTES],
-		    uint32_t *endpoints_lost, int64_t *until_us)
+bool quar_next_update(struct quar *quar, uint8_t print[MAG_DIGEST_BYTES],
+		      uint32_t *endpoints_lost, int64_t *until_us)
 {
 	struct quar_entry *entry;
 
--- a/src/quar.h
+++ b/src/quar.h
@@ -27,14 +27,14 @@
 bool quar_is_evidence(int64_t began_us, int64_t alive_us, bool others);
 enum quar_state quar_check(const struct quar *quar,
 			   const uint8_t print[MAG_DIGEST_BYTES], int64_t now);
-void quar_lost_endpoint(struct quar *quar,
+void quar_endpoint_lost(struct quar *quar,
 			const uint8_t print[MAG_DIGEST_BYTES], int endpoint,
 			bool was_alone, int64_t now);
-void quar_ended_well(struct quar *quar, const uint8_t print[MAG_DIGEST_BYTES],
-		     int64_t now);
+void quar_completed(struct quar *quar, const uint8_t print[MAG_DIGEST_BYTES],
+		    int64_t now);
 void quar_learn(struct quar *quar, const uint8_t print[MAG_DIGEST_BYTES],
 		uint32_t endpoints_lost, int64_t until_us, int64_t now);
-bool quar_next_news(struct quar *quar, uint8_t print[MAG_DIGEST_BYTES],
-		    uint32_t *endpoints_lost, int64_t *until_us);
+bool quar_next_update(struct quar *quar, uint8_t print[MAG_DIGEST_BYTES],
+		      uint32_t *endpoints_lost, int64_t *until_us);
 
 #endif /* QUAR_H */
--- a/src/req_end.c
+++ b/src/req_end.c
@@ -78,7 +78,7 @@
 	};
 
 	req_end_attempt(core, req, PICK_ENDED_WELL, -1, 0);
-	quar_ended_well(core->quar, req->arrival.fingerprint, core->now);
+	quar_completed(core->quar, req->arrival.fingerprint, core->now);
 	if (req->reserved)
 		ldg_settle(core->ldg, req->arrival.req, &outcome, core->now);
 	req_relay(core, req);
@@ -130,7 +130,7 @@
 	log_attempt(core, req, ended, endpoint);
 	req_end_attempt(core, req, kind, stage, ended->silent);
 	if (died)
-		quar_lost_endpoint(core->quar, req->arrival.fingerprint,
+		quar_endpoint_lost(core->quar, req->arrival.fingerprint,
 				   endpoint, req->chain.alone, core->now);
 	req->alone = quar_check(core->quar, req->arrival.fingerprint,
 				core->now) == QUAR_SUSPECT;
--- a/src/wkp.c
+++ b/src/wkp.c
@@ -260,7 +260,7 @@
 			continue;
 		suspect = quar_check(edge->quar, victim->print, now) !=
 			  QUAR_CLEAR;
-		quar_lost_endpoint(edge->quar, victim->print, 0,
+		quar_endpoint_lost(edge->quar, victim->print, 0,
 				   suspects == (suspect ? 1 : 0), now);
 		victim->at_us = 0;
 	}
