--- a/src/eq.c
+++ b/src/eq.c
@@ -10,43 +10,46 @@
 #include "jlog.h"
 
 /*
- * Requests that wait for a place are tried again this often: each choice goes
- * over all workers, which takes a millisecond with 3,000 of them.
+ * Interval between attempts to place waiting requests.  Each attempt considers
+ * all workers, which takes a millisecond with 3,000 of them.
  */
-#define EQ_WAIT_TRY_US (25 * MAG_US_PER_MS)
-/* A caller that another router can take at once comes back after this. */
+#define EQ_WAIT_RETRY_US (25 * MAG_US_PER_MS)
+/* Retry-After for a caller that another router can accept at once. */
 #define EQ_RETRY_ELSEWHERE_S 0.05
 /*
- * A caller whose request met a worker at fault comes back after this, or up
- * to twice as long: by then the worker is held off and its reports have come.
+ * Shortest Retry-After for a caller whose request met a faulty worker; the
+ * longest is twice as long.  By then the worker receives no new requests and
+ * its reports have arrived.
  */
 #define EQ_RETRY_SOON_S 0.25
-/* Part of its time that a caller waits at most before it comes back. */
-#define EQ_RETRY_SHARE 0.32
-/* The answer is written so long before the deadline that it arrives by it. */
+/* Upper limit of Retry-After, as a fraction of the caller's remaining time. */
+#define EQ_RETRY_FRACTION 0.32
+/*
+ * The answer is sent this long before the deadline so that it arrives in time.
+ */
 #define EQ_ANSWER_MARGIN_US (15 * MAG_US_PER_MS)
 /*
- * A stopping router takes new requests for this long: the balancer asks every
- * second and moves callers away after two misses.
+ * A stopping router accepts new requests for this long.  The balancer polls
+ * readiness every second and moves callers away after two failed polls.
  */
-#define EQ_STOP_TAKES_US (2600 * MAG_US_PER_MS)
+#define EQ_STOP_ACCEPT_US (2600 * MAG_US_PER_MS)
 
 static struct eq *eq_new(struct edge *edge, struct hs_conn *conn, int64_t now);
-static bool eq_route(struct eq *eq);
+static bool eq_resolve_route(struct eq *eq);
 static bool eq_admit(struct eq *eq, int64_t now);
-static enum eq_retry eq_where(const struct eq *eq, int64_t now);
-static void eq_fingerprint(struct eq *eq);
-static void eq_deadlines(struct eq *eq);
-static const struct rt_service *eq_service(struct eq *eq);
+static enum eq_retry eq_retry_target(const struct eq *eq, int64_t now);
+static void eq_set_fingerprint(struct eq *eq);
+static void eq_set_deadlines(struct eq *eq);
+static const struct rt_service *eq_pick_service(struct eq *eq);
 static void eq_log_end(const struct eq *eq, int status, const char *why);
-static void eq_try_waiting(struct edge *edge, int64_t now);
+static void eq_dispatch_waiting(struct edge *edge, int64_t now);
 static void eq_free(struct eq *eq);
-static void eq_retry_fields(const struct eq *eq, enum eq_retry retry,
-			    char *fields, size_t size);
+static void eq_write_retry_after(const struct eq *eq, enum eq_retry retry,
+				 char *fields, size_t size);
 static void eq_refuse_early(struct edge *edge, struct hs_conn *conn);
-static bool eq_too_late_to_begin(const struct eq *eq, int64_t now);
+static bool eq_refuses_while_stopping(const struct eq *eq, int64_t now);
 
-/* A whole request of a caller has been read. */
+/* Called when a caller's request has been read completely. */
 void eq_on_request(void *ctx, struct hs_conn *conn)
 {
 	struct edge *edge = ctx;
@@ -55,7 +58,7 @@
 
 	met_add(&edge->met, MET_REQUESTS);
 	if (!edge_has_config(edge, now)) {
-		/* No configuration yet: nobody knows what is a route. */
+		/* Without a configuration no route is known. */
 		eq_refuse_early(edge, conn);
 		return;
 	}
@@ -64,17 +67,17 @@
 		eq_refuse_early(edge, conn);
 		return;
 	}
-	if (!eq_route(eq) || !eq_admit(eq, now))
+	if (!eq_resolve_route(eq) || !eq_admit(eq, now))
 		return;
-	eq_deadlines(eq);
-	if (eq_too_late_to_begin(eq, now)) {
-		eq_refuse(eq, 503, eq_where(eq, now), "stopping");
+	eq_set_deadlines(eq);
+	if (eq_refuses_while_stopping(eq, now)) {
+		eq_refuse(eq, 503, eq_retry_target(eq, now), "stopping");
 		return;
 	}
 	eq_dispatch(eq, now);
 }
 
-/* The caller left: whatever works for it stops. */
+/* Called when the caller has disconnected; stops all work for it. */
 void eq_on_caller_gone(void *ctx, struct hs_conn *conn, void *user)
 {
 	struct edge *edge = ctx;
@@ -87,8 +90,11 @@
 	eq_free(eq);
 }
 
-/* Tries again what waits for a place; streams that wait to go on, too. */
-static void eq_try_waiting(struct edge *edge, int64_t now)
+/*
+ * Retries the placement of waiting requests, including streams waiting to
+ * resume.
+ */
+static void eq_dispatch_waiting(struct edge *edge, int64_t now)
 {
 	struct eq *eq;
 	struct eq *next;
@@ -99,7 +105,7 @@
 	}
 }
 
-/* Ends what has reached its deadline and tries again what waits. */
+/* Ends requests that have reached their deadline and retries waiting ones. */
 void eq_tick(struct edge *edge, int64_t now)
 {
 	struct eq *eq;
@@ -110,16 +116,16 @@
 			eq_fail(eq, 504, "deadline");
 	}
 	if (now >= edge->next_wait_retry_us) {
-		edge->next_wait_retry_us = now + EQ_WAIT_TRY_US;
-		eq_try_waiting(edge, now);
+		edge->next_wait_retry_us = now + EQ_WAIT_RETRY_US;
+		eq_dispatch_waiting(edge, now);
 	}
 	eq_stall_tick(edge, now);
 	eq_coverage_tick(edge, now);
 }
 
 /*
- * Refuses a request that has not run and never will.  Where it may have run,
- * the caller hears 502 instead.
+ * Refuses a request that has not run and never will.  If it may have run, the
+ * caller receives 502 instead.
  */
 void eq_refuse(struct eq *eq, int status, enum eq_retry retry, const char *why)
 {
@@ -129,7 +135,7 @@
 		eq_fail(eq, 502, why);
 		return;
 	}
-	eq_retry_fields(eq, retry, fields, sizeof(fields));
+	eq_write_retry_after(eq, retry, fields, sizeof(fields));
 	met_add(&eq->edge->met, MET_REFUSED);
 	eq_log_end(eq, status, why);
 	if (retry == EQ_RETRY_ELSEWHERE)
@@ -140,13 +146,13 @@
 }
 
 /*
- * Tells a caller when to come back.  Load drains at the pace at which streams
- * end, in some seconds; a caller that comes sooner is refused again and gives
- * up.  Callers take a wait of up to a third of the time that they have, so
- * the wait is drawn from the upper half of that, which also spreads them.
+ * Writes the Retry-After field.  Load drains as streams end, over some seconds;
+ * a caller that retries sooner is refused again and gives up.  Callers accept a
+ * wait of up to a third of their remaining time.  The wait is drawn from the
+ * upper half of that range, which also spreads the retries.
  */
-static void eq_retry_fields(const struct eq *eq, enum eq_retry retry,
-			    char *fields, size_t size)
+static void eq_write_retry_after(const struct eq *eq, enum eq_retry retry,
+				 char *fields, size_t size)
 {
 	int64_t wait = eq->request.wait_ms;
 	double spread = (double)(edge_random(eq->edge) % 1000) / 1000;
@@ -169,13 +175,13 @@
 		wait = eq->route ? eq->route->timeout_us / MAG_US_PER_MS : 1000;
 	left = (double)wait / 1000 -
 	       (double)(clk_boot_us() - eq->arrived_us) / MAG_US_PER_S;
-	left = left * EQ_RETRY_SHARE * (0.5 + 0.5 * spread);
+	left = left * EQ_RETRY_FRACTION * (0.5 + 0.5 * spread);
 	if (left < 0.05)
 		left = 0.05;
 	snprintf(fields, size, "Retry-After: %.2f\r\n", left);
 }
 
-/* Ends a request that may have run, or that ran out of time. */
+/* Ends a request that may have run or that has run out of time. */
 void eq_fail(struct eq *eq, int status, const char *why)
 {
 	met_add(&eq->edge->met,
@@ -189,7 +195,7 @@
 	eq_free(eq);
 }
 
-/* The answer has been handed to the caller whole. */
+/* Ends a request whose whole answer has been passed to the caller. */
 void eq_finish(struct eq *eq)
 {
 	int64_t now = clk_boot_us();
@@ -208,18 +214,19 @@
 }
 
 /*
- * A router that stops takes what still reaches it while the balancer moves
- * callers away.  Where all routers of a data centre stop at once, callers
- * keep coming: a stream that begins late is cut by the kill at the end, and
- * its caller has waited in vain.  It is refused at once instead.
+ * Tells whether a stopping router refuses new requests.  It accepts them while
+ * the balancer moves callers away.  If all routers of a data centre stop at
+ * once, callers keep arriving: a stream that starts late is cut by the kill at
+ * the end, and its caller has waited for nothing.  It is therefore refused at
+ * once.
  */
-static bool eq_too_late_to_begin(const struct eq *eq, int64_t now)
+static bool eq_refuses_while_stopping(const struct eq *eq, int64_t now)
 {
 	const struct edge *edge = eq->edge;
 
 	if (!edge->stopping)
 		return false;
-	return now - edge->stopped_us > EQ_STOP_TAKES_US;
+	return now - edge->stopped_us > EQ_STOP_ACCEPT_US;
 }
 
 static void eq_refuse_early(struct edge *edge, struct hs_conn *conn)
@@ -258,8 +265,11 @@
 	return eq;
 }
 
-/* Finds route, account and service; answers and returns false if it cannot. */
-static bool eq_route(struct eq *eq)
+/*
+ * Finds route, account and service.  On failure answers the caller and returns
+ * false.
+ */
+static bool eq_resolve_route(struct eq *eq)
 {
 	int account;
 
@@ -271,7 +281,7 @@
 		eq_refuse(eq, 404, EQ_RETRY_NEVER, "no route");
 		return false;
 	}
-	eq->service = eq_service(eq);
+	eq->service = eq_pick_service(eq);
 	if (!eq->service) {
 		eq_refuse(eq, 503, EQ_RETRY_LATER, "route has no service");
 		return false;
@@ -290,9 +300,10 @@
 }
 
 /*
- * Refuses keys while they can't be checked, and requests that crash workers.
- * A key that was taken away while this instance is cut off from the store
- * must stop within the bound; what it knows is too old then.
+ * Refuses keys while they cannot be checked, and requests that crash workers.
+ * A key that is revoked while this instance is cut off from the store must stop
+ * working within the configured bound; after that, the configuration known here
+ * is too old to accept any key.
  */
 static bool eq_admit(struct eq *eq, int64_t now)
 {
@@ -300,10 +311,10 @@
 
 	if (eq->account && edge->set.keys_fail_closed &&
 	    !attest_trusted(&edge->attest, edge->set.keys_stale_us, now)) {
-		eq_refuse(eq, 503, eq_where(eq, now), "keys too old");
+		eq_refuse(eq, 503, eq_retry_target(eq, now), "keys too old");
 		return false;
 	}
-	eq_fingerprint(eq);
+	eq_set_fingerprint(eq);
 	if (quar_check(edge->quar, eq->fingerprint, now) == QUAR_QUARANTINED) {
 		met_add(&eq->edge->met, MET_POISON);
 		eq_refuse(eq, 503, EQ_RETRY_NEVER, "crashes workers");
@@ -313,17 +324,18 @@
 }
 
 /*
- * Callers of a router that cannot take them go to another one at once; where
- * none can, as in an outage of the store, they would only be refused again.
+ * Decides when refused callers retry: at once if another router is ready to
+ * accept them; later if none is, as in an outage of the store, because they
+ * would only be refused again.
  */
-static enum eq_retry eq_where(const struct eq *eq, int64_t now)
+static enum eq_retry eq_retry_target(const struct eq *eq, int64_t now)
 {
 	return hint_others_ready(eq->edge->hint, now) ? EQ_RETRY_ELSEWHERE
 						      : EQ_RETRY_LATER;
 }
 
-/* The same path, caller and body make the same fingerprint. */
-static void eq_fingerprint(struct eq *eq)
+/* Computes the fingerprint from the path, the caller's key and the body. */
+static void eq_set_fingerprint(struct eq *eq)
 {
 	struct evbuffer *body = hs_body(eq->caller);
 	size_t len = evbuffer_get_length(body);
@@ -345,10 +357,11 @@
 }
 
 /*
- * Sets when the request ends at the latest, and until when it is in time.  A
- * caller cannot make others look late by naming more time than its route has.
+ * Sets the deadline of the request and the time until which its answer is on
+ * time.  A caller cannot make other callers appear late by stating more time
+ * than the route's timeout.
  */
-static void eq_deadlines(struct eq *eq)
+static void eq_set_deadlines(struct eq *eq)
 {
 	int64_t limit = eq->route->timeout_us;
 	int64_t wait = eq->request.wait_ms * MAG_US_PER_MS;
@@ -362,8 +375,8 @@
 			     wait > 0 ? limit : 0, eq->arrived_us);
 }
 
-/* Draws the service by the route's weights. */
-static const struct rt_service *eq_service(struct eq *eq)
+/* Picks a service at random by the route's weights. */
+static const struct rt_service *eq_pick_service(struct eq *eq)
 {
 	const struct rt_route *route = eq->route;
 	double sum = 0;
@@ -410,7 +423,7 @@
 	     eq->hop_count > 0 ? eq->hops[0].worker->is.id : "");
 }
 
-/* Stops what still works for a request and gives everything back. */
+/* Cancels outstanding work for a request and releases all that it holds. */
 static void eq_free(struct eq *eq)
 {
 	if (eq->call)
--- a/src/eq.h
+++ b/src/eq.h
@@ -1,7 +1,7 @@
 #ifndef EQ_H
 #define EQ_H
 
-/* The life of one request on a router: arrive, wait, send, answer, end. */
+/* The life of one request on a router: arrival, wait, dispatch, answer, end. */
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -12,84 +12,85 @@
 #include "pl_header.h"
 
 #define EQ_AVOID_MAX 16
-/* Text of a chain in the log: 32 ids of 16 letters, each with its layers. */
+/*
+ * Buffer size for a chain in the log: 32 ids of 16 characters, each followed by
+ * its first layer.
+ */
 #define EQ_CHAIN_TEXT 768
 
 enum eq_state {
-	EQ_WAITING,   /* for a place at a worker */
-	EQ_SENT,      /* with a worker, nothing has gone to the caller */
-	EQ_STREAMING, /* events have gone to the caller */
+	EQ_WAITING,   /* for a free worker */
+	EQ_SENT,      /* to a worker; the caller has received nothing */
+	EQ_STREAMING, /* the caller has received events */
 };
 
-/* A worker that runs a part of the request. */
+/* A worker of the request's chain and the layers that it runs: [from, to). */
 struct eq_hop {
 	struct wk *worker;
 	int from;
 	int to;
-	double held; /* tokens x layers taken from its memory */
+	double held; /* memory reserved there, in tokens x layers */
 };
 
 struct eq_repair;
 
 struct eq {
-	struct cds_list_head node; /* all requests, by arrival */
+	struct cds_list_head node; /* in edge.requests, by arrival */
 	struct edge *edge;
 	struct hs_conn *caller;
-	struct rt_set *rt; /* the set that it began with */
+	struct rt_set *rt; /* configuration at arrival */
 	const struct rt_route *route;
 	const struct rt_service *service;
-	const char *account; /* NULL: the route needs none */
+	const char *account; /* NULL: the route requires none */
 	struct pl_request request;
 	uint8_t fingerprint[MAG_DIGEST_BYTES];
 	enum eq_state state;
 
 	int64_t arrived_us;
-	int64_t deadline_us;	    /* the final answer is out by then */
-	int64_t target_deadline_us; /* an answer, or its first event, is in time
-				     */
+	int64_t deadline_us;	    /* latest time for the final answer */
+	int64_t target_deadline_us; /* on time if answered or begun by then */
 	int64_t wait_until_us;
 	int64_t sent_us;
-	int64_t progress_us; /* of this attempt: its send, or its last event */
-	int64_t probed_us;   /* when its workers were asked last */
-	int64_t repaired_us; /* its chain was repaired last; 0: never */
-	int64_t max_gap_us;  /* longest pause so far */
-	int64_t event_interval_us; /* time between events, smoothed; 0: unknown
-				    */
-	int64_t first_event_us;	   /* first event handed on, 0: none */
+	int64_t progress_us; /* of this attempt: when sent, or its last event */
+	int64_t probed_us;   /* when its workers were last probed */
+	int64_t repaired_us; /* last repair of its chain; 0: never */
+	int64_t max_gap_us;  /* longest pause between events so far */
+	int64_t event_interval_us; /* smoothed; 0: unknown */
+	int64_t first_event_us;	   /* first event forwarded; 0: none */
 
 	struct eq_hop hops[CHN_HOPS_MAX];
 	int hop_count;
 	struct hc_call *call;
-	struct eq_repair *repair; /* a repair is on its way; NULL: none */
+	struct eq_repair *repair; /* repair in progress, or NULL */
 	int repairs;		  /* repairs of this attempt's chain */
-	int sends;		  /* to workers, refused ones too */
-	int runs;		  /* of these, what may have run */
+	int sends;		  /* to workers, including refused ones */
+	int runs;		  /* sends that may have run */
 	bool may_have_run;
 	char avoid[EQ_AVOID_MAX][WIRE_ID_MAX];
 	int avoid_count;
 
-	/* The answer of the attempt in progress. */
+	/* The answer of the current attempt. */
 	int status;
 	struct pl_answer answer;
 	char at_fault[MAG_ADDR_MAX];
-	bool answered; /* its header has come */
+	bool answered; /* its header has been received */
 	bool garbled;
 	struct evbuffer *fields;
 	struct evbuffer *body;
 	struct evs events;
-	int64_t last_event; /* handed on to the caller; -1: none */
+	int64_t last_event; /* id of the last event forwarded; -1: none */
 };
 
 /* eq.c */
 void eq_on_request(void *ctx, struct hs_conn *conn);
 void eq_on_caller_gone(void *ctx, struct hs_conn *conn, void *user);
 void eq_tick(struct edge *edge, int64_t now);
-/* When a refused caller should come back. */
+/* When a refused caller should retry. */
 enum eq_retry {
 	EQ_RETRY_NEVER,
-	EQ_RETRY_ELSEWHERE, /* at once: another router takes it */
-	EQ_RETRY_SOON,	    /* when the worker at fault is known */
-	EQ_RETRY_LATER,	    /* when the present load has drained */
+	EQ_RETRY_ELSEWHERE, /* at once: another router accepts it */
+	EQ_RETRY_SOON,	    /* once the faulty worker is known */
+	EQ_RETRY_LATER,	    /* once the present load has drained */
 };
 
 void eq_refuse(struct eq *eq, int status, enum eq_retry retry, const char *why);
@@ -106,8 +107,8 @@
 /* eq_chain.c */
 enum eq_choice {
 	EQ_CHOSEN,
-	EQ_BUSY,      /* all are at their limit */
-	EQ_NO_WORKER, /* there is no worker for it */
+	EQ_BUSY,      /* all workers are at their limit */
+	EQ_NO_WORKER, /* no worker serves this request */
 };
 
 enum eq_choice eq_choose_chain(struct eq *eq, int64_t now);
--- a/src/eq_answer.c
+++ b/src/eq_answer.c
@@ -6,20 +6,23 @@
 #include "jlog.h"
 #include "wkp.h"
 
-/* Weight of the newest pause in a stream's pace: one in so many. */
-#define EQ_PACE_PARTS 8
+/*
+ * The newest interval between events has a weight of one in this many in the
+ * stream's smoothed interval.
+ */
+#define EQ_INTERVAL_WEIGHT 8
 
 static bool eq_on_headers(void *user, const struct hc_answer *answer);
-static void eq_take_limit(const struct eq *eq, const struct hc_answer *answer);
+static void eq_apply_limit(const struct eq *eq, const struct hc_answer *answer);
 static void eq_on_body(void *user, const void *bytes, size_t len);
 static void eq_on_end(void *user, enum hc_end end);
-static void eq_events(struct eq *eq, const void *bytes, size_t len);
-static void eq_began(struct eq *eq);
-static void eq_take_gap(struct eq *eq, int64_t gap_us);
-static void eq_whole(struct eq *eq, struct wk *wk, int64_t now);
-static void eq_broken(struct eq *eq, struct wk *wk, enum hc_end end,
-		      int64_t now);
-static void eq_not_run(struct eq *eq, struct wk *wk, int64_t now);
+static void eq_forward_events(struct eq *eq, const void *bytes, size_t len);
+static void eq_note_started(struct eq *eq);
+static void eq_update_interval(struct eq *eq, int64_t interval_us);
+static void eq_on_complete(struct eq *eq, struct wk *wk, int64_t now);
+static void eq_on_broken(struct eq *eq, struct wk *wk, enum hc_end end,
+			 int64_t now);
+static void eq_on_not_run(struct eq *eq, struct wk *wk, int64_t now);
 static void eq_relay(struct eq *eq);
 
 const struct hc_ops eq_ops = {
@@ -29,8 +32,8 @@
 };
 
 /*
- * Tries a request again after an attempt that ended without its answer, if
- * that is allowed; else ends it.
+ * Retries a request after an attempt that ended without its answer if the route
+ * allows it; ends the request otherwise.
  */
 void eq_retry_or_fail(struct eq *eq, const char *why)
 {
@@ -63,7 +66,9 @@
 	eq_dispatch(eq, clk_boot_us());
 }
 
-/* An answer that names another request is skipped: ours may follow it. */
+/*
+ * Skips an answer that names another request: this request's answer may follow.
+ */
 static bool eq_on_headers(void *user, const struct hc_answer *answer)
 {
 	struct eq *eq = user;
@@ -72,7 +77,7 @@
 	if (eq->answer.attempt_id && eq->request.attempt_id &&
 	    strcmp(eq->answer.attempt_id, eq->request.attempt_id) != 0)
 		return false;
-	eq_take_limit(eq, answer);
+	eq_apply_limit(eq, answer);
 	eq->answered = true;
 	eq->status = answer->status;
 	eq->at_fault[0] = '\0';
@@ -90,8 +95,11 @@
 	return true;
 }
 
-/* Takes the rate limit that the first worker names, or no longer names. */
-static void eq_take_limit(const struct eq *eq, const struct hc_answer *answer)
+/*
+ * Applies the rate limit that the first worker's answer states, or the absence
+ * of one.
+ */
+static void eq_apply_limit(const struct eq *eq, const struct hc_answer *answer)
 {
 	bool sound = answer->status / 100 == 2 && eq->answer.sealed;
 
@@ -106,13 +114,13 @@
 	if (eq->garbled)
 		return;
 	if (eq->status == 200 && eq->route->kind == RT_STREAMING)
-		eq_events(eq, bytes, len);
+		eq_forward_events(eq, bytes, len);
 	else
 		evbuffer_add(eq->body, bytes, len);
 }
 
-/* Hands the whole events of a stream on, each once and in order. */
-static void eq_events(struct eq *eq, const void *bytes, size_t len)
+/* Forwards complete events of a stream, each once and in order. */
+static void eq_forward_events(struct eq *eq, const void *bytes, size_t len)
 {
 	int64_t now = clk_boot_us();
 	struct evs_event event;
@@ -130,7 +138,7 @@
 				continue;
 			if (eq->last_event >= 0 &&
 			    event.id != eq->last_event + 1) {
-				/* A piece is missing: not this stream. */
+				/* Event ids have a gap: an event is missing. */
 				eq->garbled = true;
 				break;
 			}
@@ -145,11 +153,11 @@
 	if (eq->state != EQ_STREAMING) {
 		eq->state = EQ_STREAMING;
 		eq->first_event_us = now;
-		eq_began(eq);
+		eq_note_started(eq);
 		hs_stream_begin(eq->caller, eq->status,
 				(const char *)evbuffer_pullup(eq->fields, -1));
 	} else {
-		eq_take_gap(eq, now - eq->progress_us);
+		eq_update_interval(eq, now - eq->progress_us);
 	}
 	eq->progress_us = now;
 	eq_on_progress(eq, now);
@@ -157,8 +165,8 @@
 	evbuffer_drain(out, ready);
 }
 
-/* All workers of a chain have taken the request. */
-static void eq_began(struct eq *eq)
+/* Notes that all workers of the chain have accepted the request. */
+static void eq_note_started(struct eq *eq)
 {
 	int i;
 
@@ -167,18 +175,18 @@
 		wk_began(eq->hops[i].worker);
 }
 
-/* Notes the time between two events. */
-static void eq_take_gap(struct eq *eq, int64_t gap_us)
+/* Updates the longest and the smoothed interval between events. */
+static void eq_update_interval(struct eq *eq, int64_t interval_us)
 {
-	if (gap_us > eq->max_gap_us)
-		eq->max_gap_us = gap_us;
+	if (interval_us > eq->max_gap_us)
+		eq->max_gap_us = interval_us;
 	if (eq->event_interval_us == 0)
-		eq->event_interval_us = gap_us;
+		eq->event_interval_us = interval_us;
 	eq->event_interval_us +=
-		(gap_us - eq->event_interval_us) / EQ_PACE_PARTS;
+		(interval_us - eq->event_interval_us) / EQ_INTERVAL_WEIGHT;
 }
 
-/* An attempt is over; the call is gone. */
+/* Called at the end of an attempt; the call has been released. */
 static void eq_on_end(void *user, enum hc_end end)
 {
 	struct eq *eq = user;
@@ -187,27 +195,27 @@
 
 	eq->call = NULL;
 	if (end == HC_WHOLE && !eq->garbled && eq->answered)
-		eq_whole(eq, wk, now);
+		eq_on_complete(eq, wk, now);
 	else
-		eq_broken(eq, wk, end, now);
+		eq_on_broken(eq, wk, end, now);
 }
 
-/* The worker's answer is complete. */
-static void eq_whole(struct eq *eq, struct wk *wk, int64_t now)
+/* Handles a complete answer of the worker. */
+static void eq_on_complete(struct eq *eq, struct wk *wk, int64_t now)
 {
 	bool idempotent = eq->route->kind == RT_IDEMPOTENT;
-	bool good = eq->status / 100 == 2;
+	bool success = eq->status / 100 == 2;
 
 	if (eq->answer.not_run) {
-		eq_not_run(eq, wk, now);
+		eq_on_not_run(eq, wk, now);
 		return;
 	}
 	eq->may_have_run = true;
 	eq->runs++;
-	wk_result(wk, good || eq->status / 100 == 4, now - eq->sent_us);
+	wk_result(wk, success || eq->status / 100 == 4, now - eq->sent_us);
 	wk_clear(wk);
 	wk_worked(wk);
-	if (good) {
+	if (success) {
 		quar_completed(eq->edge->quar, eq->fingerprint, now);
 		if (eq->state == EQ_STREAMING && evs_pending(&eq->events) > 0) {
 			eq_retry_or_fail(eq, "stream ended inside an event");
@@ -216,7 +224,10 @@
 		eq_relay(eq);
 		return;
 	}
-	/* A failure of an idempotent request may be another's success. */
+	/*
+	 * An idempotent request that fails at one worker may succeed at
+	 * another.
+	 */
 	if (eq->status / 100 == 5 && eq->state != EQ_STREAMING && idempotent &&
 	    eq->runs < eq->route->max_attempts &&
 	    bud_left(edge_budget(eq->edge, eq->service->name, now), now) > 1) {
@@ -231,7 +242,7 @@
 	eq_relay(eq);
 }
 
-/* Hands the worker's whole answer to the caller as it is. */
+/* Forwards the worker's complete answer to the caller unchanged. */
 static void eq_relay(struct eq *eq)
 {
 	size_t len;
@@ -249,11 +260,12 @@
 }
 
 /*
- * The worker says that it did not begin the request.  Of a chain it names the
- * worker at fault, which may be dead, leaving or short of memory: it is asked
- * which, and until then gets nothing new.
+ * Handles an answer that says the request was not started.  In a chain the
+ * answer names the worker at fault, which may be dead, leaving or out of
+ * memory.  That worker is probed to find out which, and receives nothing new
+ * until then.
  */
-static void eq_not_run(struct eq *eq, struct wk *wk, int64_t now)
+static void eq_on_not_run(struct eq *eq, struct wk *wk, int64_t now)
 {
 	struct edge *edge = eq->edge;
 	struct wk *fault = NULL;
@@ -272,9 +284,9 @@
 	eq_retry_or_fail(eq, "worker did not begin it");
 }
 
-/* The attempt ended without a whole answer. */
-static void eq_broken(struct eq *eq, struct wk *wk, enum hc_end end,
-		      int64_t now)
+/* Handles an attempt that ended without a complete answer. */
+static void eq_on_broken(struct eq *eq, struct wk *wk, enum hc_end end,
+			 int64_t now)
 {
 	struct edge *edge = eq->edge;
 
--- a/src/eq_chain.c
+++ b/src/eq_chain.c
@@ -6,45 +6,50 @@
 #include "room.h"
 
 /*
- * Price of a hop from one data centre to another.  Its delay is 1 ms, but all
- * streams share one pipe there, and each stream's prompt alone holds it for
- * 10 ms: beyond some 80 crossings a second every stream waits for the pipe.
- * Priced as several chains' worth of steps, a crossing is taken only where
- * no chain stays inside one data centre.
+ * Cost of a hop between two data centres.  Its latency is 1 ms, but all streams
+ * share one link there, and the prompt of each stream alone occupies the link
+ * for 10 ms: beyond about 80 crossings a second every stream queues for it.
+ * The cost equals several chains' worth of steps, so that a chain crosses only
+ * if no chain fits inside one data centre.
  */
-#define EQ_CENTRE_US 40000
+#define EQ_CROSSING_US 40000
 /*
- * Price of a first worker in another data centre: only the stream's own bytes
- * cross there, which the users pay for, so that a whole chain elsewhere goes
- * before a crossing, and a chain at home before both.
+ * Cost of a first worker in another data centre.  Only the stream's own bytes,
+ * which the users pay for, cross the link then.  A chain entirely in another
+ * data centre is therefore preferred to one that crosses, and a local chain to
+ * both.
  */
-#define EQ_AWAY_US 8000
-/* Spread of the price of a worker, as a part of it. */
-#define EQ_NOISE 0.1
-/* How often it is looked whether chains stand: a quarter of what matters. */
-#define EQ_COVER_US (250 * MAG_US_PER_MS)
-
-/* What the choice in progress looks at; one thread makes all choices. */
-static struct chn_worker eq_list[CHN_WORKERS_MAX];
-static struct wk *eq_listed[CHN_WORKERS_MAX];
-
-static bool eq_covered(struct edge *edge, const struct rt_service *service,
-		       int64_t now);
-static void eq_chain_want(struct eq *eq, struct chn_want *want, int64_t now);
-static int eq_chain_workers(struct eq *eq, const struct eq_hop *first,
-			    int64_t now);
-static void eq_reads(const struct eq *eq, int listed, int layers, int64_t now);
-static void eq_change_hops(struct eq *eq, const struct chn_chain *rest,
+#define EQ_REMOTE_US 8000
+/* Random variation of a worker's cost, as a fraction of it. */
+#define EQ_COST_VARIATION 0.1
+/*
+ * Interval between coverage checks: a quarter of the shortest outage that
+ * matters.
+ */
+#define EQ_COVERAGE_US (250 * MAG_US_PER_MS)
+
+/* Candidates of the choice in progress; one thread makes all choices. */
+static struct chn_worker eq_candidates[CHN_WORKERS_MAX];
+static struct wk *eq_candidate_workers[CHN_WORKERS_MAX];
+
+static bool eq_is_covered(struct edge *edge, const struct rt_service *service,
+			  int64_t now);
+static void eq_fill_want(struct eq *eq, struct chn_want *want, int64_t now);
+static int eq_list_candidates(struct eq *eq, const struct eq_hop *first,
+			      int64_t now);
+static void eq_add_prefill(const struct eq *eq, int index, int layers,
 			   int64_t now);
+static void eq_replace_hops(struct eq *eq, const struct chn_chain *replacement,
+			    int64_t now);
 static void eq_known_load(const struct eq *eq, const struct wk *wk, int64_t now,
 			  struct chn_worker *w);
-static struct room_request eq_room(const struct eq *eq);
-static double eq_handed_bytes(const struct eq *eq, int crossings);
-static double eq_read_us(const struct eq *eq,
-			 const struct rt_accelerator *kind);
-static double eq_noise(struct edge *edge);
+static struct room_request eq_room_request(const struct eq *eq);
+static double eq_crossing_bytes(const struct eq *eq, int crossings);
+static double eq_prefill_us(const struct eq *eq,
+			    const struct rt_accelerator *accelerator);
+static double eq_random_factor(struct edge *edge);
 
-/* Takes the cheapest chain that fits. */
+/* Chooses the cheapest chain that fits and reserves its hops. */
 enum eq_choice eq_choose_chain(struct eq *eq, int64_t now)
 {
 	struct edge *edge = eq->edge;
@@ -54,24 +59,24 @@
 	int rc;
 	int i;
 
-	eq_chain_want(eq, &want, now);
-	count = eq_chain_workers(eq, NULL, now);
-	rc = chn_choose(&want, eq_list, count, &chain);
+	eq_fill_want(eq, &want, now);
+	count = eq_list_candidates(eq, NULL, now);
+	rc = chn_choose(&want, eq_candidates, count, &chain);
 	if (rc)
 		return rc == CHN_E_NONE ? EQ_NO_WORKER : EQ_BUSY;
-	edge->crossing_budget_bytes -= eq_handed_bytes(eq, chain.crossings);
+	edge->crossing_budget_bytes -= eq_crossing_bytes(eq, chain.crossings);
 	for (i = 0; i < chain.count; i++) {
-		eq_reads(eq, chain.hops[i].ref,
-			 chain.hops[i].to - chain.hops[i].from, now);
-		eq_reserve_hop(eq, eq_listed[chain.hops[i].ref],
+		eq_add_prefill(eq, chain.hops[i].ref,
+			       chain.hops[i].to - chain.hops[i].from, now);
+		eq_reserve_hop(eq, eq_candidate_workers[chain.hops[i].ref],
 			       chain.hops[i].from, chain.hops[i].to);
 	}
 	return EQ_CHOSEN;
 }
 
 /*
- * Replaces the workers behind the first one that the request avoids by now;
- * the others keep their part.  Returns false if no such chain fits.
+ * Replaces those workers behind the first one that the request now avoids; the
+ * others retain their layers.  Returns false if no such chain fits.
  */
 bool eq_choose_repair(struct eq *eq, int64_t now)
 {
@@ -79,47 +84,49 @@
 	const struct eq_hop *hop = &eq->hops[0];
 	struct chn_first first;
 	struct chn_want want;
-	struct chn_chain rest;
+	struct chn_chain replacement;
 	int count;
 
 	first.to = hop->to;
 	first.centre =
 		edge_data_centre_index(edge, hop->worker->is.data_centre);
-	eq_chain_want(eq, &want, now);
-	count = eq_chain_workers(eq, hop, now);
-	if (chn_repair(&want, &first, eq_list, count, &rest) ||
-	    rest.count >= CHN_HOPS_MAX)
+	eq_fill_want(eq, &want, now);
+	count = eq_list_candidates(eq, hop, now);
+	if (chn_repair(&want, &first, eq_candidates, count, &replacement) ||
+	    replacement.count >= CHN_HOPS_MAX)
 		return false;
-	edge->crossing_budget_bytes -= eq_handed_bytes(eq, rest.crossings);
-	eq_change_hops(eq, &rest, now);
+	edge->crossing_budget_bytes -=
+		eq_crossing_bytes(eq, replacement.crossings);
+	eq_replace_hops(eq, &replacement, now);
 	return true;
 }
 
 /*
- * Looks now and then whether a chain leads through all layers of each engine
- * service.  A router that is cut off with half a copy of the model would take
- * its data centre's callers and refuse them all; see edge_is_ready.
+ * Periodically checks whether every engine service has a chain through all of
+ * its layers.  A router that is cut off with part of the model's layers would
+ * attract its data centre's callers and refuse them all; see edge_is_ready.
  */
 void eq_coverage_tick(struct edge *edge, int64_t now)
 {
-	bool stands = true;
+	bool covered = true;
 	int i;
 
 	if (!edge->rt || now < edge->next_coverage_check_us)
 		return;
-	edge->next_coverage_check_us = now + EQ_COVER_US;
+	edge->next_coverage_check_us = now + EQ_COVERAGE_US;
 	for (i = 0; i < edge->rt->service_count; i++) {
 		if (edge->rt->services[i].has_engine)
-			stands &= eq_covered(edge, &edge->rt->services[i], now);
+			covered &= eq_is_covered(edge, &edge->rt->services[i],
+						 now);
 	}
-	edge->was_covered |= stands;
-	if (stands)
+	edge->was_covered |= covered;
+	if (covered)
 		edge->uncovered_since_us = 0;
 	else if (!edge->uncovered_since_us)
 		edge->uncovered_since_us = now;
 }
 
-/* Writes the hops of a request down as they go onto the wire. */
+/* Writes the hops of a request in their wire form. */
 int eq_wire_hops(const struct eq *eq, struct wire_hop *hops)
 {
 	int i;
@@ -133,7 +140,7 @@
 	return eq->hop_count;
 }
 
-/* Writes a chain for the log: each worker and its first layer. */
+/* Formats a chain for the log: each worker with its first layer. */
 const char *eq_chain_text(const struct eq *eq, char *dst, size_t size)
 {
 	size_t len = 0;
@@ -147,10 +154,10 @@
 	return dst;
 }
 
-/* Takes a place at a worker and, for layers, memory of it. */
+/* Reserves a place at a worker and, if it runs layers, memory there. */
 void eq_reserve_hop(struct eq *eq, struct wk *wk, int from, int to)
 {
-	struct room_request request = eq_room(eq);
+	struct room_request request = eq_room_request(eq);
 	struct eq_hop *hop = &eq->hops[eq->hop_count];
 
 	hop->worker = wk_hold(wk);
@@ -164,9 +171,9 @@
 	eq->hop_count++;
 }
 
-/* Tells whether workers that may get new work hold every layer. */
-static bool eq_covered(struct edge *edge, const struct rt_service *service,
-		       int64_t now)
+/* Tells whether the workers that accept new work hold every layer. */
+static bool eq_is_covered(struct edge *edge, const struct rt_service *service,
+			  int64_t now)
 {
 	struct wk *wk;
 	int count = 0;
@@ -177,86 +184,87 @@
 		if (!wk_usable(wk, now) ||
 		    strcmp(wk->is.service, service->name) != 0)
 			continue;
-		eq_list[count].from = wk->layers.from;
-		eq_list[count++].to = wk->layers.to;
+		eq_candidates[count].from = wk->layers.from;
+		eq_candidates[count++].to = wk->layers.to;
 	}
-	return chn_covered(eq_list, count, service->engine.layers);
+	return chn_covered(eq_candidates, count, service->engine.layers);
 }
 
-static void eq_chain_want(struct eq *eq, struct chn_want *want, int64_t now)
+static void eq_fill_want(struct eq *eq, struct chn_want *want, int64_t now)
 {
-	struct room_request request = eq_room(eq);
+	struct room_request request = eq_room_request(eq);
 	struct edge *edge = eq->edge;
 
 	want->layers = eq->service->engine.layers;
 	want->centre = edge_data_centre_index(edge, edge->set.data_centre);
 	want->tokens = room_mean_tokens(&request);
 	want->hop_us = CHN_HOP_US;
-	want->centre_us = EQ_CENTRE_US;
-	want->away_us = EQ_AWAY_US;
+	want->centre_us = EQ_CROSSING_US;
+	want->away_us = EQ_REMOTE_US;
 	want->reads = eq->state == EQ_STREAMING;
 	want->yields = eq->last_event < 0 && now >= eq->target_deadline_us;
 	want->may_cross =
 		edge_may_cross_data_centres(edge, &eq->service->engine, now);
 }
 
-/* Returns the bytes that a stream hands on between data centres. */
-static double eq_handed_bytes(const struct eq *eq, int crossings)
+/* Returns the bytes that a stream transfers between data centres. */
+static double eq_crossing_bytes(const struct eq *eq, int crossings)
 {
-	struct room_request request = eq_room(eq);
+	struct room_request request = eq_room_request(eq);
 
 	return crossings * room_final_tokens(&request) *
 	       eq->service->engine.activation_bytes;
 }
 
 /*
- * Lists the workers that may take a part of the request.  For the repair of
- * its chain the first one is left out, and those that keep their part count
- * also while they refuse new requests.
+ * Lists the workers that may run a part of the request.  For a repair the first
+ * worker of the chain is left out, and workers that retain their layers are
+ * listed even if they accept no new requests.
  */
-static int eq_chain_workers(struct eq *eq, const struct eq_hop *first,
-			    int64_t now)
+static int eq_list_candidates(struct eq *eq, const struct eq_hop *first,
+			      int64_t now)
 {
-	const struct eq_hop *keeps;
+	const struct eq_hop *retained;
 	const struct rt_engine *engine = &eq->service->engine;
-	const struct rt_accelerator *kind;
+	const struct rt_accelerator *accelerator;
 	struct edge *edge = eq->edge;
 	struct chn_worker *w;
 	struct wk *wk;
 	double spare_mb;
-	int held;
+	int layers;
 	int count = 0;
 
 	cds_list_for_each_entry (wk, &edge->workers.workers, node) {
-		held = wk->layers.to - wk->layers.from;
+		layers = wk->layers.to - wk->layers.from;
 		if (count == CHN_WORKERS_MAX)
 			break;
-		keeps = first ? eq_find_hop(eq, wk) : NULL;
-		if (held <= 0 || eq_avoids(eq, wk) ||
-		    !(keeps ? wk_alive(wk, now) && !wk->on_trial
-			    : wk_usable(wk, now)) ||
+		retained = first ? eq_find_hop(eq, wk) : NULL;
+		if (layers <= 0 || eq_avoids(eq, wk) ||
+		    !(retained ? wk_alive(wk, now) && !wk->on_trial
+			       : wk_usable(wk, now)) ||
 		    strcmp(wk->is.service, eq->service->name) != 0)
 			continue;
 		if (first && wk == first->worker)
 			continue;
-		kind = rt_find_accelerator(engine, wk->is.kind);
-		if (!kind)
+		accelerator = rt_find_accelerator(engine, wk->is.kind);
+		if (!accelerator)
 			continue;
-		w = &eq_list[count];
-		eq_listed[count] = wk;
+		w = &eq_candidates[count];
+		eq_candidate_workers[count] = wk;
 		w->ref = count++;
 		w->centre = edge_data_centre_index(edge, wk->is.data_centre);
 		w->from = wk->layers.from;
 		w->to = wk->layers.to;
-		w->layer_us = engine->step_ms * 1000 * kind->step_factor *
-			      wk->slowdown * eq_noise(edge) / engine->layers;
-		spare_mb = kind->memory_mb - held * engine->layer_mb;
+		w->layer_us = engine->step_ms * 1000 *
+			      accelerator->step_factor * wk->slowdown *
+			      eq_random_factor(edge) / engine->layers;
+		spare_mb = accelerator->memory_mb - layers * engine->layer_mb;
 		w->memory = spare_mb * 1e6 * engine->layers /
 			    engine->kv_token_bytes;
 		eq_known_load(eq, wk, now, w);
-		w->keeps_from = keeps ? keeps->from : 0;
-		w->keeps_to = keeps ? keeps->to : 0;
-		w->read_us = eq_read_us(eq, kind) * wk->slowdown;
+		w->keeps_from = retained ? retained->from : 0;
+		w->keeps_to = retained ? retained->to : 0;
+		w->read_us = eq_prefill_us(eq, accelerator) * wk->slowdown;
 		w->backlog_us = wk->read_until_us > now
 					? (double)(wk->read_until_us - now)
 					: 0;
@@ -264,7 +272,7 @@
 	return count;
 }
 
-/* Returns the part of a request's chain that a worker runs, or NULL. */
+/* Returns the hop of the request's chain that runs on the worker, or NULL. */
 const struct eq_hop *eq_find_hop(const struct eq *eq, const struct wk *wk)
 {
 	int i;
@@ -277,8 +285,9 @@
 }
 
 /*
- * Returns the worker of a request's chain that has an address, or NULL.  The
- * list may name several at one address, of which the request met this one.
+ * Returns the worker of the request's chain with this address, or NULL.  The
+ * worker table may hold several with one address; this is the one that the
+ * request was sent to.
  */
 struct wk *eq_worker_at_address(const struct eq *eq, const char *address)
 {
@@ -292,22 +301,24 @@
 }
 
 /*
- * Notes that a listed worker has a prompt to read through some layers; the
- * other routers of the data centre move as many streams there.
+ * Adds the prefill of a prompt through some layers to a candidate's backlog.
+ * The other routers of the data centre are assumed to move as many streams
+ * there.
  */
-static void eq_reads(const struct eq *eq, int listed, int layers, int64_t now)
+static void eq_add_prefill(const struct eq *eq, int index, int layers,
+			   int64_t now)
 {
-	struct wk *wk = eq_listed[listed];
+	struct wk *wk = eq_candidate_workers[index];
 
 	if (wk->read_until_us < now)
 		wk->read_until_us = now;
-	wk->read_until_us += (int64_t)(eq_list[listed].read_us * layers *
+	wk->read_until_us += (int64_t)(eq_candidates[index].read_us * layers *
 				       edge_routers_per_data_centre(eq->edge));
 }
 
-/* Takes the places of a repaired chain, then gives the old ones back. */
-static void eq_change_hops(struct eq *eq, const struct chn_chain *rest,
-			   int64_t now)
+/* Reserves the hops of a repaired chain, then releases the replaced ones. */
+static void eq_replace_hops(struct eq *eq, const struct chn_chain *replacement,
+			    int64_t now)
 {
 	struct eq_hop old[CHN_HOPS_MAX];
 	const struct eq_hop *kept;
@@ -318,9 +329,9 @@
 
 	memcpy(old, eq->hops, sizeof(old));
 	eq->hop_count = 1;
-	for (i = 0; i < rest->count; i++) {
-		hop = &rest->hops[i];
-		wk = eq_listed[hop->ref];
+	for (i = 0; i < replacement->count; i++) {
+		hop = &replacement->hops[i];
+		wk = eq_candidate_workers[hop->ref];
 		eq_reserve_hop(eq, wk, hop->from, hop->to);
 		kept = &old[0];
 		while (kept < &old[count] && kept->worker != wk)
@@ -329,7 +340,7 @@
 		    kept->to == hop->to)
 			continue;
 		thr_sent(&wk->thr, now);
-		eq_reads(eq, hop->ref, hop->to - hop->from, now);
+		eq_add_prefill(eq, hop->ref, hop->to - hop->from, now);
 	}
 	for (i = 1; i < count; i++) {
 		old[i].worker->held -= old[i].held;
@@ -338,14 +349,14 @@
 }
 
 /*
- * Fills in what is known of a worker's load.  After a power loss of all routers
- * the engines go on with requests that no router knows of, and refuse what
- * these send for want of memory, so that their own reports count as well.
+ * Fills in the known load of a worker.  After a power loss of all routers the
+ * engines continue requests that no router knows of, and refuse new ones for
+ * lack of memory; the workers' own reports are therefore counted as well.
  */
 static void eq_known_load(const struct eq *eq, const struct wk *wk, int64_t now,
 			  struct chn_worker *w)
 {
-	struct room_load known = {
+	struct room_load load = {
 		.own = wk->held,
 		.recent = wk->recent_held,
 		.peers = wk->peer_held,
@@ -358,9 +369,9 @@
 	if (room_is_report_fresh(wk->reported_us, now) &&
 	    wk->reported_firsts > firsts)
 		firsts = wk->reported_firsts;
-	w->held = room_held(&known, now);
+	w->held = room_held(&load, now);
 	w->firsts_left = wk->is.slots - firsts;
-	/* A worker at its rate limit has no room for anything. */
+	/* A worker at its rate limit accepts nothing. */
 	if (!thr_may_send(&wk->thr, now)) {
 		w->memory = 0;
 		w->firsts_left = 0;
@@ -368,17 +379,18 @@
 }
 
 /*
- * Routers know each other's load of a moment ago only: without this all of
- * them would send to the one cheapest chain until they hear that it is full.
+ * Returns a random cost factor.  Routers know only a slightly outdated load of
+ * each other; without the variation all of them would send to the one cheapest
+ * chain until they learn that it is full.
  */
-static double eq_noise(struct edge *edge)
+static double eq_random_factor(struct edge *edge)
 {
 	double draw = (double)(edge_random(edge) % 1000) / 1000;
 
-	return 1 + EQ_NOISE * (draw - 0.5);
+	return 1 + EQ_COST_VARIATION * (draw - 0.5);
 }
 
-static struct room_request eq_room(const struct eq *eq)
+static struct room_request eq_room_request(const struct eq *eq)
 {
 	const struct rt_engine *engine = &eq->service->engine;
 
@@ -392,22 +404,24 @@
 }
 
 /*
- * Time in which a worker reads the request's prompt through one layer.  It
- * reads in pieces, a step of the requests that it writes for between them.
+ * Returns the prefill time of the request's prompt through one layer.  A worker
+ * processes the prompt in chunks, with one decode step of its running requests
+ * after each chunk.
  */
-static double eq_read_us(const struct eq *eq, const struct rt_accelerator *kind)
+static double eq_prefill_us(const struct eq *eq,
+			    const struct rt_accelerator *accelerator)
 {
 	const struct rt_engine *engine = &eq->service->engine;
 	int prompt = eq->request.prompt_tokens;
-	double pieces = 0;
+	double chunks = 0;
 	double ms;
 
 	if (prompt <= 0)
 		prompt = engine->usual_prompt;
 	if (engine->prefill_chunk_tokens > 0)
-		pieces = (double)prompt / engine->prefill_chunk_tokens;
+		chunks = (double)prompt / engine->prefill_chunk_tokens;
 	ms = prompt / engine->prefill_tokens_per_s * 1000 *
-	     kind->prefill_factor;
-	ms += pieces * engine->step_ms * kind->step_factor;
+	     accelerator->prefill_factor;
+	ms += chunks * engine->step_ms * accelerator->step_factor;
 	return ms * MAG_US_PER_MS / engine->layers;
 }
--- a/src/eq_repair.c
+++ b/src/eq_repair.c
@@ -9,25 +9,29 @@
 
 /*
  * Load pattern: a worker in the middle of chains dies, and every stream that
- * ran through it stands still.  Sent again from its last event, a stream
- * reads its prompt through all workers of a new chain, beside all the others
- * that do the same; repaired in place, only the worker that is new reads it.
- * The first worker keeps the stream and is told the new chain.
+ * runs through it stalls.  A stream that is sent again from its last event
+ * repeats the prefill of its prompt on all workers of a new chain, at the same
+ * time as all the other affected streams.  If the chain is repaired in place,
+ * only the replacement worker does the prefill.  The first worker retains the
+ * stream and receives the new chain.
  */
 
-/* Repairs of one attempt; a chain that needs more is not worth keeping. */
+/* Repairs of one attempt; a chain that needs more is abandoned. */
 #define EQ_REPAIRS_MAX 3
-/* A first worker that lives takes the order in a few milliseconds. */
+/*
+ * Timeout of the repair order.  A first worker that is alive accepts it within
+ * a few milliseconds.
+ */
 #define EQ_REPAIR_ANSWER_US (60 * MAG_US_PER_MS)
 /*
- * It lives if it passed an event or answered a question so short a time ago:
- * it was asked when its stream had been silent for 100 ms.  Where a whole data
- * centre is cut off, its workers fall silent together, and an order to one of
- * them would be waited for in vain.
+ * The first worker counts as alive if it passed an event or answered a probe
+ * within this time; it was probed when its stream had been silent for 100 ms.
+ * If a whole data centre is cut off, all of its workers fall silent together,
+ * and waiting for one of them to accept an order would be useless.
  */
 #define EQ_REPAIR_ALIVE_US (120 * MAG_US_PER_MS)
 
-/* A repair that the first worker was told of. */
+/* A repair order in progress at the first worker. */
 struct eq_repair {
 	struct eq *eq;
 	struct hc_call *call;
@@ -38,8 +42,8 @@
 static bool eq_repair_headers(void *user, const struct hc_answer *answer);
 static void eq_repair_body(void *user, const void *bytes, size_t len);
 static void eq_repair_end(void *user, enum hc_end end);
-static bool eq_repair_alive(const struct wk *wk, int64_t now);
-static struct evbuffer *eq_repair_message(const struct eq *eq);
+static bool eq_is_first_alive(const struct wk *wk, int64_t now);
+static struct evbuffer *eq_repair_encode(const struct eq *eq);
 static void eq_repair_refused(struct eq *eq, const char *address, int64_t now);
 static void eq_repair_free(struct eq_repair *repair);
 
@@ -50,8 +54,8 @@
 };
 
 /*
- * Replaces a worker behind the first one of a running chain.  Returns false
- * if that is not possible; the request must be sent again then.
+ * Replaces a worker behind the first one of a running chain.  Returns false if
+ * that is not possible; the caller must then send the request again.
  */
 bool eq_repair_start(struct eq *eq, struct wk *fault, int64_t now)
 {
@@ -60,7 +64,7 @@
 
 	if (!eq->call || eq->repair || eq->repairs >= EQ_REPAIRS_MAX ||
 	    !eq->request.attempt_id || eq->hops[0].worker == fault ||
-	    !eq_repair_alive(eq->hops[0].worker, now))
+	    !eq_is_first_alive(eq->hops[0].worker, now))
 		return false;
 	eq_avoid(eq, fault);
 	if (!eq_choose_repair(eq, now))
@@ -74,7 +78,7 @@
 		free(repair);
 		return false;
 	}
-	send.request = eq_repair_message(eq);
+	send.request = eq_repair_encode(eq);
 	send.ops = &eq_repair_ops;
 	send.user = repair;
 	send.connect_by_us = now + EQ_REPAIR_ANSWER_US;
@@ -92,8 +96,10 @@
 	return true;
 }
 
-/* Tells whether a first worker was heard a moment ago and not lost since. */
-static bool eq_repair_alive(const struct wk *wk, int64_t now)
+/*
+ * Tells whether a first worker gave a recent sign of life and is not suspected.
+ */
+static bool eq_is_first_alive(const struct wk *wk, int64_t now)
 {
 	if (wk->unresponsive || wk->on_trial)
 		return false;
@@ -101,7 +107,10 @@
 	       now - wk->reported_us < EQ_REPAIR_ALIVE_US;
 }
 
-/* Forgets a repair; the order may still be carried out, which harms nobody. */
+/*
+ * Abandons a repair.  The worker may still carry out the order, which is
+ * harmless.
+ */
 void eq_repair_cancel(struct eq *eq)
 {
 	if (!eq->repair)
@@ -110,7 +119,7 @@
 	eq->repair = NULL;
 }
 
-static struct evbuffer *eq_repair_message(const struct eq *eq)
+static struct evbuffer *eq_repair_encode(const struct eq *eq)
 {
 	struct wire_hop hops[CHN_HOPS_MAX];
 	char body[PL_ORDER_MAX];
@@ -172,7 +181,10 @@
 	eq_repair_refused(eq, address, now);
 }
 
-/* A worker of the new chain did not stand: another one is tried, or none. */
+/*
+ * Handles a repair that the first worker refused or did not answer: tries again
+ * without the worker at fault, or restarts the stream.
+ */
 static void eq_repair_refused(struct eq *eq, const char *address, int64_t now)
 {
 	struct wk *fault = NULL;
--- a/src/eq_send.c
+++ b/src/eq_send.c
@@ -5,32 +5,34 @@
 #include "eq.h"
 #include "jlog.h"
 
-/* A worker in reach accepts a connection in a few milliseconds. */
+/* Connection timeout.  A reachable worker accepts within a few milliseconds. */
 #define EQ_CONNECT_US (250 * MAG_US_PER_MS)
-/* Sends of one request, refused ones included. */
+/* Sends of one request, including refused ones. */
 #define EQ_SENDS_MAX 6
 /*
- * A request waits for a place only this part of its objective: longer, and
- * it is better served elsewhere or later.
+ * Time that a request waits for a free worker, as a fraction of its route's
+ * latency target.  After that, another router or a later retry serves it
+ * better.
  */
-#define EQ_WAIT_SHARE 0.5
+#define EQ_WAIT_FRACTION 0.5
 /*
- * A request that is late already waits this long: its caller would only come
- * back later still, and leaves a stream without a first event after 2 s.
+ * Waiting time of a request that is already late.  Its caller would otherwise
+ * only retry even later, and it abandons a stream without a first event after 2
+ * s.
  */
 #define EQ_LATE_WAIT_US (1200 * MAG_US_PER_MS)
-/* Requests beyond a plain worker's slots that it may queue for us. */
+/* Requests that a plain worker may queue beyond its slots. */
 #define EQ_PLAIN_QUEUE 3
-/* How much a worker in another data centre must be better. */
-#define EQ_PLAIN_AWAY 1.3
+/* Cost factor of a worker in another data centre. */
+#define EQ_PLAIN_REMOTE 1.3
 
 static enum eq_choice eq_choose_plain(struct eq *eq, int64_t now);
 static double eq_plain_cost(const struct eq *eq, const struct wk *wk);
 static void eq_send(struct eq *eq, int64_t now);
-static void eq_not_placed(struct eq *eq, enum eq_choice choice, int64_t now);
-static struct evbuffer *eq_message(struct eq *eq, int64_t now);
+static void eq_on_unplaced(struct eq *eq, enum eq_choice choice, int64_t now);
+static struct evbuffer *eq_encode(struct eq *eq, int64_t now);
 
-/* Finds a place for a request and sends it, or lets it wait, or ends it. */
+/* Places a request at a worker and sends it, leaves it waiting, or ends it. */
 void eq_dispatch(struct eq *eq, int64_t now)
 {
 	enum eq_choice choice;
@@ -44,13 +46,13 @@
 	else
 		choice = eq_choose_plain(eq, now);
 	if (choice != EQ_CHOSEN) {
-		eq_not_placed(eq, choice, now);
+		eq_on_unplaced(eq, choice, now);
 		return;
 	}
 	eq_send(eq, now);
 }
 
-/* Gives places and memory of the last attempt back, and its repair up. */
+/* Releases places and memory of the last attempt and abandons its repair. */
 void eq_release(struct eq *eq)
 {
 	int i;
@@ -77,7 +79,7 @@
 	return false;
 }
 
-/* Keeps the next attempts of a request off a worker. */
+/* Excludes a worker from further attempts of a request. */
 void eq_avoid(struct eq *eq, const struct wk *wk)
 {
 	if (eq->avoid_count == EQ_AVOID_MAX || eq_avoids(eq, wk))
@@ -88,8 +90,8 @@
 }
 
 /*
- * Remembers a request as one that may have crashed a worker of its chain,
- * unless that worker was silent before the request came there.
+ * Records a request that may have crashed a worker of its chain, unless that
+ * worker had fallen silent before the request reached it.
  */
 void eq_add_crash_candidate(struct eq *eq, struct wk *wk, int64_t now)
 {
@@ -97,7 +99,7 @@
 	const struct eq_hop *hop = eq_find_hop(eq, wk);
 	bool others = false;
 
-	/* Of plain workers it is not known when they were heard last. */
+	/* For plain workers the time of the last sign of life is unknown. */
 	if (eq->service->has_engine && hop)
 		others = wk->firsts > (hop == eq->hops) || wk->held > hop->held;
 	if (eq->repaired_us > began_us)
@@ -106,29 +108,34 @@
 		wk_add_victim(wk, eq->fingerprint, now);
 }
 
-/* Waits while that can help, else ends the request at once. */
-static void eq_not_placed(struct eq *eq, enum eq_choice choice, int64_t now)
+/* Leaves an unplaced request waiting while that can help, else ends it. */
+static void eq_on_unplaced(struct eq *eq, enum eq_choice choice, int64_t now)
 {
-	int64_t patience =
-		(int64_t)((double)eq->route->target_us * EQ_WAIT_SHARE);
+	int64_t max_wait_us =
+		(int64_t)((double)eq->route->target_us * EQ_WAIT_FRACTION);
 
 	if (eq->service->has_engine && eq->arrived_us >= eq->target_deadline_us)
-		patience = EQ_LATE_WAIT_US;
+		max_wait_us = EQ_LATE_WAIT_US;
 	if (eq->state == EQ_STREAMING) {
-		/* It began: the caller waits until the pause is too long. */
+		/*
+		 * The stream has begun: it may resume until the pause is too
+		 * long.
+		 */
 		if (now - eq->progress_us > 1500 * MAG_US_PER_MS)
 			eq_fail(eq, 502, "no chain to go on");
 		return;
 	}
 	if (!eq->wait_until_us)
-		eq->wait_until_us = now + patience;
+		eq->wait_until_us = now + max_wait_us;
 	if (now < eq->wait_until_us && eq->sends < EQ_SENDS_MAX)
 		return;
 	eq_refuse(eq, 503, EQ_RETRY_LATER,
 		  choice == EQ_BUSY ? "all workers busy" : "no worker");
 }
 
-/* Takes the worker of a plain service that should answer first. */
+/*
+ * Chooses the worker of a plain service with the lowest expected answer time.
+ */
 static enum eq_choice eq_choose_plain(struct eq *eq, int64_t now)
 {
 	struct wk *best = NULL;
@@ -138,7 +145,7 @@
 	int pass;
 	struct wk *wk;
 
-	/* Workers under suspicion are better than none. */
+	/* Suspected workers are used only if there are no others. */
 	for (pass = 0; pass < 2 && !best; pass++) {
 		cds_list_for_each_entry (wk, &eq->edge->workers.workers, node) {
 			if (strcmp(wk->is.service, eq->service->name) != 0 ||
@@ -164,7 +171,10 @@
 	return EQ_CHOSEN;
 }
 
-/* Expected time of an answer, in units of a free worker's. */
+/*
+ * Returns the expected answer time at a worker.  A worker without known answer
+ * times counts as 50 ms.
+ */
 static double eq_plain_cost(const struct eq *eq, const struct wk *wk)
 {
 	int running = wk->firsts + wk->peer_firsts;
@@ -174,10 +184,10 @@
 		cost *= (double)(running + 1) / (wk->is.slots + 1) + 1;
 	else
 		cost *= 1 + (double)running / (wk->is.slots + 1);
-	/* Each failure costs another try, or the caller its answer. */
+	/* A failure costs another attempt, or the caller its answer. */
 	cost *= 1 + 5 * wk->fail_share;
 	if (strcmp(wk->is.data_centre, eq->edge->set.data_centre) != 0)
-		cost *= EQ_PLAIN_AWAY;
+		cost *= EQ_PLAIN_REMOTE;
 	return cost;
 }
 
@@ -215,14 +225,14 @@
 	if (eq->state == EQ_WAITING)
 		eq->state = EQ_SENT;
 	evs_reset(&eq->events);
-	send.request = eq_message(eq, now);
+	send.request = eq_encode(eq, now);
 	send.ops = &eq_ops;
 	send.user = eq;
 	send.connect_by_us = now + EQ_CONNECT_US;
 	send.deadline_us = MAG_NEVER;
 	/*
-	 * A worker may close an idle connection while a request is on its
-	 * way; nobody could tell then whether it ran.
+	 * A worker may close an idle connection while a request is in transit;
+	 * it would then be unknown whether the request ran.
 	 */
 	send.fresh = eq->route->kind == RT_NON_IDEMPOTENT;
 	send.head = strcmp(hs_method(eq->caller), "HEAD") == 0;
@@ -247,8 +257,8 @@
 		thr_sent(&eq->hops[i].worker->thr, now);
 }
 
-/* Makes the message to the first worker. */
-static struct evbuffer *eq_message(struct eq *eq, int64_t now)
+/* Encodes the message to the first worker. */
+static struct evbuffer *eq_encode(struct eq *eq, int64_t now)
 {
 	struct pl_outgoing out = { 0 };
 	struct wire_hop hops[CHN_HOPS_MAX];
--- a/src/eq_stall.c
+++ b/src/eq_stall.c
@@ -7,39 +7,50 @@
 #include "wkp.h"
 
 /*
- * Load pattern: a worker in the middle of a chain dies or falls silent, and
- * the first worker, which is well, waits for it for seconds.  A pause longer
- * than its route allows makes a stream late, and callers leave after two
- * seconds of silence, so the silence itself is the sign: after this part of
- * the pause its workers are asked (ask.c), which leaves time to begin anew.
+ * Load pattern: a worker in the middle of a chain dies or falls silent, and the
+ * healthy first worker waits for it for seconds.  A pause longer than the route
+ * allows makes a stream late, and callers leave after two seconds of silence.
+ * The silence itself is therefore the sign: after this fraction of the allowed
+ * pause the workers of the stream are probed (ask.c), which leaves time to
+ * restart the stream.
  */
-#define EQ_QUIET_SHARE 0.4
-/* The same where a route does not say which pause it allows. */
-#define EQ_QUIET_US (100 * MAG_US_PER_MS)
+#define EQ_SILENCE_FRACTION 0.4
+/* The same limit for a route that does not specify the allowed pause. */
+#define EQ_SILENCE_DEFAULT_US (100 * MAG_US_PER_MS)
 /*
- * A worker that does not answer questions, or that a peer found dead, is as
- * good as lost: what it should have passed for this long is moved.
+ * A worker that does not answer probes, or that a peer found dead, counts as
+ * lost: streams that it has not passed on for this long are moved.
  */
-#define EQ_SUSPECT_QUIET_US (60 * MAG_US_PER_MS)
-/* A first event, or the first one after a move, comes after 100 ms. */
-#define EQ_FIRST_QUIET_US (200 * MAG_US_PER_MS)
-/* Silent although its workers pass others' events: the first one knows why. */
-#define EQ_SILENCE_US (350 * MAG_US_PER_MS)
-/* Second sends that are kept for requests that cannot be repaired. */
-#define EQ_BUDGET_KEPT 12
-/* On slow engines a stream is silent after so many times its own pace. */
-#define EQ_QUIET_PACES 2
-static bool eq_on_chain(const struct eq *eq);
-static bool eq_waits_for(const struct eq *eq, const struct wk *wk, int64_t now);
-static struct wk *eq_lost_hop(const struct eq *eq, int64_t now);
-static void eq_ask(struct eq *eq, int64_t now);
-static int64_t eq_quiet_limit(const struct eq *eq);
+#define EQ_SUSPECT_SILENCE_US (60 * MAG_US_PER_MS)
+/*
+ * Silence limit for the first event, and for the first one after a move, which
+ * normally arrives after 100 ms.
+ */
+#define EQ_FIRST_EVENT_SILENCE_US (200 * MAG_US_PER_MS)
+/*
+ * A stream that is silent this long although its workers pass events of other
+ * streams: its first worker is probed, because it knows the cause.
+ */
+#define EQ_LONG_SILENCE_US (350 * MAG_US_PER_MS)
+/* Retries that are left in the budget for requests that cannot be repaired. */
+#define EQ_RETRIES_RESERVED 12
+/*
+ * On slow engines a stream counts as silent after this many of its own event
+ * intervals.
+ */
+#define EQ_SILENCE_INTERVALS 2
+static bool eq_runs_on_chain(const struct eq *eq);
+static bool eq_is_stalled_at(const struct eq *eq, const struct wk *wk,
+			     int64_t now);
+static struct wk *eq_find_lost_worker(const struct eq *eq, int64_t now);
+static void eq_probe(struct eq *eq, int64_t now);
+static int64_t eq_silence_limit(const struct eq *eq);
 static int64_t eq_silence(const struct eq *eq, int64_t now);
 static void eq_move(struct eq *eq, struct wk *fault, const char *why);
-static bool eq_may_begin_anew(struct eq *eq, int64_t now);
+static bool eq_may_restart(struct eq *eq, int64_t now);
 static struct eq *eq_by_id(struct edge *edge, const char *attempt_id);
 
-/* Asks the workers of streams that have fallen silent. */
+/* Moves streams off lost workers and probes the workers of silent streams. */
 void eq_stall_tick(struct edge *edge, int64_t now)
 {
 	struct eq *next;
@@ -47,19 +58,19 @@
 	struct wk *lost;
 
 	cds_list_for_each_entry_safe (eq, next, &edge->requests, node) {
-		if (!eq_on_chain(eq))
+		if (!eq_runs_on_chain(eq))
 			continue;
-		lost = eq_lost_hop(eq, now);
+		lost = eq_find_lost_worker(eq, now);
 		if (lost) {
 			eq_move(eq, lost, "on a suspected worker");
 			continue;
 		}
 		if (now - eq->probed_us >= ASK_INTERVAL_US)
-			eq_ask(eq, now);
+			eq_probe(eq, now);
 	}
 }
 
-/* An event came through all workers of a chain. */
+/* Notes that an event has come through all workers of the chain. */
 void eq_on_progress(struct eq *eq, int64_t now)
 {
 	int i;
@@ -70,8 +81,8 @@
 	}
 }
 
-/* Returns a worker of a chain that is taken for lost, or NULL. */
-static struct wk *eq_lost_hop(const struct eq *eq, int64_t now)
+/* Returns a worker of the chain that is lost and delays the stream, or NULL. */
+static struct wk *eq_find_lost_worker(const struct eq *eq, int64_t now)
 {
 	struct wk *wk;
 	int i;
@@ -79,30 +90,31 @@
 	for (i = 0; i < eq->hop_count; i++) {
 		wk = eq->hops[i].worker;
 		if ((wk->unresponsive || wk->on_trial) &&
-		    eq_waits_for(eq, wk, now))
+		    eq_is_stalled_at(eq, wk, now))
 			return wk;
 	}
 	return NULL;
 }
 
-/* Tells whether a stream is with a chain that nobody repairs just now. */
-static bool eq_on_chain(const struct eq *eq)
+/* Tells whether a stream runs on a chain that is not under repair. */
+static bool eq_runs_on_chain(const struct eq *eq)
 {
 	return eq->call && !eq->repair && eq->service->has_engine;
 }
 
-/* Tells whether a stream, and all else through a worker, stands still. */
-static bool eq_waits_for(const struct eq *eq, const struct wk *wk, int64_t now)
+/* Tells whether a stream is silent and no other stream passes the worker. */
+static bool eq_is_stalled_at(const struct eq *eq, const struct wk *wk,
+			     int64_t now)
 {
-	return eq_silence(eq, now) >= EQ_SUSPECT_QUIET_US &&
-	       now - wk->passed_us >= EQ_SUSPECT_QUIET_US;
+	return eq_silence(eq, now) >= EQ_SUSPECT_SILENCE_US &&
+	       now - wk->passed_us >= EQ_SUSPECT_SILENCE_US;
 }
 
-/* Asks the workers of a stream that may be dead, stuck or slow. */
-static void eq_ask(struct eq *eq, int64_t now)
+/* Probes those workers of a stream that may be dead, stuck or slow. */
+static void eq_probe(struct eq *eq, int64_t now)
 {
 	struct ask_stream stream = { eq->sent_us, now - eq_silence(eq, now),
-				     eq_quiet_limit(eq),
+				     eq_silence_limit(eq),
 				     eq->first_event_us != 0 };
 	struct ask_worker worker;
 	enum ask_reason why;
@@ -120,29 +132,32 @@
 		wk->quiet_asks += why == ASK_SILENT;
 		wkp_ask(eq->edge, wk, now);
 	}
-	if (eq_silence(eq, now) < EQ_SILENCE_US)
+	if (eq_silence(eq, now) < EQ_LONG_SILENCE_US)
 		return;
 	eq->probed_us = now;
 	wkp_ask(eq->edge, eq->hops[0].worker, now);
 }
 
-/* Returns how long a stream is silent before its workers are asked. */
-static int64_t eq_quiet_limit(const struct eq *eq)
+/* Returns the silence after which the workers of a stream are probed. */
+static int64_t eq_silence_limit(const struct eq *eq)
 {
-	int64_t quiet_us = EQ_QUIET_US;
+	int64_t silence_us = EQ_SILENCE_DEFAULT_US;
 
 	if (eq->route->max_gap_us > 0)
-		quiet_us = (int64_t)((double)eq->route->max_gap_us *
-				     EQ_QUIET_SHARE);
+		silence_us = (int64_t)((double)eq->route->max_gap_us *
+				       EQ_SILENCE_FRACTION);
 	if (eq->state != EQ_STREAMING || !eq->answered ||
 	    eq->repaired_us > eq->progress_us)
-		return EQ_FIRST_QUIET_US;
-	if (eq->event_interval_us * EQ_QUIET_PACES > quiet_us)
-		return eq->event_interval_us * EQ_QUIET_PACES;
-	return quiet_us;
+		return EQ_FIRST_EVENT_SILENCE_US;
+	if (eq->event_interval_us * EQ_SILENCE_INTERVALS > silence_us)
+		return eq->event_interval_us * EQ_SILENCE_INTERVALS;
+	return silence_us;
 }
 
-/* A first worker has said which of its requests wait, and for whom. */
+/*
+ * Handles a first worker's report of its stalled requests, each with the worker
+ * that it waits for.
+ */
 void eq_on_report(struct edge *edge, struct wk *wk,
 		  const struct wire_report *report, int64_t now)
 {
@@ -159,8 +174,8 @@
 		if (fault != wk)
 			wk_suspect(fault, now, "streams wait for it");
 		eq = eq_by_id(edge, stalled->attempt_id);
-		if (!eq || !eq_on_chain(eq) || !eq_find_hop(eq, fault) ||
-		    eq_silence(eq, now) < EQ_QUIET_US)
+		if (!eq || !eq_runs_on_chain(eq) || !eq_find_hop(eq, fault) ||
+		    eq_silence(eq, now) < EQ_SILENCE_DEFAULT_US)
 			continue;
 		eq_move(eq, fault, "stalled at a worker");
 	}
@@ -170,15 +185,15 @@
 	}
 }
 
-/* Moves the streams that a suspect keeps silent. */
+/* Moves the silent streams off a suspect worker. */
 void eq_on_suspect(struct edge *edge, struct wk *wk, int64_t now)
 {
 	struct eq *eq;
 	struct eq *next;
 
 	cds_list_for_each_entry_safe (eq, next, &edge->requests, node) {
-		if (!eq_on_chain(eq) || !eq_find_hop(eq, wk) ||
-		    !eq_waits_for(eq, wk, now))
+		if (!eq_runs_on_chain(eq) || !eq_find_hop(eq, wk) ||
+		    !eq_is_stalled_at(eq, wk, now))
 			continue;
 		eq_move(eq, wk, "on a suspected worker");
 	}
@@ -195,7 +210,10 @@
 	return now - since;
 }
 
-/* Takes a stream off its chain to go on at another one, or repairs that. */
+/*
+ * Moves a stream off a faulty worker: restarts it on another chain, or repairs
+ * its chain.
+ */
 static void eq_move(struct eq *eq, struct wk *fault, const char *why)
 {
 	int64_t now = clk_boot_us();
@@ -203,29 +221,30 @@
 	met_add(&eq->edge->met, MET_STALLS);
 	eq_add_crash_candidate(eq, fault, now);
 	eq_avoid(eq, fault);
-	if (!eq_may_begin_anew(eq, now) && eq_repair_start(eq, fault, now))
+	if (!eq_may_restart(eq, now) && eq_repair_start(eq, fault, now))
 		return;
 	eq_restart(eq, why);
 }
 
 /*
- * Tells whether a stream may begin anew on another chain and leave enough
- * second sends to others.  In a repaired chain it waits for the workers that
- * stay as well as for the new one, which all of its kind wait for.
+ * Tells whether a stream may restart on another chain and leave enough retries
+ * in the budget for others.  In a repaired chain the stream would wait for the
+ * remaining workers and for the replacement, which all streams under repair
+ * wait for.
  */
-static bool eq_may_begin_anew(struct eq *eq, int64_t now)
+static bool eq_may_restart(struct eq *eq, int64_t now)
 {
 	struct bud *bud = edge_budget(eq->edge, eq->service->name, now);
 
 	return eq->runs + 1 < eq->route->max_attempts &&
-	       bud_left(bud, now) > EQ_BUDGET_KEPT;
+	       bud_left(bud, now) > EQ_RETRIES_RESERVED;
 }
 
 /*
- * Takes a stream off its chain; another one goes on where it stopped.  What
- * ran there counts against the runs that the route allows even if its first
- * worker seems dead: silence proves no death, and a stream of a worker that
- * was only slow to answer would run on three.
+ * Cancels a stream's attempt; another chain continues after the last event.
+ * The run counts against the route's limit on runs even if its first worker
+ * seems dead: silence does not prove death, and a stream whose worker was only
+ * slow to answer would otherwise run on three.
  */
 void eq_restart(struct eq *eq, const char *why)
 {
