--- a/src/edge.c
+++ b/src/edge.c
@@ -4,17 +4,17 @@
 #include "edge.h"
 #include "jlog.h"
 
-/* Part of its slack that a router has at its start. */
-#define EDGE_SLACK_AT_START 0.25
+/* Fraction of its retry slack that a router has at its start. */
+#define EDGE_INITIAL_SLACK 0.25
 /*
- * A router without any chain counts as not ready after this: longer than a
- * worker is held off for one refusal, shorter than a restart.
+ * A router without a chain counts as not ready after this: longer than a worker
+ * is excluded after one refusal, shorter than a restart.
  */
-#define EDGE_CHAINLESS_US (600 * MAG_US_PER_MS)
-/* Part of a pipe between data centres that streams may take together. */
-#define EDGE_PIPE_SHARE 0.5
+#define EDGE_UNCOVERED_US (600 * MAG_US_PER_MS)
+/* Fraction of a link between data centres that all streams together may use. */
+#define EDGE_LINK_FRACTION 0.5
 
-/* Returns the number of a data centre, a new one for a new name. */
+/* Returns the index of a data centre, adding a new name to the table. */
 int edge_data_centre_index(struct edge *edge, const char *name)
 {
 	int i;
@@ -31,30 +31,30 @@
 }
 
 /*
- * Returns the budget of second sends to a service.  This instance's part of
- * the slack is what divides it over the most instances seen so far, and half
- * as many again that may have just come.  A process that has just started
- * has little slack: its predecessor may have spent it in the same window, and
- * routers that are restarted in turn would each spend it anew.
+ * Returns the retry budget of a service.  This instance's part of the slack is
+ * the total divided by one and a half times the most instances seen so far,
+ * plus one, to allow for instances that have just started.  A process that has
+ * just started has little slack: its predecessor may have spent its part in the
+ * same window, and routers restarted in turn would each spend it again.
  */
 struct bud *edge_budget(struct edge *edge, const char *service, int64_t now)
 {
 	int routers = 1 + pres_peer_count(edge->pres);
 	double slack;
-	double share;
+	double fraction;
 	struct edge_budget *budget;
 	int i;
 
 	if (routers > edge->max_routers_seen)
 		edge->max_routers_seen = routers;
-	share = (double)(now - edge->started_us) /
-			(double)edge->set.retry_window_us -
-		1;
-	if (share > 1 || edge->set.first_start)
-		share = 1;
-	if (share < EDGE_SLACK_AT_START)
-		share = EDGE_SLACK_AT_START;
-	slack = share * edge->set.retry_slack /
+	fraction = (double)(now - edge->started_us) /
+			   (double)edge->set.retry_window_us -
+		   1;
+	if (fraction > 1 || edge->set.first_start)
+		fraction = 1;
+	if (fraction < EDGE_INITIAL_SLACK)
+		fraction = EDGE_INITIAL_SLACK;
+	slack = fraction * edge->set.retry_slack /
 		(edge->max_routers_seen * 1.5 + 1);
 	for (i = 0; i < edge->budget_count; i++) {
 		if (strcmp(edge->budgets[i].service, service) == 0)
@@ -75,19 +75,20 @@
 }
 
 /*
- * Tells whether a chain may lead through two data centres now.
+ * Tells whether a chain may cross between two data centres now.
  *
- * Load pattern: layers are lost, every router finds chains through another
- * data centre, and the one pipe between the two takes all of their prompts,
- * one after the other.  Beyond its capacity every stream on it stands still
- * until its caller leaves, and is sent again.  Each router therefore keeps to
- * its part of half a pipe; what does not fit is refused at once.
+ * Load pattern: layers are lost, every router finds chains through another data
+ * centre, and the one link between the two carries all of their prompts, one
+ * after the other.  Beyond its capacity every stream on it stalls until its
+ * caller leaves and the stream is sent again.  Each router therefore uses at
+ * most its part of half of the link's capacity; requests that do not fit are
+ * refused at once.
  */
 bool edge_may_cross_data_centres(struct edge *edge,
 				 const struct rt_engine *engine, int64_t now)
 {
 	double bytes_per_s =
-		engine->link_mbps * 1e6 / 8 * EDGE_PIPE_SHARE /
+		engine->link_mbps * 1e6 / 8 * EDGE_LINK_FRACTION /
 		(edge->max_routers_seen > 0 ? edge->max_routers_seen : 1);
 
 	edge->crossing_budget_bytes +=
@@ -100,8 +101,8 @@
 }
 
 /*
- * Returns how many routers a data centre has, if they are spread evenly:
- * those that meet the same fault at the same moment.
+ * Returns the number of routers in a data centre, assuming an even
+ * distribution.  These routers react to the same fault at the same moment.
  */
 int edge_routers_per_data_centre(const struct edge *edge)
 {
@@ -113,7 +114,7 @@
 	return routers;
 }
 
-/* Draws a number for choices and spreads, not for secrets. */
+/* Returns a random number; not for secrets. */
 uint64_t edge_random(struct edge *edge)
 {
 	return mag_random(&edge->seed);
@@ -121,9 +122,9 @@
 
 /*
  * Tells whether there is a configuration to serve by.  A router that starts
- * after the store came back from a copy may read an older one than is in
- * force: it waits for the word of its peers, and for the operator to write
- * again what they name.
+ * after the store was restored from a backup may read an older configuration
+ * than the one in force.  It waits for the reports of its peers, and for the
+ * operator to write the version that they report again.
  */
 bool edge_has_config(const struct edge *edge, int64_t now)
 {
@@ -137,10 +138,10 @@
 }
 
 /*
- * Tells whether this router should get callers.  One that is cut off from the
- * store cannot check keys much longer, and one that reaches no whole copy of
- * the model can run no stream: callers are better served by others, if there
- * are any.
+ * Tells whether this router should receive callers.  A router that is cut off
+ * from the store can soon no longer check keys, and one that reaches no
+ * complete copy of the model cannot run streams: other routers, if there are
+ * any, serve its callers better.
  */
 bool edge_is_ready(const struct edge *edge, int64_t now)
 {
@@ -148,7 +149,7 @@
 	    edge->stopping)
 		return false;
 	if (edge->was_covered && edge->uncovered_since_us &&
-	    now - edge->uncovered_since_us > EDGE_CHAINLESS_US)
+	    now - edge->uncovered_since_us > EDGE_UNCOVERED_US)
 		return false;
 	return !edge->rt->has_accounts || !edge->set.keys_fail_closed ||
 	       !attest_soon_untrusted(&edge->attest, edge->set.keys_stale_us,
--- a/src/edge.h
+++ b/src/edge.h
@@ -1,7 +1,10 @@
 #ifndef EDGE_H
 #define EDGE_H
 
-/* One router on a platform: what its modules share.  One thread owns it. */
+/*
+ * State of one router on a platform that its modules share.  Only the thread of
+ * the event loop accesses it.
+ */
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -25,22 +28,22 @@
 
 #define EDGE_DATA_CENTRES_MAX 32
 #define EDGE_BUDGETS_MAX      32
-#define EDGE_SERVICES_MAX     32 /* with engines that are placed */
+#define EDGE_SERVICES_MAX     32 /* services with engines that are placed */
 
-/* Budget of second sends to a service; kept when the configuration changes. */
+/* Retry budget of a service; survives changes of the configuration. */
 struct edge_budget {
 	char service[MAG_NAME_MAX];
 	struct bud bud;
 };
 
-/* What the placer remembers from tick to tick. */
+/* State of the placer between ticks. */
 struct edge_placer {
-	/* By service: some data centre lacks layers since then; 0: none. */
+	/* Per service: since when a data centre lacks layers; 0: none does. */
 	int64_t coverage_gap_since_us[EDGE_SERVICES_MAX];
-	/* By service: when a card may be moved next. */
+	/* Per service: when an accelerator may be reassigned next. */
 	int64_t next_balance_us[EDGE_SERVICES_MAX];
-	int64_t next_coverage_log_us; /* when the cover is logged next */
-	int64_t next_plan_us;	      /* when it plans next */
+	int64_t next_coverage_log_us;
+	int64_t next_plan_us;
 };
 
 struct edge {
@@ -58,26 +61,25 @@
 	struct quar *quar;
 	struct edge_placer placer;
 
-	struct rt_set *rt;	     /* NULL until the first configuration */
-	struct attest attest;	     /* how old it may be */
-	struct era era;		     /* since the store came back from a copy */
-	int64_t newest_peer_version; /* of those that peers have named */
-	int64_t store_version;	     /* that the store has */
+	struct rt_set *rt;    /* configuration; NULL until the first one */
+	struct attest attest; /* how long the configuration may be trusted */
+	struct era era;	      /* recovery after a restore of the store */
+	int64_t newest_peer_version; /* of the configuration, from peers */
+	int64_t store_version;	     /* of the configuration there */
 	bool workers_listed;
 	bool store_reachable;
-	int64_t store_regained_us; /* when the store was last regained */
+	int64_t store_regained_us; /* reachable again; 0: never lost */
 
 	char data_centres[EDGE_DATA_CENTRES_MAX][MAG_NAME_MAX];
 	int data_centre_count;
 	struct edge_budget budgets[EDGE_BUDGETS_MAX];
 	int budget_count;
 	struct age caller_ages;
-	int max_routers_seen; /* routers seen at once, this one included */
+	int max_routers_seen; /* at one time, this one included */
 	int64_t started_us;
 
-	double crossing_budget_bytes; /* that may still cross between data
-					 centres */
-	int64_t crossing_budget_us;   /* when that was counted */
+	double crossing_budget_bytes; /* may still cross between data centres */
+	int64_t crossing_budget_us;   /* when it was last refilled */
 
 	struct cds_list_head requests; /* of struct eq, by arrival */
 	int request_count;
@@ -85,14 +87,13 @@
 
 	bool stopping;
 	int64_t stop_by_us;
-	int64_t last_tick_us;	   /* the last tick */
-	int64_t last_late_tick_us; /* the loop was late then: answers lay unread
-				    */
-	int64_t next_wait_retry_us; /* when waiting requests are tried next */
-	int64_t next_coverage_check_us; /* when chains are looked for next */
-	int64_t uncovered_since_us; /* no chain has led through all layers since
-				     */
-	bool was_covered;	    /* one did, at some time */
+	int64_t last_tick_us;
+	int64_t last_late_tick_us;  /* answers may have been unread then */
+	int64_t next_wait_retry_us; /* of requests without a worker */
+	int64_t next_coverage_check_us;
+	/* Since when no chain covers all layers; 0: one does. */
+	int64_t uncovered_since_us;
+	bool was_covered; /* a chain has covered all layers before */
 
 	int64_t stopped_us;
 	struct met met;
--- a/src/edge_follow.c
+++ b/src/edge_follow.c
@@ -9,55 +9,61 @@
 #include "pl_worker.h"
 
 /*
- * A watch is answered after this at the latest.  Each one that comes back is
- * paid for; that a watch has fallen silent shows by what peers were told.
+ * Timeout of a watch at the store.  Each watch that returns is a billed call.
+ * A watch that has fallen silent is detected through what peers report.
  */
 #define EDGE_WATCH_MS 10000
-/* What is known of the store goes to peers at once if younger by so much. */
+/*
+ * If the time at which the configuration was confirmed as current advances by
+ * at least this, peers are told at once.
+ */
 #define EDGE_ANNOUNCE_US (200 * MAG_US_PER_MS)
-/* Entries that lapsed in an outage of the store are back by then. */
-#define EDGE_LAPSED_US (1700 * MAG_US_PER_MS)
 /*
- * A worker resets connections beyond its bound, which all routers share.
- * Each takes its part of four fifths of it; until the others are seen, the
- * part is that of four routers.
+ * Entries that expired during an outage of the store are written again within
+ * this time of its return.
  */
-#define EDGE_CONNECTIONS_SHARE 0.8
-#define EDGE_ROUTERS_LEAST     4
-#define EDGE_CONNECTIONS_LEAST 2
-#define EDGE_WHY_MAX	       256
+#define EDGE_REWRITE_US (1700 * MAG_US_PER_MS)
+/*
+ * A worker resets connections beyond its limit, which all routers share.  Each
+ * router uses its part of four fifths of that limit; until other routers are
+ * seen, the part is that of one of four routers.
+ */
+#define EDGE_CONNECTIONS_FRACTION 0.8
+#define EDGE_MIN_ROUTERS	  4
+#define EDGE_MIN_CONNECTIONS	  2
+#define EDGE_WHY_MAX		  256
 
-static void edge_begin(void *user);
-static void edge_item(void *user, const struct wire_item *item);
-static void edge_end(void *user);
-static void edge_fresh(void *user, int64_t sent_us);
-static void edge_config_item(struct edge *edge, const struct wire_item *item);
-static void edge_worker_item(struct edge *edge, const struct wire_item *item);
-static int edge_connections(const struct edge *edge,
-			    const struct rt_service *service);
-static void edge_returned(void *user);
-static void edge_settle(struct edge *edge);
-static void edge_log_settled(struct edge *edge, int64_t now);
-static void edge_reachable(void *user, bool reachable);
+static void edge_list_begin(void *user);
+static void edge_on_entry(void *user, const struct wire_item *item);
+static void edge_list_end(void *user);
+static void edge_on_fresh(void *user, int64_t sent_us);
+static void edge_apply_config(struct edge *edge, const struct wire_item *item);
+static void edge_apply_worker(struct edge *edge, const struct wire_item *item);
+static int edge_max_connections(const struct edge *edge,
+				const struct rt_service *service);
+static void edge_on_store_restored(void *user);
+static void edge_end_recovery(struct edge *edge);
+static void edge_log_recovery(struct edge *edge, int64_t now);
+static void edge_on_reachable(void *user, bool reachable);
 static int64_t edge_gone_us(const struct edge *edge, int64_t now);
 
 static const struct sto_follow_ops edge_ops = {
-	.begin = edge_begin,
-	.item = edge_item,
-	.end = edge_end,
-	.fresh = edge_fresh,
-	.returned = edge_returned,
-	.reachable = edge_reachable,
+	.begin = edge_list_begin,
+	.item = edge_on_entry,
+	.end = edge_list_end,
+	.fresh = edge_on_fresh,
+	.returned = edge_on_store_restored,
+	.reachable = edge_on_reachable,
 };
 
 /*
- * Follows all that the store holds by one watch: configuration, workers and
- * routers.  A watch for each would cost as many calls each time that one
- * comes back, and calls are paid for.
+ * Follows everything in the store with a single watch: configuration, workers
+ * and routers.  Separate watches would each cost a call whenever one returns,
+ * and calls are billed.
  */
 int edge_follow(struct edge *edge)
 {
-	struct sto_follow_settings all = {
+	struct sto_follow_settings settings = {
 		"",
 		EDGE_WATCH_MS,
 		attest_gather_us(edge->set.config_apply_us, edge->set.drain_us),
@@ -67,28 +73,28 @@
 	};
 
 	edge->store_reachable = true;
-	if (sto_follow(edge->sto, &all, &edge->follow)) {
+	if (sto_follow(edge->sto, &settings, &edge->follow)) {
 		jlog(LOG_START_FAILED, "\"why\":\"out of memory\"");
 		return -1;
 	}
 	return 0;
 }
 
-/* Goes on with the follower, and asks the store where nobody else did. */
+/* Runs the follower and queries the store if no other router has done so. */
 void edge_follow_tick(struct edge *edge, int64_t now)
 {
 	int routers = 1 + pres_peer_count(edge->pres);
 
 	sto_follow_retry(edge->follow, attest_retry_us(routers));
 	if (era_ends(&edge->era, now))
-		edge_settle(edge);
+		edge_end_recovery(edge);
 	sto_tick(edge->sto, now);
 	if (attest_is_time_to_ask(&edge->attest, routers, now))
 		sto_follow_ask(edge->follow);
 }
 
-/* A whole list of the store's keys begins. */
-static void edge_begin(void *user)
+/* Called when a complete listing of the store's keys begins. */
+static void edge_list_begin(void *user)
 {
 	struct edge *edge = user;
 
@@ -96,36 +102,37 @@
 	pres_begin(edge->pres);
 }
 
-/* Hands a key to the module that it belongs to. */
-static void edge_item(void *user, const struct wire_item *item)
+/* Passes an entry to the module that its key belongs to. */
+static void edge_on_entry(void *user, const struct wire_item *item)
 {
 	struct edge *edge = user;
 
 	if (strcmp(item->key, PL_CONFIG_KEY) == 0)
-		edge_config_item(edge, item);
+		edge_apply_config(edge, item);
 	else if (strncmp(item->key, PL_WORKERS, strlen(PL_WORKERS)) == 0)
-		edge_worker_item(edge, item);
+		edge_apply_worker(edge, item);
 	else if (strncmp(item->key, PRES_PREFIX, strlen(PRES_PREFIX)) == 0)
 		pres_item(edge->pres, item);
 }
 
-static void edge_end(void *user)
+static void edge_list_end(void *user)
 {
 	struct edge *edge = user;
 	int64_t now = clk_boot_us();
 
 	if (era_settled(&edge->era))
-		edge_log_settled(edge, now);
+		edge_log_recovery(edge, now);
 	wk_list_end(&edge->workers, edge_gone_us(edge, now), now);
 	edge->workers_listed = true;
 	pres_end(edge->pres);
 }
 
 /*
- * All that was reported was the newest when the call was sent, unless the store
- * has just come back from a copy, or a peer has a newer configuration.
+ * Called when all entries up to a call sent at sent_us have been reported: they
+ * were current then, unless the store was just restored from an older backup or
+ * a peer knows a newer configuration.
  */
-static void edge_fresh(void *user, int64_t sent_us)
+static void edge_on_fresh(void *user, int64_t sent_us)
 {
 	struct edge *edge = user;
 	int64_t before_us = edge->attest.fresh_us;
@@ -139,8 +146,8 @@
 		hint_soon(edge->hint, clk_boot_us());
 }
 
-/* Takes a newer configuration; an older one never comes back. */
-static void edge_config_item(struct edge *edge, const struct wire_item *item)
+/* Applies a newer configuration; an older one is never applied again. */
+static void edge_apply_config(struct edge *edge, const struct wire_item *item)
 {
 	char text[EDGE_WHY_MAX];
 	char why[EDGE_WHY_MAX];
@@ -173,22 +180,25 @@
 	hs_set_limits(edge->callers, &fresh->limits);
 }
 
-/* Returns how many connections this router may have to one worker. */
-static int edge_connections(const struct edge *edge,
-			    const struct rt_service *service)
+/* Returns how many connections this router may open to one worker. */
+static int edge_max_connections(const struct edge *edge,
+				const struct rt_service *service)
 {
 	int routers = 1 + pres_peer_count(edge->pres);
 	int part;
 
-	if (routers < EDGE_ROUTERS_LEAST)
-		routers = EDGE_ROUTERS_LEAST;
-	part = (int)(service->max_connections * EDGE_CONNECTIONS_SHARE /
+	if (routers < EDGE_MIN_ROUTERS)
+		routers = EDGE_MIN_ROUTERS;
+	part = (int)(service->max_connections * EDGE_CONNECTIONS_FRACTION /
 		     routers);
-	return part < EDGE_CONNECTIONS_LEAST ? EDGE_CONNECTIONS_LEAST : part;
+	return part < EDGE_MIN_CONNECTIONS ? EDGE_MIN_CONNECTIONS : part;
 }
 
-/* Takes an entry of the workers' list; one that cannot be read names none. */
-static void edge_worker_item(struct edge *edge, const struct wire_item *item)
+/*
+ * Applies an entry of the worker list.  An entry that cannot be decoded is
+ * ignored.
+ */
+static void edge_apply_worker(struct edge *edge, const struct wire_item *item)
 {
 	struct wire_worker worker;
 	char why[EDGE_WHY_MAX];
@@ -212,16 +222,16 @@
 		return;
 	service = edge->rt ? rt_find_service(edge->rt, worker.service) : -1;
 	if (service >= 0)
-		hc_host_limit(
-			wk->host,
-			edge_connections(edge, &edge->rt->services[service]));
+		hc_host_limit(wk->host,
+			      edge_max_connections(
+				      edge, &edge->rt->services[service]));
 }
 
 /*
- * The store has come back from an older copy: until all have written again, a
- * list takes nothing away.
+ * Called when the store was restored from an older backup.  Until all writers
+ * have written again, entries missing from a listing are not treated as gone.
  */
-static void edge_returned(void *user)
+static void edge_on_store_restored(void *user)
 {
 	struct edge *edge = user;
 	int64_t now = clk_boot_us();
@@ -233,16 +243,21 @@
 	hint_soon(edge->hint, now);
 }
 
-/* All have written again by now: the next list is taken as it stands. */
-static void edge_settle(struct edge *edge)
+/*
+ * All writers have written again by now: the next listing is taken as complete.
+ */
+static void edge_end_recovery(struct edge *edge)
 {
 	wk_settled(&edge->workers);
 	pres_settled(edge->pres);
 	sto_follow_list(edge->follow);
 }
 
-/* All is read again; what is missing from the list is gone. */
-static void edge_log_settled(struct edge *edge, int64_t now)
+/*
+ * Logs the end of the recovery: everything has been read again, and entries
+ * missing from the listing are gone.
+ */
+static void edge_log_recovery(struct edge *edge, int64_t now)
 {
 	met_time(&edge->met, MET_RECOVERY, now - edge->era.returned_us);
 	jlog(LOG_PF_SETTLED,
@@ -255,7 +270,7 @@
 	     (long long)edge->store_version);
 }
 
-static void edge_reachable(void *user, bool reachable)
+static void edge_on_reachable(void *user, bool reachable)
 {
 	struct edge *edge = user;
 
@@ -267,18 +282,19 @@
 }
 
 /*
- * When a worker whose entry is missing counts as gone: at once, unless the
- * entry may have lapsed while the store was away.  The worker writes it again
- * within two seconds of the store's return then, and to drop all workers at
- * once would refuse every caller for as long.  The time runs from the return
- * and not from when the entry was missed: a worker that leaves a second later
- * must get nothing new within two seconds of that.
+ * Returns when a worker without an entry counts as gone: at once, unless its
+ * entry may have expired while the store was unreachable.  In that case the
+ * worker writes it again within two seconds of the store's return, and dropping
+ * all workers at once would refuse every caller for that long.  The time counts
+ * from the store's return and not from when the entry was missed: a worker that
+ * leaves a second later must receive nothing new within two seconds of that.
  */
 static int64_t edge_gone_us(const struct edge *edge, int64_t now)
 {
-	int64_t lapsed_us = edge->store_regained_us + EDGE_LAPSED_US;
+	int64_t rewritten_us = edge->store_regained_us + EDGE_REWRITE_US;
 
 	if (!edge->store_reachable)
-		return now + EDGE_LAPSED_US;
-	return edge->store_regained_us && now < lapsed_us ? lapsed_us : now;
+		return now + EDGE_REWRITE_US;
+	return edge->store_regained_us && now < rewritten_us ? rewritten_us
+							     : now;
 }
--- a/src/edge_main.c
+++ b/src/edge_main.c
@@ -23,32 +23,43 @@
 #define EDGE_EXIT_START	   3
 
 /*
- * Deadlines are looked at this often: a tenth of the shortest one that
- * matters to a caller, the 250 ms between two events.
+ * Interval of the tick that checks deadlines: 1/25 of the shortest deadline
+ * that matters to a caller, the 250 ms between two events.
  */
 #define EDGE_TICK_MS 10
 /*
- * Lines of the log kept in a second: three for each of the 100 requests that
- * a router takes at its peak, and some for what else happens.
+ * Log lines per second: three for each of the 100 requests a second that a
+ * router receives at its peak, and some for other events.
  */
 #define EDGE_LOG_LINES_S 400
 #define EDGE_WHY_MAX	 256
 /*
- * A loop that ticks later than this was kept from running: whatever seems
- * unanswered may have been answered long ago.
+ * A loop whose tick is later than this did not run in time: answers that seem
+ * missing may have arrived long ago.
+ */
+#define EDGE_LATE_TICK_US (30 * MAG_US_PER_MS)
+/*
+ * Interval of placement planning.  Workers join and leave within seconds, and a
+ * plan takes a millisecond.
  */
-#define EDGE_LATE_US (30 * MAG_US_PER_MS)
-/* Workers come and go within seconds, and a plan takes a millisecond. */
 #define EDGE_PLAN_US (50 * MAG_US_PER_MS)
-/* The settings file may change without a signal. */
+/*
+ * The settings file is checked this often, as it may change without a signal.
+ */
 #define EDGE_SETTINGS_US MAG_US_PER_S
-/* The balancer asks every second and takes a router out after two misses. */
+/*
+ * The balancer polls readiness every second and removes a router after two
+ * failed polls.
+ */
 #define EDGE_LINGER_US (2500 * MAG_US_PER_MS)
-/* It ends so long before it would be killed, to end by itself. */
+/* The router exits this long before it would be killed. */
 #define EDGE_STOP_MARGIN_US (600 * MAG_US_PER_MS)
-/* Requests that crashed workers are remembered so many, and for so long. */
-#define EDGE_QUARANTINES   4096
-#define EDGE_QUARANTINE_US (60 * MAG_US_PER_S)
+/*
+ * Number of remembered requests that crashed workers, and how long each is
+ * remembered.
+ */
+#define EDGE_QUARANTINE_MAX 4096
+#define EDGE_QUARANTINE_US  (60 * MAG_US_PER_S)
 
 struct edge_run {
 	struct edge edge;
@@ -68,11 +79,14 @@
 static void edge_on_hup(evutil_socket_t fd, short what, void *arg);
 static void edge_reload(struct edge_run *run, int64_t now);
 static void edge_stop_tick(struct edge *edge, int64_t now);
-static void edge_ask_ready(void *ctx, struct hs_conn *conn);
-static void edge_ask_metrics(void *ctx, struct hs_conn *conn);
-static void edge_asker_gone(void *ctx, struct hs_conn *conn, void *user);
+static void edge_on_readiness(void *ctx, struct hs_conn *conn);
+static void edge_on_metrics(void *ctx, struct hs_conn *conn);
+static void edge_on_client_gone(void *ctx, struct hs_conn *conn, void *user);
 
-/* The router on a platform: serves until SIGTERM, then lets work end. */
+/*
+ * Router process on a platform: serves until SIGTERM, then lets open requests
+ * end.
+ */
 int main(void)
 {
 	static struct edge_run run;
@@ -128,7 +142,7 @@
 	attest_init(&edge->attest, (uint32_t)incarnation, edge_random(edge));
 	CDS_INIT_LIST_HEAD(&edge->requests);
 	edge->hc = edge->base ? hc_new(edge->base) : NULL;
-	edge->quar = quar_new(EDGE_QUARANTINES, EDGE_QUARANTINE_US);
+	edge->quar = quar_new(EDGE_QUARANTINE_MAX, EDGE_QUARANTINE_US);
 	if (!edge->hc || !edge->quar) {
 		jlog(LOG_START_FAILED, "\"why\":\"out of memory\"");
 		return -1;
@@ -165,9 +179,10 @@
 {
 	static const struct hs_ops callers = { eq_on_request,
 					       eq_on_caller_gone };
-	static const struct hs_ops ready = { edge_ask_ready, edge_asker_gone };
-	static const struct hs_ops metrics = { edge_ask_metrics,
-					       edge_asker_gone };
+	static const struct hs_ops ready = { edge_on_readiness,
+					     edge_on_client_gone };
+	static const struct hs_ops metrics = { edge_on_metrics,
+					       edge_on_client_gone };
 	char address[MAG_ADDR_MAX * 2];
 
 	if (hs_new(edge->base, edge->set.callers, &callers, edge,
@@ -192,7 +207,7 @@
 	return 0;
 }
 
-/* Runs every system over its table, in this order. */
+/* Runs the periodic work of all modules, in this order. */
 static void edge_tick(evutil_socket_t fd, short what, void *arg)
 {
 	struct edge_run *run = arg;
@@ -201,7 +216,8 @@
 
 	(void)fd;
 	(void)what;
-	if (edge->last_tick_us && now - edge->last_tick_us > EDGE_LATE_US) {
+	if (edge->last_tick_us &&
+	    now - edge->last_tick_us > EDGE_LATE_TICK_US) {
 		edge->last_late_tick_us = now;
 		hc_delay(edge->hc, now - edge->last_tick_us);
 	}
@@ -227,8 +243,8 @@
 }
 
 /*
- * Begins to stop: the balancer is told, connections close after their next
- * answer, and what is in progress goes on.
+ * Begins to stop: readiness fails so that the balancer moves callers away,
+ * connections close after their next answer, and open requests continue.
  */
 static void edge_on_term(evutil_socket_t fd, short what, void *arg)
 {
@@ -267,7 +283,7 @@
 	run->hup_seen = true;
 }
 
-/* Reads the settings again after SIGHUP, or when the file has changed. */
+/* Reads the settings again after SIGHUP, or if the file has changed. */
 static void edge_reload(struct edge_run *run, int64_t now)
 {
 	char why[EDGE_WHY_MAX];
@@ -288,12 +304,12 @@
 		jlog(LOG_SET_BAD, "\"why\":\"%s\",\"kept\":true", why);
 		return;
 	}
-	/* Addresses hold until the next start; limits hold at once. */
+	/* Addresses change only at a restart, limits at once. */
 	run->edge.set = fresh;
 	jlog(LOG_SET_RELOADED, "\"path\":\"%s\"", run->settings_path);
 }
 
-static void edge_ask_ready(void *ctx, struct hs_conn *conn)
+static void edge_on_readiness(void *ctx, struct hs_conn *conn)
 {
 	struct edge *edge = ctx;
 
@@ -302,7 +318,7 @@
 	hs_reply(conn, ready ? 200 : 503, NULL, NULL, 0);
 }
 
-static void edge_ask_metrics(void *ctx, struct hs_conn *conn)
+static void edge_on_metrics(void *ctx, struct hs_conn *conn)
 {
 	struct edge *edge = ctx;
 	struct evbuffer *out = evbuffer_new();
@@ -327,7 +343,7 @@
 	evbuffer_free(out);
 }
 
-static void edge_asker_gone(void *ctx, struct hs_conn *conn, void *user)
+static void edge_on_client_gone(void *ctx, struct hs_conn *conn, void *user)
 {
 	(void)ctx;
 	(void)conn;
