--- a/src/rt.c
+++ b/src/rt.c
@@ -8,7 +8,7 @@
 static int rt_by_key(const void *a, const void *b);
 static bool rt_same_host(const char *pattern, const char *host);
 
-/* Makes a set with room for so many objects; NULL if memory is short. */
+/* Allocates a set for the given numbers of objects; NULL if out of memory. */
 struct rt_set *rt_new(int routes, int services, int accounts, int keys)
 {
 	struct rt_set *set = calloc(1, sizeof(*set));
@@ -33,7 +33,7 @@
 	return set;
 }
 
-/* Gives a set back; the last one frees it.  NULL is allowed. */
+/* Drops a reference; the last one frees the set.  NULL is allowed. */
 void rt_drop(struct rt_set *set)
 {
 	if (!set || --set->refs > 0)
@@ -45,7 +45,7 @@
 	free(set);
 }
 
-/* Orders the tables for look-ups; to be called once they are filled. */
+/* Sorts the tables for look-ups; to be called once they are filled. */
 void rt_sort_tables(struct rt_set *set)
 {
 	qsort(set->routes, (size_t)set->route_count, sizeof(*set->routes),
@@ -53,7 +53,10 @@
 	qsort(set->keys, (size_t)set->key_count, sizeof(*set->keys), rt_by_key);
 }
 
-/* Returns the route of the longest prefix that begins the path, or NULL. */
+/*
+ * Returns the route for the host with the longest matching path prefix, or
+ * NULL.
+ */
 const struct rt_route *rt_find_route(const struct rt_set *set, const char *host,
 				     const char *target)
 {
@@ -71,7 +74,7 @@
 	return NULL;
 }
 
-/* Returns the index of the account that holds a key, or -1. */
+/* Returns the index of the account that owns a key, or -1. */
 int rt_account_by_key(const struct rt_set *set, const char *key)
 {
 	const struct rt_key *found;
@@ -85,7 +88,7 @@
 	return found ? found->account : -1;
 }
 
-/* Returns the index of a service, or -1. */
+/* Returns the index of the service with this name, or -1. */
 int rt_find_service(const struct rt_set *set, const char *name)
 {
 	int i;
@@ -97,7 +100,7 @@
 	return -1;
 }
 
-/* Returns a kind of accelerator by its name, or NULL. */
+/* Returns the accelerator with this name, or NULL. */
 const struct rt_accelerator *rt_find_accelerator(const struct rt_engine *engine,
 						 const char *name)
 {
@@ -126,7 +129,7 @@
 		      ((const struct rt_key *)b)->key);
 }
 
-/* Compares a route's host with a Host field, whose port does not count. */
+/* Compares a route's host with a Host field, ignoring case and port. */
 static bool rt_same_host(const char *pattern, const char *host)
 {
 	size_t len = strcspn(host, ":");
--- a/src/rt.h
+++ b/src/rt.h
@@ -2,9 +2,10 @@
 #define RT_H
 
 /*
- * The configuration that a platform's operator publishes, decoded: routes to
+ * The decoded configuration that a platform's operator publishes: routes to
  * services, services with their engines, client accounts with their keys.  A
- * set does not change once it is made; requests hold the one they began with.
+ * set is immutable once built; requests hold a reference to the one that was in
+ * force when they arrived.
  */
 
 #include <stdbool.h>
@@ -23,14 +24,14 @@
 enum rt_err {
 	RT_OK = 0,
 	RT_E_MEMORY = -1,
-	RT_E_BAD = -2, /* the text says which object and field */
+	RT_E_BAD = -2, /* the error text names object and field */
 };
 
-/* What may be done again with a request that failed. */
+/* How often a request of a route may run. */
 enum rt_request_kind {
-	RT_IDEMPOTENT,	   /* may run any number of times */
-	RT_NON_IDEMPOTENT, /* at most once for each attempt of a client */
-	RT_STREAMING,	   /* events with increasing ids */
+	RT_IDEMPOTENT,	   /* any number of times */
+	RT_NON_IDEMPOTENT, /* at most once per attempt of a client */
+	RT_STREAMING,	   /* event stream with increasing ids */
 };
 
 struct rt_split {
@@ -44,41 +45,40 @@
 	char prefix[RT_PREFIX_MAX];
 	size_t prefix_len;
 	enum rt_request_kind kind;
-	bool resumable;	  /* a stream may go on at another worker */
-	bool auth_exempt; /* needs no key */
+	bool resumable;	  /* a stream may continue at another worker */
+	bool auth_exempt; /* requires no key */
 	bool generates;	  /* carries a prompt for a model */
 	int64_t timeout_us;
 	int64_t target_us;  /* an answer within this is worth the most */
-	int64_t max_gap_us; /* longest pause between events in time */
+	int64_t max_gap_us; /* longest pause between events that is on time */
 	int priority;	    /* 0 is the most urgent */
 	int max_attempts;
 	struct rt_split splits[RT_SPLIT_MAX];
 	int split_count;
 };
 
-/* One kind of accelerator. */
+/* A type of accelerator; times are relative to the reference, 1. */
 struct rt_accelerator {
 	char name[MAG_NAME_MAX];
 	double memory_mb;
-	double step_factor;    /* time of a step against the reference */
-	double prefill_factor; /* time of reading a prompt, likewise */
+	double step_factor;    /* relative time of a decode step */
+	double prefill_factor; /* relative time of prefill */
 };
 
-/* How the model's workers behave; times are those of all layers. */
+/* Performance model of a service's workers; times cover all layers. */
 struct rt_engine {
 	char model[MAG_NAME_MAX];
 	int layers;
 	double layer_mb;
-	double kv_token_bytes; /* memory of a token over all layers */
+	double kv_token_bytes; /* KV cache of a token over all layers */
 	double step_ms;
 	double per_sequence_ms;
 	double context_ms_per_k;
 	double prefill_tokens_per_s;
-	int prefill_chunk_tokens; /* of a prompt, read in one step; 0: unknown
-				   */
-	double activation_bytes;  /* of a token, from one worker to the next */
-	double link_mbps;	  /* between two data centres, for all */
-	double load_s;		  /* of the whole model */
+	int prefill_chunk_tokens; /* prompt tokens per step; 0: unknown */
+	double activation_bytes;  /* per token, from one worker to the next */
+	double link_mbps; /* between two data centres, shared by all streams */
+	double load_s;	  /* of the whole model */
 	int slots;
 	int usual_prompt;
 	int usual_answer;
@@ -89,14 +89,14 @@
 struct rt_service {
 	char name[MAG_NAME_MAX];
 	char health_path[RT_PREFIX_MAX];
-	int max_connections; /* at a worker, from all callers */
+	int max_connections; /* per worker, for all callers together */
 	bool has_engine;
 	struct rt_engine engine;
 };
 
 struct rt_account {
 	char name[MAG_NAME_MAX];
-	int priority; /* goes before the route's; -1: none */
+	int priority; /* overrides the route's; -1: none */
 };
 
 struct rt_key {
