--- a/regress/check_thr.c
+++ b/regress/check_thr.c
@@ -12,27 +12,29 @@
 #define STEP_US	    (5 * MAG_US_PER_MS)
 #define HINT_US	    (150 * MAG_US_PER_MS)
 #define ANSWER_US   (50 * MAG_US_PER_MS)
-/* The users' rule counts over so long. */
+/*
+ * Window over which the limit is checked; the users' rule is defined over it.
+ */
 #define WINDOW_US (4 * MAG_US_PER_S)
 
 /*
- * Routers of one data centre before one worker, in virtual time: each takes
- * its callers at a rate, sends to the worker while it may, and hears of the
- * limit in answers and from peers.
+ * Simulates routers of one data centre and one worker in virtual time.  Each
+ * router receives requests at a rate, sends to the worker while it may, and
+ * learns of the limit from answers and from peers.
  */
 static struct {
 	struct wk_table table;
 	struct wk wk;
-	struct hint_router self; /* as reported last */
-	double rate;		 /* of its callers */
-	struct hint_message heard[ROUTERS_MAX];
-	int64_t heard_us[ROUTERS_MAX];
+	struct hint_router self; /* as last reported to peers */
+	double rate;		 /* requests a second of its callers */
+	struct hint_message received[ROUTERS_MAX];
+	int64_t received_us[ROUTERS_MAX];
 	int64_t hint_us;
 } routers[ROUTERS_MAX];
 static int count;
-static double limit;	  /* of the worker; below 0: none */
-static double loss;	  /* of messages between routers */
-static int64_t judged_us; /* windows that end from then on are judged */
+static double limit; /* of the worker; below 0: none */
+static double loss;  /* fraction of messages between routers that are lost */
+static int64_t checked_from_us; /* windows that end from then on are checked */
 static int64_t now;
 static uint64_t seed;
 static struct {
@@ -40,9 +42,9 @@
 	int router;
 } sends[SENDS_MAX];
 static int send_count;
-static int answered; /* of the sends */
+static int answered; /* number of sends whose answer has arrived */
 
-/* "routers N LOSS SEED" */
+/* "routers N LOSS SEED": resets the simulation. */
 static void set_routers(int n, double lost, int number)
 {
 	int i;
@@ -68,7 +70,7 @@
 	}
 }
 
-static void share(int r)
+static void update_fraction(int r)
 {
 	struct hint_router known[ROUTERS_MAX];
 	int n = 0;
@@ -77,10 +79,11 @@
 	for (i = 0; i < count; i++) {
 		if (i == r)
 			known[n++] = routers[r].self;
-		else if (routers[r].heard_us[i])
+		else if (routers[r].received_us[i])
 			known[n++] = (struct hint_router){
-				routers[i].self.id, routers[r].heard[i].centre,
-				(double)routers[r].heard[i].demand
+				routers[i].self.id,
+				routers[r].received[i].centre,
+				(double)routers[r].received[i].demand
 			};
 	}
 	thr_set_fraction(
@@ -89,8 +92,8 @@
 		now);
 }
 
-/* A router tells all others, and adds up what they said. */
-static void hint(int r)
+/* Sends a router's message to all others and adds up what they reported. */
+static void send_hint(int r)
 {
 	static struct hint_message message;
 	struct hint_index index = { 0 };
@@ -106,27 +109,27 @@
 	for (i = 0; i < count; i++) {
 		if (i == r || mag_random_unit(&seed) < loss)
 			continue;
-		routers[i].heard[r] = message;
-		routers[i].heard_us[r] = now;
+		routers[i].received[r] = message;
+		routers[i].received_us[r] = now;
 	}
 	hint_load_begin(&index, &routers[r].table);
 	for (i = 0; i < count; i++)
-		hint_limit_add(&index, routers[r].heard[i].limits,
-			       routers[r].heard[i].limit_count,
-			       routers[r].heard_us[i], now);
+		hint_limit_add(&index, routers[r].received[i].limits,
+			       routers[r].received[i].limit_count,
+			       routers[r].received_us[i], now);
 	hint_load_free(&index);
-	share(r);
+	update_fraction(r);
 }
 
-static void answer(int64_t sent_us, int r)
+static void receive_answer(int64_t sent_us, int r)
 {
-	struct wire_limit said = { limit < 0 ? WIRE_LIMIT_NONE
-					     : WIRE_LIMIT_NAMED,
-				   limit };
+	struct wire_limit stated = { limit < 0 ? WIRE_LIMIT_NONE
+					       : WIRE_LIMIT_NAMED,
+				     limit };
 
-	if (wk_take_limit(&routers[r].wk, &said, WK_ANSWER_SOUND, sent_us,
+	if (wk_take_limit(&routers[r].wk, &stated, WK_ANSWER_SOUND, sent_us,
 			  now) != THR_UNCHANGED)
-		share(r);
+		update_fraction(r);
 }
 
 static void step(void)
@@ -138,10 +141,10 @@
 	for (;
 	     answered < send_count && sends[answered].at_us + ANSWER_US <= now;
 	     answered++)
-		answer(sends[answered].at_us, sends[answered].router);
+		receive_answer(sends[answered].at_us, sends[answered].router);
 	for (r = 0; r < count; r++) {
 		if (now >= routers[r].hint_us)
-			hint(r);
+			send_hint(r);
 		wk_limit_tick(&routers[r].wk, now);
 		wanted = routers[r].rate * STEP_US / MAG_US_PER_S;
 		if (mag_random_unit(&seed) >= wanted ||
@@ -154,41 +157,45 @@
 	}
 }
 
-/* Returns the most sends in a window that ends after a moment. */
-static int most_since(int64_t since_us)
+/* Returns the most sends in any window that ends at since_us or later. */
+static int max_in_window(int64_t since_us)
 {
-	int most = 0;
+	int max_sends = 0;
 	int first = 0;
 	int i;
 
 	for (i = 0; i < send_count; i++) {
 		while (sends[first].at_us <= sends[i].at_us - WINDOW_US)
 			first++;
-		if (sends[i].at_us >= since_us && i - first + 1 > most)
-			most = i - first + 1;
+		if (sends[i].at_us >= since_us && i - first + 1 > max_sends)
+			max_sends = i - first + 1;
 	}
-	return most;
+	return max_sends;
 }
 
-/* "run MS": prints what the worker got, and whether that keeps its limit. */
+/*
+ * "run MS": prints the rate at which the worker received requests, and whether
+ * its limit was kept.
+ */
 static void run(FILE *out, long ms)
 {
 	int64_t from_us = now;
 	int before = send_count;
-	int most;
+	int max_sends;
 
 	while (now < from_us + ms * MAG_US_PER_MS)
 		step();
 	fprintf(out, "%.1f a second",
 		(send_count - before) * 1000.0 / (double)ms);
-	if (limit >= 0 && now > judged_us) {
-		most = most_since(judged_us);
-		fprintf(out, ", %s", most <= 6 * limit + 5 ? "kept" : "BROKEN");
+	if (limit >= 0 && now > checked_from_us) {
+		max_sends = max_in_window(checked_from_us);
+		fprintf(out, ", %s",
+			max_sends <= 6 * limit + 5 ? "kept" : "BROKEN");
 	}
 	fprintf(out, "\n");
 }
 
-static void drive(FILE *in, FILE *out)
+static void run_script(FILE *in, FILE *out)
 {
 	char line[LINE_MAX_];
 	double x;
@@ -208,10 +215,10 @@
 		} else if (strncmp(line, "limit none", 10) == 0) {
 			limit = -1;
 		} else if (sscanf(line, "limit %lf", &x) == 1) {
-			judged_us = now + WINDOW_US;
+			checked_from_us = now + WINDOW_US;
 			limit = x;
 		} else if (sscanf(line, "judge %ld", &ms) == 1) {
-			judged_us = now + ms * MAG_US_PER_MS;
+			checked_from_us = now + ms * MAG_US_PER_MS;
 		} else if (sscanf(line, "run %ld", &ms) == 1) {
 			run(out, ms);
 		}
@@ -220,5 +227,5 @@
 
 int main(void)
 {
-	return script_main("regress/thr", drive);
+	return script_main("regress/thr", run_script);
 }
--- a/src/thr.c
+++ b/src/thr.c
@@ -2,41 +2,41 @@
 
 #define THR_SLICE_US (250 * MAG_US_PER_MS)
 /*
- * What was sent in this time before a limit is named counts against it: the
- * worker is busy with it still.
+ * Requests sent within this time before a limit was first stated count against
+ * it: the worker is still busy with them.
  */
-#define THR_BACK_US MAG_US_PER_S
-/* At most so much time is waited for that. */
-#define THR_BACK_WAIT_US (3 * MAG_US_PER_S)
+#define THR_LOOKBACK_US MAG_US_PER_S
+/* Longest additional wait because of these requests. */
+#define THR_LOOKBACK_WAIT_US (3 * MAG_US_PER_S)
 /*
- * Where the limit leaves no room for so long, one request is sent all the
- * same: its answer tells whether the worker still names a limit.
+ * After this time without room under the limit one request is sent anyway: its
+ * answer tells whether the worker still states a limit.
  */
 #define THR_TRIAL_US (4 * MAG_US_PER_S)
-/* A limit that nobody heard the worker name for so long is over. */
-#define THR_LAPSE_US (8 * MAG_US_PER_S)
-/* Requests that a router may have ahead of its rate. */
+/* A limit that no router has received from the worker for this long expires. */
+#define THR_EXPIRY_US (8 * MAG_US_PER_S)
+/* Requests that a router may send ahead of its rate. */
 #define THR_BURST 2.0
 /*
- * Routers that send to a limited worker, for each request a second that it
- * takes: what each may have ahead of its rate adds up over them.
+ * Number of routers that send to a limited worker, per request a second of its
+ * limit.  The bursts of all senders add up, so their number is bounded.
  */
 #define THR_SENDERS_PER_LIMIT 0.5
-/* Least weight of a router, as a part of the mean. */
-#define THR_LEAST_WEIGHT 0.25
+/* Minimum weight of a router, as a fraction of the mean. */
+#define THR_MIN_WEIGHT 0.25
 
 static double thr_rate(const struct thr *thr);
 static double thr_level(const struct thr *thr, int64_t now);
 static int thr_recent(const struct thr *thr, int64_t now);
-static double thr_least_weight(const struct thr_router *members, int count);
-static uint32_t thr_rank(uint32_t member, uint32_t worker);
-static bool thr_is_sender(const struct thr_router *members, int count,
+static double thr_min_weight(const struct thr_router *routers, int count);
+static uint32_t thr_rank(uint32_t router, uint32_t worker);
+static bool thr_is_sender(const struct thr_router *routers, int count,
 			  int index, uint32_t worker, int senders);
 
 /*
- * Takes a limit, in requests a second, that the worker named at at_us.  A word
- * older than what is known changes nothing: peers pass on limits that have
- * ended since.
+ * Applies a limit, in requests a second, that the worker stated at at_us.  A
+ * report that is older than the known state changes nothing: peers pass on
+ * limits that have ended since.
  */
 enum thr_change thr_limit_advertised(struct thr *thr, double limit,
 				     int64_t at_us, int64_t now)
@@ -44,7 +44,7 @@
 	double before = thr->limit;
 
 	if (at_us < thr->advertised_us || at_us <= thr->absent_us ||
-	    now - at_us > THR_LAPSE_US)
+	    now - at_us > THR_EXPIRY_US)
 		return THR_UNCHANGED;
 	thr->advertised_us = at_us;
 	if (thr->limited) {
@@ -58,13 +58,13 @@
 	thr->limit = limit;
 	thr->fraction = -1;
 	thr->level = thr_recent(thr, now);
-	thr->level_us = now - THR_BACK_US;
+	thr->level_us = now - THR_LOOKBACK_US;
 	return THR_BEGAN;
 }
 
 /*
- * A request that was sent at sent_us was answered without a limit.  An answer
- * that was on its way when the limit was named does not end it.
+ * Handles an answer without a limit to a request that was sent at sent_us.  An
+ * answer that was in transit when the limit was stated does not end it.
  */
 enum thr_change thr_limit_absent(struct thr *thr, int64_t sent_us)
 {
@@ -76,34 +76,37 @@
 	return THR_ENDED;
 }
 
-/* Ends a limit that was not named again. */
+/* Ends a limit that has not been stated again. */
 enum thr_change thr_expire(struct thr *thr, int64_t now)
 {
-	if (!thr->limited || now - thr->advertised_us <= THR_LAPSE_US)
+	if (!thr->limited || now - thr->advertised_us <= THR_EXPIRY_US)
 		return THR_UNCHANGED;
 	thr->limited = false;
 	return THR_ENDED;
 }
 
-/* Sets the part of the limit that is this router's, from 0 to 1. */
-void thr_set_fraction(struct thr *thr, double part, int64_t now)
+/* Sets this router's fraction of the limit, from 0 to 1. */
+void thr_set_fraction(struct thr *thr, double fraction, int64_t now)
 {
-	double most;
+	double max_level;
 
 	if (thr->fraction >= 0) {
 		thr->level = thr_level(thr, now);
 		thr->level_us = now;
-		thr->fraction = part;
+		thr->fraction = fraction;
 		return;
 	}
-	/* What was sent before the limit was named is made up for from then. */
-	thr->fraction = part;
-	most = thr_rate(thr) * (THR_BACK_US + THR_BACK_WAIT_US) / MAG_US_PER_S;
-	if (thr->level > most)
-		thr->level = most;
+	/*
+	 * Requests sent before the limit are paid off since the lookback began.
+	 */
+	thr->fraction = fraction;
+	max_level = thr_rate(thr) * (THR_LOOKBACK_US + THR_LOOKBACK_WAIT_US) /
+		    MAG_US_PER_S;
+	if (thr->level > max_level)
+		thr->level = max_level;
 }
 
-/* Notes that something was sent to the worker. */
+/* Counts a request sent to the worker. */
 void thr_sent(struct thr *thr, int64_t now)
 {
 	int64_t number = now / THR_SLICE_US;
@@ -133,10 +136,11 @@
 }
 
 /*
- * Tells whether the worker may be asked how it is.  Questions show that it is
- * dead and do not wait for room, but come no faster than requests may.
+ * Tells whether the worker may be probed for its state.  Probes detect a dead
+ * worker and therefore do not wait for room, but are no more frequent than the
+ * requests that the limit allows.
  */
-bool thr_may_probe(const struct thr *thr, int64_t asked_us, int64_t now)
+bool thr_may_probe(const struct thr *thr, int64_t probed_us, int64_t now)
 {
 	double rate = thr_rate(thr);
 	int64_t pause_us = THR_TRIAL_US;
@@ -145,55 +149,56 @@
 		return true;
 	if (rate * THR_TRIAL_US > MAG_US_PER_S)
 		pause_us = (int64_t)(MAG_US_PER_S / rate);
-	return now - asked_us >= pause_us;
+	return now - probed_us >= pause_us;
 }
 
 /*
- * Returns a router's part of a worker's limit.  The callers' load at a router
- * is its weight, because it does not depend on what the limit leaves of it.
- * Where there are many routers for a small limit, some have no part; which
- * ones differs from worker to worker.
+ * Returns a router's fraction of a worker's limit.  Its weight is the load of
+ * its callers, because that does not depend on how much the limit lets
+ * through.  If there are many routers for a small limit, some of them have no
+ * fraction; which ones differs from worker to worker.
  */
-double thr_router_fraction(const struct thr_router *members, int count,
+double thr_router_fraction(const struct thr_router *routers, int count,
 			   uint32_t self, uint32_t worker, double limit)
 {
 	int senders = 1 + (int)(limit < count ? limit * THR_SENDERS_PER_LIMIT
 					      : count);
-	double least = thr_least_weight(members, count);
+	double min_weight = thr_min_weight(routers, count);
 	double sum = 0;
 	double own = 0;
 	double weight;
 	int i;
 
 	for (i = 0; i < count; i++) {
-		if (!thr_is_sender(members, count, i, worker, senders))
+		if (!thr_is_sender(routers, count, i, worker, senders))
 			continue;
-		weight = members[i].demand > least ? members[i].demand : least;
+		weight = routers[i].demand > min_weight ? routers[i].demand
+							: min_weight;
 		sum += weight;
-		if (members[i].id == self)
+		if (routers[i].id == self)
 			own = weight;
 	}
 	return own > 0 ? own / sum : 0;
 }
 
-/* Returns the weight of a router that may have had no caller. */
-static double thr_least_weight(const struct thr_router *members, int count)
+/* Returns the weight of a router that may have had no callers. */
+static double thr_min_weight(const struct thr_router *routers, int count)
 {
 	double sum = 0;
 	int i;
 
 	for (i = 0; i < count; i++)
-		sum += members[i].demand;
-	return sum > 0 ? sum / count * THR_LEAST_WEIGHT : 1;
+		sum += routers[i].demand;
+	return sum > 0 ? sum / count * THR_MIN_WEIGHT : 1;
 }
 
-/* Returns the requests a second that this router may send. */
+/* Returns the rate of this router, in requests a second. */
 static double thr_rate(const struct thr *thr)
 {
 	return thr->fraction > 0 ? thr->limit * thr->fraction : 0;
 }
 
-/* Returns the level after what the rate has made up for since. */
+/* Returns the level after the rate has lowered it since the last update. */
 static double thr_level(const struct thr *thr, int64_t now)
 {
 	double level = thr->level - thr_rate(thr) *
@@ -203,7 +208,7 @@
 	return level > 0 ? level : 0;
 }
 
-/* Returns the sends of the last second, whole pieces of time. */
+/* Returns the requests sent in the last second, in whole slices. */
 static int thr_recent(const struct thr *thr, int64_t now)
 {
 	int64_t number = now / THR_SLICE_US;
@@ -211,17 +216,18 @@
 	int i;
 
 	for (i = 0; i < THR_SLICES; i++) {
-		if (thr->slices[i].number > number - THR_BACK_US / THR_SLICE_US)
+		if (thr->slices[i].number >
+		    number - THR_LOOKBACK_US / THR_SLICE_US)
 			sends += thr->slices[i].sends;
 	}
 	return sends;
 }
 
-/* Tells whether a router is among the first so many by rank. */
-static bool thr_is_sender(const struct thr_router *members, int count,
+/* Tells whether a router ranks among the given number of senders. */
+static bool thr_is_sender(const struct thr_router *routers, int count,
 			  int index, uint32_t worker, int senders)
 {
-	uint32_t rank = thr_rank(members[index].id, worker);
+	uint32_t rank = thr_rank(routers[index].id, worker);
 	uint32_t other;
 	int before = 0;
 	int i;
@@ -229,16 +235,16 @@
 	if (count <= senders)
 		return true;
 	for (i = 0; i < count && before < senders; i++) {
-		other = thr_rank(members[i].id, worker);
+		other = thr_rank(routers[i].id, worker);
 		before += other < rank || (other == rank && i < index);
 	}
 	return before < senders;
 }
 
 /* Mixes two hashes into a rank that differs from worker to worker. */
-static uint32_t thr_rank(uint32_t member, uint32_t worker)
+static uint32_t thr_rank(uint32_t router, uint32_t worker)
 {
-	uint32_t rank = (member ^ worker) * 0x9e3779b1U;
+	uint32_t rank = (router ^ worker) * 0x9e3779b1U;
 
 	rank = (rank ^ rank >> 15) * 0x85ebca6bU;
 	rank = (rank ^ rank >> 13) * 0xc2b2ae35U;
