--- a/regress/check_room.c
+++ b/regress/check_room.c
@@ -6,8 +6,11 @@
 #define LINE_MAX_ 256
 #define NOW_US	  (100 * MAG_US_PER_S)
 
-/* "request PROMPT HINT MAX": of a service with 700 and 200 as usual. */
-static void request(const char *line, FILE *out)
+/*
+ * "request PROMPT HINT MAX": prints the expected sizes of a request to a
+ * service with a usual prompt of 700 and a usual answer of 200 tokens.
+ */
+static void print_request(const char *line, FILE *out)
 {
 	struct room_request r = { .usual_prompt = 700, .usual_answer = 200 };
 
@@ -19,10 +22,10 @@
 }
 
 /*
- * "streams COUNT PROMPT ANSWER": streams of all ages; prints how what they
- * hold in truth compares with what is expected.
+ * "streams COUNT PROMPT ANSWER": compares the tokens that streams of all ages
+ * actually hold with the expected number.
  */
-static void streams(const char *line, FILE *out)
+static void compare_streams(const char *line, FILE *out)
 {
 	struct room_request r = { 0 };
 	double held = 0;
@@ -43,10 +46,10 @@
 }
 
 /*
- * "worker OWN PEERS REPORTED AGE_MS [RECENT ROUTERS]": what it holds by all
- * that is known.
+ * "worker OWN PEERS REPORTED AGE_MS [RECENT ROUTERS]": prints the memory in use
+ * by all that is known.
  */
-static void worker(const char *line, FILE *out)
+static void print_worker(const char *line, FILE *out)
 {
 	struct room_load known = { 0 };
 	long age_ms;
@@ -58,7 +61,7 @@
 	fprintf(out, "holds %.0f\n", room_held(&known, NOW_US));
 }
 
-static void drive(FILE *in, FILE *out)
+static void run_script(FILE *in, FILE *out)
 {
 	char line[LINE_MAX_];
 
@@ -67,15 +70,15 @@
 			continue;
 		fprintf(out, "> %s", line);
 		if (strncmp(line, "request ", 8) == 0)
-			request(line, out);
+			print_request(line, out);
 		else if (strncmp(line, "streams ", 8) == 0)
-			streams(line, out);
+			compare_streams(line, out);
 		else if (strncmp(line, "worker ", 7) == 0)
-			worker(line, out);
+			print_worker(line, out);
 	}
 }
 
 int main(void)
 {
-	return script_main("regress/room", drive);
+	return script_main("regress/room", run_script);
 }
--- a/src/room.h
+++ b/src/room.h
@@ -2,13 +2,13 @@
 #define ROOM_H
 
 /*
- * What a worker's memory holds by the knowledge of one router, and how much
- * of it a request takes.  Pure.
+ * Estimates how much of a worker's memory is in use, from what one router
+ * knows, and how much a request needs.  Pure.
  *
- * Load pattern: in a rush all memory is taken and given back several times in
- * ten seconds, and routers hear of each other's sends some hundred
- * milliseconds late.  A send that finds no room is refused in the middle of
- * its chain, or preempts a stream that has begun.
+ * Load pattern: at peak load all memory is allocated and released several times
+ * in ten seconds, and routers learn of each other's requests some hundred
+ * milliseconds late.  A request sent to a worker without free memory is refused
+ * in the middle of its chain, or preempts a running stream.
  */
 
 #include <stdbool.h>
@@ -16,17 +16,17 @@
 
 #include "mag.h"
 
-/* A worker's load; memory in tokens x layers. */
+/* Known load of a worker; memory in tokens x layers. */
 struct room_load {
-	double own;	     /* held by requests of this router */
-	double recent;	     /* of these, what peers cannot have counted yet */
-	double peers;	     /* of other routers, as they said last */
-	int routers;	     /* that send here, this one included */
-	double reported;     /* in use, by the worker's own report */
-	int64_t reported_us; /* when that came; 0: never */
+	double own;	 /* used by requests of this router */
+	double recent;	 /* part of own that peers cannot have counted yet */
+	double peers;	 /* used by other routers, as last reported */
+	int routers;	 /* that send here, including this one */
+	double reported; /* in use by the worker's own report */
+	int64_t reported_us; /* when that was received; 0: never */
 };
 
-/* What a request says of its size; tokens, 0 where it says nothing. */
+/* Sizes that a request states, in tokens; 0: not stated. */
 struct room_request {
 	int prompt;
 	int answer_hint;
@@ -35,7 +35,7 @@
 	int usual_answer;
 };
 
-double room_held(const struct room_load *known, int64_t now);
+double room_held(const struct room_load *load, int64_t now);
 double room_mean_tokens(const struct room_request *request);
 double room_final_tokens(const struct room_request *request);
 bool room_is_report_fresh(int64_t reported_us, int64_t now);
