--- a/regress/check_age.c
+++ b/regress/check_age.c
@@ -5,8 +5,11 @@
 
 #define LINE_MAX_ 256
 
-/* "at MS", "call ROUTE LEFT_MS": prints how long that caller has asked. */
-static void drive(FILE *in, FILE *out)
+/*
+ * Commands: "at MS" sets the time; "call ROUTE LEFT_MS" prints how long that
+ * caller has been retrying; "routes N" adds calls to N other routes.
+ */
+static void run_script(FILE *in, FILE *out)
 {
 	char line[LINE_MAX_];
 	char route[MAG_NAME_MAX];
@@ -23,7 +26,7 @@
 		if (sscanf(line, "at %ld", &now_ms) == 1)
 			continue;
 		if (sscanf(line, "call %63s %ld", route, &left_ms) == 2)
-			fprintf(out, "asks for %lld ms\n",
+			fprintf(out, "retrying for %lld ms\n",
 				(long long)(age_estimate(
 						    &age, route,
 						    left_ms * MAG_US_PER_MS,
@@ -41,5 +44,5 @@
 
 int main(void)
 {
-	return script_main("regress/age", drive);
+	return script_main("regress/age", run_script);
 }
--- a/src/age.c
+++ b/src/age.c
@@ -2,31 +2,36 @@
 
 #include "age.h"
 
-/* A new time limit of a route's callers is known after two such windows. */
+/*
+ * Length of a window.  A changed time limit of a route's callers is known after
+ * two windows.
+ */
 #define AGE_WINDOW_US (15 * MAG_US_PER_S)
 /*
- * Part of the time of the most patient callers that others may lack on their
- * first try.  What a refused caller is told to wait is more.
+ * Callers whose remaining time is shorter than the longest one by less than
+ * this fraction count as first tries.  The delay that a refused caller is told
+ * to wait is larger.
  */
-#define AGE_PATIENCE_SPREAD 0.16
+#define AGE_FIRST_TRY_SPREAD 0.16
 
-static struct age_route *age_route_named(struct age *age, const char *name,
-					 int64_t now);
+static struct age_route *age_find_route(struct age *age, const char *name,
+					int64_t now);
 
 /*
- * Returns how long ago a caller asked for the first time, by the time that it
- * has left and the most that others of its route had, in microseconds.  One
- * that is only less patient than others, or names no time (0), is a new one.
+ * Estimates how long ago a caller first sent its request, in microseconds, from
+ * its remaining time and the longest remaining time among callers of the
+ * route.  A caller that states no time (0), or only a slightly shorter one than
+ * others, counts as new.
  */
 int64_t age_estimate(struct age *age, const char *route, int64_t left_us,
 		     int64_t now)
 {
 	struct age_route *r;
-	int64_t most;
+	int64_t max_left;
 
 	if (left_us <= 0)
 		return 0;
-	r = age_route_named(age, route, now);
+	r = age_find_route(age, route, now);
 	if (now >= r->window_end_us) {
 		r->previous_max_left_us = r->max_left_us;
 		r->max_left_us = 0;
@@ -34,17 +39,21 @@
 	}
 	if (left_us > r->max_left_us)
 		r->max_left_us = left_us;
-	most = r->max_left_us > r->previous_max_left_us
-		       ? r->max_left_us
-		       : r->previous_max_left_us;
-	if ((double)(most - left_us) < (double)most * AGE_PATIENCE_SPREAD)
+	max_left = r->max_left_us > r->previous_max_left_us
+			   ? r->max_left_us
+			   : r->previous_max_left_us;
+	if ((double)(max_left - left_us) <
+	    (double)max_left * AGE_FIRST_TRY_SPREAD)
 		return 0;
-	return most - left_us;
+	return max_left - left_us;
 }
 
-/* Returns a route's entry; a new one takes the place of the oldest. */
-static struct age_route *age_route_named(struct age *age, const char *name,
-					 int64_t now)
+/*
+ * Returns a route's entry.  If the table is full, a new one replaces the entry
+ * whose window ends first.
+ */
+static struct age_route *age_find_route(struct age *age, const char *name,
+					int64_t now)
 {
 	struct age_route *oldest = &age->routes[0];
 	int i;
--- a/src/age.h
+++ b/src/age.h
@@ -2,13 +2,14 @@
 #define AGE_H
 
 /*
- * How long callers have been asking before a request arrives.  Pure.
+ * Estimates for how long callers have been retrying when a request arrives.
+ * Pure.
  *
- * Load pattern: in a rush many callers are refused and come back seconds
- * later, when their answer can no longer be in time.  Taken like others, they
- * fill the places of callers that could be served in time, who then come back
- * late in their turn.  A request does not say that it is a second try, but it
- * leaves less time than others of its route do.
+ * Load pattern: at peak load many callers are refused and return seconds later,
+ * when their answer can no longer be on time.  If they are treated like others,
+ * they occupy workers that could serve other callers on time, and those are
+ * then late in turn.  A request does not state that it is a retry, but it
+ * leaves less time than others of its route.
  */
 
 #include <stdint.h>
@@ -17,12 +18,12 @@
 
 #define AGE_ROUTES_MAX 64
 
-/* The most time that callers of a route have left, in two windows. */
+/* Longest remaining time of a route's callers, in two windows. */
 struct age_route {
 	char name[MAG_NAME_MAX];
-	int64_t max_left_us;	      /* of the window that is open */
-	int64_t previous_max_left_us; /* of the one before it */
-	int64_t window_end_us;	      /* end of the open one */
+	int64_t max_left_us;	      /* of the current window */
+	int64_t previous_max_left_us; /* of the window before it */
+	int64_t window_end_us;	      /* of the current one */
 };
 
 struct age {
