--- a/regress/check_ask.c
+++ b/regress/check_ask.c
@@ -8,9 +8,9 @@
 #define TICK_MS	    10
 
 /*
- * One worker with streams through it, a tick at a time: a stream's first
- * event comes FIRST ms after its send, then one every GAP ms.  A sound worker
- * answers a question at once, a dead one does not.
+ * Simulates one worker with streams through it, tick by tick: a stream's first
+ * event arrives FIRST ms after its send, then one every GAP ms.  A healthy
+ * worker answers a probe at once, a dead one does not.
  */
 struct stream {
 	long sent_ms;
@@ -28,7 +28,7 @@
 static int quiet;
 static int slow;
 
-static void ask(struct stream *stream, int64_t now)
+static void probe(struct stream *stream, int64_t now)
 {
 	struct ask_stream view = { stream->sent_ms * MAG_US_PER_MS,
 				   stream->last_ms * MAG_US_PER_MS,
@@ -63,10 +63,10 @@
 		}
 	}
 	for (i = 0; i < count; i++)
-		ask(&streams[i], now);
+		probe(&streams[i], now);
 }
 
-static void drive(FILE *in, FILE *out)
+static void run_script(FILE *in, FILE *out)
 {
 	char line[LINE_MAX_];
 	long ms;
@@ -95,7 +95,7 @@
 			slow = 0;
 			for (ms += now_ms; now_ms < ms; now_ms += TICK_MS)
 				tick();
-			fprintf(out, "asked for silence %d, for pace %d\n",
+			fprintf(out, "probes for silence %d, for slowdown %d\n",
 				quiet, slow);
 		}
 	}
@@ -103,5 +103,5 @@
 
 int main(void)
 {
-	return script_main("regress/ask", drive);
+	return script_main("regress/ask", run_script);
 }
--- a/src/ask.c
+++ b/src/ask.c
@@ -1,47 +1,51 @@
 #include "ask.h"
 
-/* A worker that answers but passes nothing is asked half as often each time:
- * those that all slow down together would be asked without end. */
-#define ASK_DOUBLE 3
-/* A first event that takes longer than this is late for a reason. */
-#define ASK_SLOW_FIRST_US (150 * MAG_US_PER_MS)
-/* How often a worker's pace is asked for while first events are late. */
+/*
+ * Number of doublings of the interval for a worker that answers probes but
+ * passes no events: a group of workers that all slow down together would
+ * otherwise be probed without end.
+ */
+#define ASK_DOUBLINGS_MAX 3
+/* A first event that takes longer than this is late. */
+#define ASK_LATE_FIRST_US (150 * MAG_US_PER_MS)
+/* Interval of probes for a worker's slowdown while first events are late. */
 #define ASK_SLOW_US (500 * MAG_US_PER_MS)
 
-static bool ask_is_quiet(const struct ask_stream *stream,
-			 const struct ask_worker *worker, int64_t now);
+static bool ask_is_silent(const struct ask_stream *stream,
+			  const struct ask_worker *worker, int64_t now);
 static bool ask_is_slow(const struct ask_stream *stream,
 			const struct ask_worker *worker, int64_t now);
 
-/* Tells whether, and why, to ask a worker of a stream now. */
+/* Tells whether, and why, to probe a worker of a stream now. */
 enum ask_reason ask_worker(const struct ask_stream *stream,
 			   const struct ask_worker *worker, int64_t now)
 {
-	if (ask_is_quiet(stream, worker, now))
+	if (ask_is_silent(stream, worker, now))
 		return ASK_SILENT;
 	return ask_is_slow(stream, worker, now) ? ASK_SLOW : ASK_NONE;
 }
 
-/* A stream is silent, and so is all else that runs through the worker. */
-static bool ask_is_quiet(const struct ask_stream *stream,
-			 const struct ask_worker *worker, int64_t now)
+/* Tells whether a stream is silent and no other stream passes the worker. */
+static bool ask_is_silent(const struct ask_stream *stream,
+			  const struct ask_worker *worker, int64_t now)
 {
 	return now - stream->last_progress_us >= stream->silence_limit_us &&
 	       now - worker->passed_us >= stream->silence_limit_us &&
-	       now - worker->probed_us >=
-		       mag_backoff(ASK_INTERVAL_US, worker->probes, ASK_DOUBLE);
+	       now - worker->probed_us >= mag_backoff(ASK_INTERVAL_US,
+						      worker->probes,
+						      ASK_DOUBLINGS_MAX);
 }
 
 /*
- * A first event is late although its workers may pass others' events: one of
- * them may have turned slow.  Not knowing it, every router goes on to send
- * there, prompts wait for each other, and callers leave before their first
- * event.
+ * Tells whether to probe for a slow worker.  If a first event is late although
+ * the workers pass events of other streams, one of them may have become slow.
+ * Without knowing it, every router continues to send there, prompts queue, and
+ * callers leave before their first event.
  */
 static bool ask_is_slow(const struct ask_stream *stream,
 			const struct ask_worker *worker, int64_t now)
 {
-	return !stream->began && now - stream->sent_us >= ASK_SLOW_FIRST_US &&
+	return !stream->began && now - stream->sent_us >= ASK_LATE_FIRST_US &&
 	       now - worker->slowdown_us >= ASK_SLOW_US &&
 	       now - worker->probed_us >= ASK_SLOW_US;
 }
--- a/src/ask.h
+++ b/src/ask.h
@@ -2,12 +2,12 @@
 #define ASK_H
 
 /*
- * Decides which workers of a stream to ask how they are.  Pure.
+ * Decides which workers of a stream to probe for their state.  Pure.
  *
- * Load pattern: a worker dies, falls silent or turns slow under full load.
- * One that is silent passes nothing; one that is slow passes all, and its own
- * report is the only sign.  Every question is paid for, so that workers are
- * not asked while the streams through them go on in time.
+ * Load pattern: a worker dies, falls silent or becomes slow under full load.  A
+ * silent worker passes no events; a slow one passes all of them, and only its
+ * own report shows that it is slow.  Every probe is billed, so workers are not
+ * probed while the streams through them are on time.
  */
 
 #include <stdbool.h>
@@ -17,25 +17,25 @@
 
 enum ask_reason {
 	ASK_NONE,
-	ASK_SILENT, /* nothing came through the worker for too long */
-	ASK_SLOW,   /* a first event is late, and its pace is not known */
+	ASK_SILENT, /* no event has passed the worker for too long */
+	ASK_SLOW,   /* a first event is late, its slowdown unknown */
 };
 
 struct ask_stream {
 	int64_t sent_us;	  /* this attempt */
-	int64_t last_progress_us; /* its last event, repair or send */
-	int64_t silence_limit_us; /* a silence this long is a sign */
-	bool began;		  /* its first event has come */
+	int64_t last_progress_us; /* last event, repair or send */
+	int64_t silence_limit_us; /* workers are probed after this silence */
+	bool began;		  /* the first event has been received */
 };
 
 struct ask_worker {
-	int64_t passed_us; /* an event of any stream came through it */
+	int64_t passed_us; /* last event of any stream through it */
 	int64_t probed_us;
-	int64_t slowdown_us; /* its pace was learned */
-	int probes;	     /* since an event came through it */
+	int64_t slowdown_us; /* when its slowdown was last learned */
+	int probes;	     /* since an event last passed through it */
 };
 
-/* A pause between two questions about one stream, at least. */
+/* Minimum interval between two probes for one stream. */
 #define ASK_INTERVAL_US (150 * MAG_US_PER_MS)
 
 enum ask_reason ask_worker(const struct ask_stream *stream,
