--- a/regress/check_bud.c
+++ b/regress/check_bud.c
@@ -6,8 +6,11 @@
 
 #define LINE_MAX_ 256
 
-/* Runs second sends of many routers against the bound over all of them. */
-static void drive(FILE *in, FILE *out)
+/*
+ * Runs retries against the budget: "budget WINDOW_S RATIO SLACK", "at MS",
+ * "requests N", "take N" and "slack SLACK".
+ */
+static void run_script(FILE *in, FILE *out)
 {
 	struct bud bud;
 	char line[LINE_MAX_];
@@ -16,7 +19,7 @@
 	double ratio;
 	double slack;
 	long ms;
-	int took;
+	int taken;
 	int n;
 
 	while (fgets(line, sizeof(line), in)) {
@@ -33,10 +36,10 @@
 			while (n-- > 0)
 				bud_add_request(&bud, now);
 		} else if (sscanf(line, "take %d", &n) == 1) {
-			took = 0;
+			taken = 0;
 			while (n-- > 0)
-				took += bud_take_retry(&bud, now);
-			fprintf(out, "%d taken\n", took);
+				taken += bud_take_retry(&bud, now);
+			fprintf(out, "%d taken\n", taken);
 		} else if (sscanf(line, "slack %lf", &slack) == 1) {
 			bud_set_slack(&bud, slack);
 		}
@@ -45,5 +48,5 @@
 
 int main(void)
 {
-	return script_main("regress/bud", drive);
+	return script_main("regress/bud", run_script);
 }
--- a/src/bud.c
+++ b/src/bud.c
@@ -3,15 +3,15 @@
 #include "bud.h"
 
 /*
- * The window is kept longer than the bound's own by an eighth, because slices
- * are coarse and a sliding window of the bound may begin inside of one.
+ * The window is an eighth longer than that of the bound, because slices are
+ * coarse and a sliding window of the bound may begin inside of one.
  */
 #define BUD_WINDOW_SLICES 56
 #define BUD_MARGIN	  1.125
 
 static struct bud_slice *bud_slice_at(struct bud *bud, int64_t now);
 
-/* Prepares an empty budget. */
+/* Initialises an empty budget. */
 void bud_init(struct bud *bud, int64_t window_us, double ratio, double slack)
 {
 	memset(bud, 0, sizeof(*bud));
@@ -26,13 +26,13 @@
 	bud->slack = slack;
 }
 
-/* Notes the first send of a request. */
+/* Counts the first send of a request. */
 void bud_add_request(struct bud *bud, int64_t now)
 {
 	bud_slice_at(bud, now)->requests++;
 }
 
-/* Takes one second send, if the window still has one. */
+/* Consumes one retry; returns false if the window has none left. */
 bool bud_take_retry(struct bud *bud, int64_t now)
 {
 	if (bud_left(bud, now) < 1)
@@ -41,7 +41,7 @@
 	return true;
 }
 
-/* Returns how many second sends are left now. */
+/* Returns how many retries are left now. */
 double bud_left(const struct bud *bud, int64_t now)
 {
 	int64_t number = now / bud->slice_us;
@@ -58,7 +58,7 @@
 	return bud->ratio * requests + bud->slack - repeats;
 }
 
-/* Returns the slice of a moment, emptied if it held an older one. */
+/* Returns the slice of a point in time, reset if it held an older one. */
 static struct bud_slice *bud_slice_at(struct bud *bud, int64_t now)
 {
 	int64_t number = now / bud->slice_us;
--- a/src/bud.h
+++ b/src/bud.h
@@ -2,14 +2,14 @@
 #define BUD_H
 
 /*
- * Budget of second sends to one service over a sliding window.  Pure.
+ * Retry budget of one service over a sliding window.  Pure.
  *
- * Load pattern: a worker is lost and every stream on it, or an outage ends
- * and every client repeats at once; second sends then multiply the load of
- * workers that are already at their limit.  The bound over all instances is
- * a share of the requests and a fixed slack; each instance keeps to the share
- * of its own requests and to its part of the slack, so that the sum holds
- * without a message between them.
+ * Load pattern: a worker is lost with all of its streams, or an outage ends and
+ * every client retries at once.  Retries then multiply the load of workers that
+ * are already at their limit.  The bound over all instances is a fraction of
+ * the requests plus a fixed slack.  Each instance limits its retries to that
+ * fraction of its own requests plus its part of the slack, so that the sum
+ * holds without messages between instances.
  */
 
 #include <stdbool.h>
@@ -18,7 +18,7 @@
 #define BUD_SLICES 64
 
 struct bud_slice {
-	int64_t number; /* of the slice since the clock's zero */
+	int64_t number; /* slices since time zero */
 	int requests;
 	int retries;
 };
