--- a/regress/check_quar.c
+++ b/regress/check_quar.c
@@ -9,7 +9,7 @@
 
 static FILE *script_out;
 
-/* Log lines are part of the output. */
+/* Prints log lines as part of the output. */
 static void log_line(void *ctx, enum log_prio prio, const char *line)
 {
 	(void)ctx;
@@ -17,17 +17,17 @@
 	fprintf(script_out, "  log %s\n", line);
 }
 
-/* Makes a fingerprint from a letter. */
-static const uint8_t *print_of(char letter)
+/* Returns a fingerprint made of one letter. */
+static const uint8_t *fingerprint_of(char letter)
 {
-	static uint8_t print[MAG_DIGEST_BYTES];
+	static uint8_t fingerprint[MAG_DIGEST_BYTES];
 
-	memset(print, letter, sizeof(print));
-	return print;
+	memset(fingerprint, letter, sizeof(fingerprint));
+	return fingerprint;
 }
 
-/* Prints how a fingerprint stands. */
-static void check(const struct quar *quar, char letter, int64_t now)
+/* Prints the state of a fingerprint. */
+static void print_state(const struct quar *quar, char letter, int64_t now)
 {
 	static const char *const states[] = {
 		[QUAR_CLEAR] = "clear",
@@ -36,23 +36,23 @@
 	};
 
 	fprintf(script_out, "%c is %s\n", letter,
-		states[quar_check(quar, print_of(letter), now)]);
+		states[quar_check(quar, fingerprint_of(letter), now)]);
 }
 
-/* Prints what the other instances are told. */
-static void news(struct quar *quar)
+/* Prints what is reported to other instances. */
+static void print_updates(struct quar *quar)
 {
-	uint8_t print[MAG_DIGEST_BYTES];
+	uint8_t fingerprint[MAG_DIGEST_BYTES];
 	int64_t until;
 	uint32_t lost;
 
-	while (quar_next_update(quar, print, &lost, &until))
-		fprintf(script_out, "news: %c lost %u until %d ms\n", print[0],
-			lost, (int)(until / MAG_US_PER_MS));
+	while (quar_next_update(quar, fingerprint, &lost, &until))
+		fprintf(script_out, "news: %c lost %u until %d ms\n",
+			fingerprint[0], lost, (int)(until / MAG_US_PER_MS));
 }
 
 /* Runs one script; see regress/quar. */
-static void driver(FILE *in, FILE *out)
+static void run_script(FILE *in, FILE *out)
 {
 	struct quar *quar = quar_new(3, 60 * MAG_US_PER_S);
 	char line[TEXT_MAX];
@@ -70,13 +70,14 @@
 		else if (sscanf(line, "at %d", &a) == 1)
 			now = a * MAG_US_PER_MS;
 		else if (sscanf(line, "check %c", &letter) == 1)
-			check(quar, letter, now);
+			print_state(quar, letter, now);
 		else if (sscanf(line, "lost %c %d %d", &letter, &a, &b) == 3)
-			quar_endpoint_lost(quar, print_of(letter), a, b, now);
+			quar_endpoint_lost(quar, fingerprint_of(letter), a, b,
+					   now);
 		else if (sscanf(line, "well %c", &letter) == 1)
-			quar_completed(quar, print_of(letter), now);
+			quar_completed(quar, fingerprint_of(letter), now);
 		else if (sscanf(line, "learn %c %d %d", &letter, &a, &b) == 3)
-			quar_learn(quar, print_of(letter), (uint32_t)a,
+			quar_learn(quar, fingerprint_of(letter), (uint32_t)a,
 				   b * MAG_US_PER_MS, now);
 		else if (sscanf(line, "together %d", &a) == 1)
 			fprintf(out, "%s\n",
@@ -88,13 +89,12 @@
 				quar_is_evidence(a, b, others) ? "evidence"
 							       : "none");
 		else if (strcmp(line, "news\n") == 0)
-			news(quar);
+			print_updates(quar);
 	}
 	quar_free(quar);
 }
 
-/* Runs all scripts. */
 int main(void)
 {
-	return script_main("regress/quar", driver);
+	return script_main("regress/quar", run_script);
 }
--- a/src/quar.c
+++ b/src/quar.c
@@ -9,41 +9,41 @@
 
 #define QUAR_BUCKETS	   1024 /* a power of two */
 #define QUAR_ENDPOINTS_MAX 2	/* losses that quarantine a fingerprint */
-#define QUAR_SHOWN	   8	/* bytes of a fingerprint in a log line */
+#define QUAR_LOG_BYTES	   8	/* bytes of a fingerprint in a log line */
 
 struct quar_entry {
-	struct cds_list_head by_print;
-	struct cds_list_head by_age; /* the longest unchanged one first */
-	struct cds_list_head in_news;
-	uint8_t print[MAG_DIGEST_BYTES];
+	struct cds_list_head by_fingerprint;
+	struct cds_list_head by_age; /* least recently changed first */
+	struct cds_list_head in_updates;
+	uint8_t fingerprint[MAG_DIGEST_BYTES];
 	uint32_t lost; /* endpoints, as far as this or another instance knows */
 	int64_t until_us;
-	bool news;
+	bool update_pending;
 };
 
 struct quar {
 	uint32_t max_entries;
 	uint32_t count;
 	int64_t hold_us;
-	struct cds_list_head by_print[QUAR_BUCKETS];
+	struct cds_list_head by_fingerprint[QUAR_BUCKETS];
 	struct cds_list_head by_age;
-	struct cds_list_head news;
+	struct cds_list_head updates;
 };
 
-static struct quar_entry *quar_find(const struct quar *quar,
-				    const uint8_t print[MAG_DIGEST_BYTES]);
-static struct quar_entry *quar_take(struct quar *quar,
-				    const uint8_t print[MAG_DIGEST_BYTES]);
+static struct quar_entry *
+quar_find(const struct quar *quar, const uint8_t fingerprint[MAG_DIGEST_BYTES]);
+static struct quar_entry *quar_add(struct quar *quar,
+				   const uint8_t fingerprint[MAG_DIGEST_BYTES]);
 static struct cds_list_head *quar_bucket(const struct quar *quar,
-					 const uint8_t *print);
-static void quar_forget(struct quar *quar, struct quar_entry *entry);
-static void quar_renew(struct quar *quar, struct quar_entry *entry);
+					 const uint8_t *fingerprint);
+static void quar_remove(struct quar *quar, struct quar_entry *entry);
+static void quar_touch(struct quar *quar, struct quar_entry *entry);
 static void quar_log(enum log_id id, const struct quar_entry *entry);
 
 /*
- * Makes an empty table that holds a fingerprint for hold_us after its last
- * loss.  When it is full, the one longest unchanged makes way.  Returns NULL
- * if memory is short.
+ * Creates an empty table that holds a fingerprint for hold_us after its last
+ * loss.  When the table is full, the least recently changed entry is evicted.
+ * Returns NULL if out of memory.
  */
 struct quar *quar_new(uint32_t max_entries, int64_t hold_us)
 {
@@ -55,9 +55,9 @@
 	quar->max_entries = max_entries;
 	quar->hold_us = hold_us;
 	for (i = 0; i < QUAR_BUCKETS; i++)
-		CDS_INIT_LIST_HEAD(&quar->by_print[i]);
+		CDS_INIT_LIST_HEAD(&quar->by_fingerprint[i]);
 	CDS_INIT_LIST_HEAD(&quar->by_age);
-	CDS_INIT_LIST_HEAD(&quar->news);
+	CDS_INIT_LIST_HEAD(&quar->updates);
 	return quar;
 }
 
@@ -75,8 +75,9 @@
 }
 
 /*
- * Tells whether endpoints that were lost within a second have a cause in
- * common: a request reaches one after the other, and is held after two.
+ * Tells whether endpoints that were lost within a second have a common cause.
+ * A request crashes one endpoint after the other and is quarantined after two,
+ * so it cannot explain more losses.
  */
 bool quar_have_common_cause(int lost_together)
 {
@@ -84,21 +85,23 @@
 }
 
 /*
- * Tells whether the loss of an endpoint speaks against a request that was sent
- * there: not if others ran there and it was heard for the last time, by any
- * of them, before this one came.  Endpoints that are lost together are dead
- * already when the requests of the first one reach the next.
+ * Tells whether the loss of an endpoint is evidence against a request that was
+ * sent there.  It is not if other requests ran there and none of them received
+ * anything from the endpoint after this one was sent.  When endpoints are lost
+ * together, the requests of the first one are sent on to others that are
+ * already dead.
  */
 bool quar_is_evidence(int64_t began_us, int64_t alive_us, bool others)
 {
 	return !others || alive_us >= began_us;
 }
 
-/* Tells how a request of a fingerprint is to be treated. */
+/* Returns how a request with this fingerprint is to be treated. */
 enum quar_state quar_check(const struct quar *quar,
-			   const uint8_t print[MAG_DIGEST_BYTES], int64_t now)
+			   const uint8_t fingerprint[MAG_DIGEST_BYTES],
+			   int64_t now)
 {
-	const struct quar_entry *entry = quar_find(quar, print);
+	const struct quar_entry *entry = quar_find(quar, fingerprint);
 
 	if (!entry || now >= entry->until_us)
 		return QUAR_CLEAR;
@@ -107,68 +110,71 @@
 }
 
 /*
- * Notes that an endpoint died while a request of this fingerprint ran on
+ * Records that an endpoint died while a request with this fingerprint ran on
  * it.  The first loss makes it a suspect; a second one quarantines it if no
- * other suspect was there (was_alone).  Otherwise it stays a suspect: what
- * ran beside a poisonous request twice by chance would be refused with it.
+ * other suspect was there (was_alone).  Otherwise it stays a suspect: a request
+ * that twice ran beside a harmful one by chance would be refused with it.
  */
 void quar_endpoint_lost(struct quar *quar,
-			const uint8_t print[MAG_DIGEST_BYTES], int endpoint,
-			bool was_alone, int64_t now)
+			const uint8_t fingerprint[MAG_DIGEST_BYTES],
+			int endpoint, bool was_alone, int64_t now)
 {
-	struct quar_entry *entry = quar_find(quar, print);
+	struct quar_entry *entry = quar_find(quar, fingerprint);
 	uint32_t before;
 
 	(void)endpoint;
 	if (entry && now >= entry->until_us) {
-		quar_forget(quar, entry);
+		quar_remove(quar, entry);
 		entry = NULL;
 	}
 	if (!entry)
-		entry = quar_take(quar, print);
+		entry = quar_add(quar, fingerprint);
 	if (!entry)
 		return;
 	before = entry->lost;
 	if (entry->lost == 0 || (was_alone && entry->lost < QUAR_ENDPOINTS_MAX))
 		entry->lost++;
 	entry->until_us = now + quar->hold_us;
-	quar_renew(quar, entry);
+	quar_touch(quar, entry);
 	if (entry->lost == before)
 		return;
 	quar_log(entry->lost >= QUAR_ENDPOINTS_MAX ? LOG_QUAR_HELD
 						   : LOG_QUAR_SUSPECT,
 		 entry);
-	if (!entry->news)
-		cds_list_add_tail(&entry->in_news, &quar->news);
-	entry->news = true;
+	if (!entry->update_pending)
+		cds_list_add_tail(&entry->in_updates, &quar->updates);
+	entry->update_pending = true;
 }
 
 /*
- * Notes that a request of a fingerprint ran to its end: a suspect is
- * cleared.  A quarantine stays, as nothing should have run.
+ * Records that a request with this fingerprint completed: a suspect is
+ * cleared.  A quarantine remains, because nothing should have run.
  */
-void quar_completed(struct quar *quar, const uint8_t print[MAG_DIGEST_BYTES],
-		    int64_t now)
+void quar_completed(struct quar *quar,
+		    const uint8_t fingerprint[MAG_DIGEST_BYTES], int64_t now)
 {
-	struct quar_entry *entry = quar_find(quar, print);
+	struct quar_entry *entry = quar_find(quar, fingerprint);
 
 	(void)now;
 	if (!entry || entry->lost >= QUAR_ENDPOINTS_MAX)
 		return;
 	quar_log(LOG_QUAR_CLEARED, entry);
-	quar_forget(quar, entry);
+	quar_remove(quar, entry);
 }
 
-/* Learns from another instance; the stronger and longer verdict holds. */
-void quar_learn(struct quar *quar, const uint8_t print[MAG_DIGEST_BYTES],
+/*
+ * Merges the state of another instance: the higher count of losses and the
+ * later expiry apply.
+ */
+void quar_learn(struct quar *quar, const uint8_t fingerprint[MAG_DIGEST_BYTES],
 		uint32_t endpoints_lost, int64_t until_us, int64_t now)
 {
-	struct quar_entry *entry = quar_find(quar, print);
+	struct quar_entry *entry = quar_find(quar, fingerprint);
 
 	if (endpoints_lost == 0 || until_us <= now)
 		return;
 	if (!entry)
-		entry = quar_take(quar, print);
+		entry = quar_add(quar, fingerprint);
 	if (!entry)
 		return;
 	if (entry->lost < endpoints_lost) {
@@ -179,24 +185,25 @@
 	}
 	if (entry->until_us < until_us)
 		entry->until_us = until_us;
-	quar_renew(quar, entry);
+	quar_touch(quar, entry);
 }
 
 /*
- * Hands out what other instances should hear of, each change once.  Returns
- * false if there is nothing.
+ * Returns the next change to report to other instances, each change once.
+ * Returns false if there is none.
  */
-bool quar_next_update(struct quar *quar, uint8_t print[MAG_DIGEST_BYTES],
+bool quar_next_update(struct quar *quar, uint8_t fingerprint[MAG_DIGEST_BYTES],
 		      uint32_t *endpoints_lost, int64_t *until_us)
 {
 	struct quar_entry *entry;
 
-	if (cds_list_empty(&quar->news))
+	if (cds_list_empty(&quar->updates))
 		return false;
-	entry = cds_list_first_entry(&quar->news, struct quar_entry, in_news);
-	cds_list_del(&entry->in_news);
-	entry->news = false;
-	memcpy(print, entry->print, MAG_DIGEST_BYTES);
+	entry = cds_list_first_entry(&quar->updates, struct quar_entry,
+				     in_updates);
+	cds_list_del(&entry->in_updates);
+	entry->update_pending = false;
+	memcpy(fingerprint, entry->fingerprint, MAG_DIGEST_BYTES);
 	*endpoints_lost = entry->lost;
 	*until_us = entry->until_us;
 	return true;
@@ -204,74 +211,75 @@
 
 /* Finds the entry of a fingerprint, or NULL. */
 static struct quar_entry *quar_find(const struct quar *quar,
-				    const uint8_t print[MAG_DIGEST_BYTES])
+				    const uint8_t fingerprint[MAG_DIGEST_BYTES])
 {
-	struct cds_list_head *bucket = quar_bucket(quar, print);
+	struct cds_list_head *bucket = quar_bucket(quar, fingerprint);
 	struct quar_entry *entry;
 
-	cds_list_for_each_entry (entry, bucket, by_print) {
-		if (memcmp(entry->print, print, MAG_DIGEST_BYTES) == 0)
+	cds_list_for_each_entry (entry, bucket, by_fingerprint) {
+		if (memcmp(entry->fingerprint, fingerprint, MAG_DIGEST_BYTES) ==
+		    0)
 			return entry;
 	}
 	return NULL;
 }
 
-/* Makes the entry of a fingerprint; NULL if memory is short. */
-static struct quar_entry *quar_take(struct quar *quar,
-				    const uint8_t print[MAG_DIGEST_BYTES])
+/* Creates the entry of a fingerprint; NULL if out of memory. */
+static struct quar_entry *quar_add(struct quar *quar,
+				   const uint8_t fingerprint[MAG_DIGEST_BYTES])
 {
 	struct quar_entry *entry;
 
 	if (quar->count >= quar->max_entries && quar->count > 0)
-		quar_forget(quar,
+		quar_remove(quar,
 			    cds_list_first_entry(&quar->by_age,
 						 struct quar_entry, by_age));
 	entry = calloc(1, sizeof(*entry));
 	if (!entry)
 		return NULL;
-	memcpy(entry->print, print, MAG_DIGEST_BYTES);
-	cds_list_add(&entry->by_print, quar_bucket(quar, print));
+	memcpy(entry->fingerprint, fingerprint, MAG_DIGEST_BYTES);
+	cds_list_add(&entry->by_fingerprint, quar_bucket(quar, fingerprint));
 	cds_list_add_tail(&entry->by_age, &quar->by_age);
 	quar->count++;
 	return entry;
 }
 
-/* Returns the list that a fingerprint belongs to; it is a hash already. */
+/* Returns the bucket of a fingerprint, which is itself a hash. */
 static struct cds_list_head *quar_bucket(const struct quar *quar,
-					 const uint8_t *print)
+					 const uint8_t *fingerprint)
 {
 	uint32_t hash;
 
-	memcpy(&hash, print, sizeof(hash));
+	memcpy(&hash, fingerprint, sizeof(hash));
 	return (struct cds_list_head *)&quar
-		->by_print[hash & (QUAR_BUCKETS - 1)];
+		->by_fingerprint[hash & (QUAR_BUCKETS - 1)];
 }
 
-/* Takes an entry out of every list. */
-static void quar_forget(struct quar *quar, struct quar_entry *entry)
+/* Removes an entry from every list and frees it. */
+static void quar_remove(struct quar *quar, struct quar_entry *entry)
 {
-	cds_list_del(&entry->by_print);
+	cds_list_del(&entry->by_fingerprint);
 	cds_list_del(&entry->by_age);
-	if (entry->news)
-		cds_list_del(&entry->in_news);
+	if (entry->update_pending)
+		cds_list_del(&entry->in_updates);
 	quar->count--;
 	free(entry);
 }
 
-/* Notes that an entry changed. */
-static void quar_renew(struct quar *quar, struct quar_entry *entry)
+/* Moves an entry to the most recently changed end. */
+static void quar_touch(struct quar *quar, struct quar_entry *entry)
 {
 	cds_list_del(&entry->by_age);
 	cds_list_add_tail(&entry->by_age, &quar->by_age);
 }
 
-/* Writes a log line with the start of the fingerprint. */
+/* Writes a log line with the first bytes of the fingerprint. */
 static void quar_log(enum log_id id, const struct quar_entry *entry)
 {
-	char text[2 * QUAR_SHOWN + 1];
+	char text[2 * QUAR_LOG_BYTES + 1];
 	int i;
 
-	for (i = 0; i < QUAR_SHOWN; i++)
-		snprintf(text + 2 * i, 3, "%02x", entry->print[i]);
+	for (i = 0; i < QUAR_LOG_BYTES; i++)
+		snprintf(text + 2 * i, 3, "%02x", entry->fingerprint[i]);
 	log_event(id, "fingerprint=%s endpoints_lost=%u", text, entry->lost);
 }
--- a/src/quar.h
+++ b/src/quar.h
@@ -2,10 +2,11 @@
 #define QUAR_H
 
 /*
- * Requests that crash the endpoints that run them.  When an endpoint dies,
- * the fingerprints running on it become suspects; a suspect runs again only
- * on endpoints without another one, until it has proved harmless there; a
- * second endpoint lost under it quarantines it on every instance.
+ * Quarantine of requests that crash the endpoints that run them.  When an
+ * endpoint dies, the fingerprints running on it become suspects.  A suspect
+ * runs again only on endpoints without another suspect, until it has completed
+ * there.  A second endpoint lost while it runs quarantines it on every
+ * instance.
  */
 
 #include <stdbool.h>
@@ -26,15 +27,16 @@
 bool quar_have_common_cause(int lost_together);
 bool quar_is_evidence(int64_t began_us, int64_t alive_us, bool others);
 enum quar_state quar_check(const struct quar *quar,
-			   const uint8_t print[MAG_DIGEST_BYTES], int64_t now);
+			   const uint8_t fingerprint[MAG_DIGEST_BYTES],
+			   int64_t now);
 void quar_endpoint_lost(struct quar *quar,
-			const uint8_t print[MAG_DIGEST_BYTES], int endpoint,
-			bool was_alone, int64_t now);
-void quar_completed(struct quar *quar, const uint8_t print[MAG_DIGEST_BYTES],
-		    int64_t now);
-void quar_learn(struct quar *quar, const uint8_t print[MAG_DIGEST_BYTES],
+			const uint8_t fingerprint[MAG_DIGEST_BYTES],
+			int endpoint, bool was_alone, int64_t now);
+void quar_completed(struct quar *quar,
+		    const uint8_t fingerprint[MAG_DIGEST_BYTES], int64_t now);
+void quar_learn(struct quar *quar, const uint8_t fingerprint[MAG_DIGEST_BYTES],
 		uint32_t endpoints_lost, int64_t until_us, int64_t now);
-bool quar_next_update(struct quar *quar, uint8_t print[MAG_DIGEST_BYTES],
+bool quar_next_update(struct quar *quar, uint8_t fingerprint[MAG_DIGEST_BYTES],
 		      uint32_t *endpoints_lost, int64_t *until_us);
 
 #endif /* QUAR_H */
