--- a/src/eset.c
+++ b/src/eset.c
@@ -9,9 +9,9 @@
 enum eset_type {
 	ESET_TEXT,
 	ESET_INT,    /* int */
-	ESET_WIDE,   /* int64_t */
-	ESET_MS,     /* milliseconds, kept as int64_t microseconds */
-	ESET_S,	     /* seconds, kept as int64_t microseconds */
+	ESET_INT64,  /* int64_t */
+	ESET_MS,     /* milliseconds, stored as int64_t microseconds */
+	ESET_S,	     /* seconds, stored as int64_t microseconds */
 	ESET_NUMBER, /* double */
 	ESET_FLAG,
 };
@@ -20,7 +20,7 @@
 	const char *name;
 	enum eset_type type;
 	size_t offset;
-	size_t size; /* of a text */
+	size_t size; /* of the buffer of a text */
 };
 
 #define ESET_TEXT_FIELD(member)                                                \
@@ -38,7 +38,7 @@
 	ESET_TEXT_FIELD(store),
 	{ "peer_port", ESET_INT, offsetof(struct eset, peer_port), 0 },
 	{ "metrics_port", ESET_INT, offsetof(struct eset, metrics_port), 0 },
-	{ "store_lease_ms_min", ESET_WIDE,
+	{ "store_lease_ms_min", ESET_INT64,
 	  offsetof(struct eset, store_lease_ms_min), 0 },
 	{ "first_start", ESET_FLAG, offsetof(struct eset, first_start), 0 },
 	{ "stop_s", ESET_S, offsetof(struct eset, stop_us), 0 },
@@ -55,15 +55,15 @@
 	{ "open_files", ESET_INT, offsetof(struct eset, open_files), 0 },
 };
 
-static int eset_take(const struct eset_field *field, const json_t *value,
-		     struct eset *set);
-static int eset_number(const struct eset_field *field, const json_t *value,
-		       void *at);
+static int eset_parse_field(const struct eset_field *field, const json_t *value,
+			    struct eset *set);
+static int eset_parse_number(const struct eset_field *field,
+			     const json_t *value, void *at);
 
 /*
- * Reads and checks a settings file.  Fields that are not known are ignored,
- * because a newer platform may add some.  On an error nothing is taken and
- * why names the field.
+ * Reads and checks a settings file.  Unknown fields are ignored, because a
+ * newer platform may add some.  On an error set is unchanged and why names the
+ * field.
  */
 int eset_load(const char *path, struct eset *set, char *why, int why_size)
 {
@@ -82,8 +82,8 @@
 	}
 	for (i = 0; i < MAG_ARRAY_SIZE(eset_fields); i++) {
 		field = &eset_fields[i];
-		if (eset_take(field, json_object_get(root, field->name),
-			      &fresh)) {
+		if (eset_parse_field(field, json_object_get(root, field->name),
+				     &fresh)) {
 			snprintf(why, (size_t)why_size,
 				 "settings: %s: missing or malformed",
 				 field->name);
@@ -96,8 +96,8 @@
 	return ESET_OK;
 }
 
-static int eset_take(const struct eset_field *field, const json_t *value,
-		     struct eset *set)
+static int eset_parse_field(const struct eset_field *field, const json_t *value,
+			    struct eset *set)
 {
 	char *at = (char *)set + field->offset;
 
@@ -114,12 +114,12 @@
 		*(bool *)at = json_is_true(value);
 		return ESET_OK;
 	default:
-		return eset_number(field, value, at);
+		return eset_parse_number(field, value, at);
 	}
 }
 
-static int eset_number(const struct eset_field *field, const json_t *value,
-		       void *at)
+static int eset_parse_number(const struct eset_field *field,
+			     const json_t *value, void *at)
 {
 	double number;
 
@@ -130,7 +130,7 @@
 	case ESET_INT:
 		*(int *)at = (int)number;
 		break;
-	case ESET_WIDE:
+	case ESET_INT64:
 		*(int64_t *)at = (int64_t)number;
 		break;
 	case ESET_MS:
--- a/src/eset.h
+++ b/src/eset.h
@@ -1,7 +1,7 @@
 #ifndef ESET_H
 #define ESET_H
 
-/* Settings of a router on a platform: JSON, checked as a whole. */
+/* Settings of a router on a platform: a JSON file, checked as a whole. */
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -18,22 +18,22 @@
 	char instance[MAG_NAME_MAX];
 	char data_centre[MAG_NAME_MAX];
 	char address[MAG_ADDR_MAX];   /* of this machine, without a port */
-	char callers[MAG_ADDR_MAX];   /* where callers are served */
-	char readiness[MAG_ADDR_MAX]; /* where readiness is asked for */
+	char callers[MAG_ADDR_MAX];   /* listen address for callers */
+	char readiness[MAG_ADDR_MAX]; /* listen address for readiness checks */
 	char store[MAG_ADDR_MAX];
 	int peer_port;
 	int metrics_port;
 	int64_t store_lease_ms_min;
 	bool first_start; /* the whole system starts for the first time */
-	int64_t stop_us;  /* from the signal to stop until a kill */
+	int64_t stop_us;  /* from the signal to stop until the kill */
 	int64_t config_apply_us; /* a configuration is in force within this */
-	int64_t drain_us; /* a leaving worker gets nothing new after this */
-	int64_t keys_stale_us; /* a removed key may work for so long */
+	int64_t drain_us; /* a leaving worker receives nothing new after this */
+	int64_t keys_stale_us; /* a removed key may still work for so long */
 	bool keys_fail_closed;
 	double retry_ratio;
 	int64_t retry_window_us;
 	double retry_slack; /* of all instances together */
-	int64_t stall_us;   /* a dead worker's streams are cut after this */
+	int64_t stall_us;   /* streams of a dead worker are cut after this */
 	int open_files;
 };
 
