--- a/regress/edge/bad-requests.sh
+++ b/regress/edge/bad-requests.sh
@@ -1,5 +1,5 @@
-# Requests that hide another one, or that cannot be read, end with an error
-# and reach no worker.
+# Requests that smuggle another one, or that cannot be parsed, are answered with
+# an error and reach no worker.
 . edge/lib.sh
 start_platform
 send() { (printf "$1"; sleep 0.4) | timeout 3 curl -sN "telnet://$(router 1)" | head -n 1 | tr -d '\r'; }
--- a/regress/edge/begun-anew.sh
+++ b/regress/edge/begun-anew.sh
@@ -1,8 +1,8 @@
-# An engine in the middle of chains stops answering.  All its streams would read
-# their prompts again through the one worker that holds the same layers, if each
-# were repaired in place, and the last of them would pause for too long.  Where
-# the route allows a second run they begin anew on another chain, as far as the
-# budget of second sends goes.
+# An engine in the middle of chains stops answering.  If all of its streams were
+# repaired in place, all of their prompts would be read by the one other worker
+# that holds the same layers, and the last stream would pause for too long.  If
+# the route allows a second run, streams restart on another chain as far as the
+# retry budget allows.
 . edge/lib.sh
 start_halves
 stop_second_half repair
--- a/regress/edge/cut-from-store.sh
+++ b/regress/edge/cut-from-store.sh
@@ -1,7 +1,7 @@
-# One router cannot reach the store and the other one can.  Keys must not be
-# trusted for longer than the bound; without its peer's word the router would
-# refuse all of its callers for as long as that lasts, and its callers' second
-# attempts would meet it again.
+# One router cannot reach the store while the other one can.  Keys must not be
+# trusted for longer than the bound.  Without its peer's confirmation that they
+# are current, the router would refuse all of its callers while the cut lasts,
+# and their retries would reach it again.
 . edge/lib.sh
 mkfifo "$dir/proxy"
 "$build/tool_proxy" 127.0.0.1:$((base + 1)) $store <"$dir/proxy" 2>/dev/null &
@@ -17,17 +17,17 @@
 wait_for "ready 1" && wait_for "ready 2"
 wait_for "[ \$(ask) = 200 ]"
 wait_for "[ \$(curl -s http://$store/api/kv-range?PathPrefix=mag/instance | grep -o instance/r- | wc -l) = 2 ]"
-# The routers hear of each other by the next watch.
+# The routers learn of each other from their next watch.
 sleep 1.5
 echo silent >&5
-# The store goes on meanwhile, which the router hears of from its peer; that must
-# not keep it from knowing that it is cut off.
+# The store changes meanwhile, and the router learns of that from its peer.  It
+# must still detect that it is cut off.
 put_config 1
 wait_for "logged 1 platform-unreachable" && echo "cut off from the store"
 sleep 6
 ready 1 && echo "ready"
 echo "$(ask)"
-# A key is taken away, which the peer knows and this router does not.
+# A key is revoked; the peer knows of it and this router does not.
 put_config 2 '"key-2"'
 wait_for "! ready 1" && echo "not ready"
 wait_for "[ \$(ask) = 503 ]" && echo "refused"
--- a/regress/edge/cut-off-chain.sh
+++ b/regress/edge/cut-off-chain.sh
@@ -1,6 +1,6 @@
-# A whole chain falls silent at once, first worker and all, as when a data
-# centre is cut off.  To tell its first worker of another chain would be waited
-# for in vain, while callers count the pause: the streams go on elsewhere.
+# A whole chain falls silent at once, including its first worker, as when a data
+# centre is cut off.  A repair order to the first worker would never be answered
+# while the pause grows, so the streams restart elsewhere.
 . edge/lib.sh
 start_halves
 "$build/tool_calls" cut 6 30 $(router 1) >"$dir/calls" &
--- a/regress/edge/dropped-question.sh
+++ b/regress/edge/dropped-question.sh
@@ -1,7 +1,8 @@
 # All engines with some layers stop for a second, and the first workers of the
-# streams that wait are asked; the connections of these questions are reset, as
-# links and workers do to idle ones.  Taken for deaths, that would move streams
-# off sound workers, to run once more than their route allows.
+# waiting streams are probed.  The connections of these probes are reset, as
+# links and workers reset idle ones.  If the resets were taken for deaths,
+# streams would be moved off healthy workers and run once more than their route
+# allows.
 . edge/lib.sh
 start_halves
 "$build/tool_calls" drop 6 30 $(router 1) >"$dir/calls" &
@@ -18,7 +19,7 @@
 sleep 1
 for n in $stopped; do eval "kill -CONT \$worker_$n"; done
 wait $calls
-# Ids are w-NUMBER-...; those that stopped may be suspected.
+# Worker ids are w-NUMBER-...; those that were stopped may be suspected.
 not_stopped=$(echo $stopped | sed 's/ /|/g; s/.*/"worker":"w-(&)-/')
 grep '"name":"worker-suspected"' "$dir/router.1.log" |
 	grep -vE "$not_stopped" || echo "no sound worker was suspected"
--- a/regress/edge/gone-after-outage.sh
+++ b/regress/edge/gone-after-outage.sh
@@ -1,6 +1,7 @@
-# A worker's entry goes some time after the store has come back.  Taken for one
-# that had lapsed in the outage, it would get requests for another two seconds,
-# as a leaving worker that is about to exit; its callers' streams would be cut.
+# A worker's entry is deleted some time after the store has returned from an
+# outage.  If it were taken for an entry that expired in the outage, the worker
+# would receive requests for another two seconds.  A leaving worker that is
+# about to exit would then cut its callers' streams.
 . edge/lib.sh
 start_platform
 fault reset
--- a/regress/edge/hung-worker.sh
+++ b/regress/edge/hung-worker.sh
@@ -1,6 +1,6 @@
-# An engine stops answering and keeps its connections open, as a frozen
-# machine does.  Callers leave after two seconds of silence, so the silence
-# itself must move their streams.
+# An engine stops answering but holds its connections open, as a frozen machine
+# does.  Callers leave after two seconds of silence, so the silence itself must
+# cause their streams to be moved.
 . edge/lib.sh
 start_platform
 "$build/tool_calls" hung 6 30 $(router 1) $(router 2) >"$dir/calls" &
--- a/regress/edge/keys.sh
+++ b/regress/edge/keys.sh
@@ -1,6 +1,6 @@
-# A key is taken away.  With the store in reach its callers hear 401; a router
-# that is cut off refuses keys once it cannot know any more, and does not let
-# a removed one through.
+# A key is revoked.  If the store is reachable its callers receive 401.  A
+# router that is cut off refuses all keys once it can no longer check them, and
+# does not accept a revoked one.
 . edge/lib.sh
 start_platform
 put_config 2 '"key-2"'
--- a/regress/edge/killed-router.sh
+++ b/regress/edge/killed-router.sh
@@ -1,5 +1,5 @@
-# A router is killed, the placer if it was, and starts again.  The other one
-# serves on; the new process takes its place without a wrong answer.
+# A router, possibly the placer, is killed and started again.  The other router
+# continues to serve; the new process takes its place without a wrong answer.
 . edge/lib.sh
 start_platform
 "$build/tool_calls" krout 6 30 $(router 1) $(router 2) >"$dir/calls" &
--- a/regress/edge/leaving-worker.sh
+++ b/regress/edge/leaving-worker.sh
@@ -1,5 +1,5 @@
-# A plain worker says that it is leaving.  It gets nothing new, and no caller
-# notices.
+# A plain worker reports that it is leaving.  It receives nothing new, and no
+# caller is affected.
 . edge/lib.sh
 start_platform
 "$build/tool_calls" leave 5 40 $(router 1) $(router 2) >"$dir/calls" &
--- a/regress/edge/lib.sh
+++ b/regress/edge/lib.sh
@@ -1,6 +1,6 @@
-# Starts the stand-ins of a platform and routers on it, each a process.  A
-# run's ports follow from its slot, so that runs beside each other do not meet;
-# they lie below the ports that the system gives to outgoing connections.
+# Starts a platform's stand-ins and routers, each as a process.  The ports of a
+# run follow from its slot, so that parallel runs do not collide; they are below
+# the range that the system uses for outgoing connections.
 build=$1
 dir=$(mktemp -d)
 base=$((12000 + ${SLOT:-0} * 100))
@@ -47,7 +47,7 @@
 	pids="$pids $!"
 }
 
-# put_config VERSION [KEYS]: the operator's write.
+# put_config VERSION [KEYS]: publishes a configuration as the operator does.
 put_config() {
 	keys=${2:-\"key-1\"}
 	curl -s -X POST "http://$store/stand-in/put?Key=op/config" --data-binary @- <<-JSON
@@ -64,7 +64,8 @@
 	JSON
 }
 
-# wait_for COMMAND: until it succeeds, some seconds at most.
+# wait_for COMMAND: repeats it until it succeeds, for at most 15 s and the time
+# of the command itself.
 wait_for() {
 	i=0
 	until eval "$1"; do
@@ -79,8 +80,9 @@
 worker() { echo "127.0.0.1:$((base + 10 + $1))"; }
 fault() { curl -s -o "$dir/null" "http://$store/stand-in/fault?Kind=$1"; }
 store_copies() { curl -s -o "$dir/null" "http://$store/stand-in/copy"; }
-# store_returns AWAY_MS LATE_MS BUMP: the store is away, comes back from its copy,
-# gives so many revisions to others, and takes workers' entries only so much later.
+# store_returns AWAY_MS LATE_MS BUMP: restores the store from its backup.  It is
+# unreachable for AWAY_MS, then advances its revision by BUMP as if others had
+# written, and drops the workers' entries for another LATE_MS.
 store_returns() {
 	curl -s -o "$dir/null" "http://$store/stand-in/restore?AwayMs=$1&LateMs=$2&Bump=$3"
 	wait_for "grep -q RESTORED $dir/store.log"
@@ -88,8 +90,8 @@
 in_store() { curl -s "http://$store/api/kv-range?PathPrefix=$1" | grep -o '"Key":' | wc -l; }
 logged() { grep -q "$2" "$dir/router.$1.log"; }
 
-# Two data centres, each with one large and three small engines and a plain
-# worker, and a router in each: the usual run.
+# The usual platform: two data centres, each with one large and two small
+# engines, a plain worker and a router.
 start_platform() {
 	start_store
 	put_config 1
@@ -105,12 +107,12 @@
 	start_router 2 b
 	wait_for "ready 1" && wait_for "ready 2"
 	wait_for "[ \$(cat $dir/worker.*.log | grep -c ^ORDER) -ge 6 ]"
-	# A router hears of the layers with the workers' next entries.
+	# A router learns of the layers from the next entries of the workers.
 	wait_for "served_once"
 }
 
-# One data centre with four small engines, which hold the layers in halves, two
-# of them each half, a plain worker and one router.
+# One data centre with four small engines, each holding one half of the layers
+# so that two engines hold each half, a plain worker and one router.
 start_halves() {
 	start_store
 	put_config 1
@@ -125,8 +127,8 @@
 	wait_for "served_by $(router 1)"
 }
 
-# start_twins ROUTERS [KEYS]: one data centre with two large engines, each with all
-# layers, two plain workers and so many routers.
+# start_twins ROUTERS [KEYS]: one data centre with two large engines that each
+# hold all layers, two plain workers and ROUTERS routers.
 start_twins() {
 	start_store
 	put_config 1 "$2"
@@ -142,8 +144,9 @@
 	wait_for "served_by $routers"
 }
 
-# stop_second_half NAME: callers ask router 1 for 6 s, as NAME, and meanwhile
-# one of the two engines that hold the second half of the layers stops.
+# stop_second_half NAME: sends requests named NAME to router 1 for 6 s;
+# meanwhile stops one of the two engines that hold the second half of the
+# layers.
 stop_second_half() {
 	"$build/tool_calls" "$1" 6 30 $(router 1) >"$dir/calls" &
 	calls=$!
@@ -157,23 +160,25 @@
 
 served_once() { served_by $(router 1) $(router 2); }
 
-# served_by ROUTER...: all of some requests are answered whole.
+# served_by ROUTER...: sends some requests and succeeds if all are answered
+# completely.
 served_by() {
 	"$build/tool_calls" probe$(date +%N) 0.5 8 "$@" >"$dir/probe"
 	! grep -v " 200 whole" "$dir/probe" >/dev/null
 }
 
-# name_limit NUMBER PER_S: a worker names a limit from now on, or none.
+# name_limit NUMBER [PER_S]: a worker states this rate limit from now on, or no
+# limit.
 name_limit() { curl -s -o "$dir/null" "http://$(worker $1)/stand-in/limit/${2:-}"; }
 
-# limits: compares what limited workers got with what they take.
+# limits: compares the requests that limited workers received with their limits.
 limits() {
 	grep -h '^GOT\|^LIMIT' "$dir"/worker.*.log | sort -s -k 3,3n |
 		awk -f edge/limits.awk
 }
 
-# verify LEAST: compares what callers saw with what workers did.  Tokens are
-# put in the order of time: their lines lie in a file for each worker.
+# verify LEAST: compares what callers saw with what workers did.  TOKEN lines
+# are sorted by time, because each worker writes a file of its own.
 verify() {
 	{
 		grep -h '^TOKEN' "$dir"/worker.*.log | sort -s -k 7,7n
--- a/regress/edge/limit-ended.sh
+++ b/regress/edge/limit-ended.sh
@@ -1,5 +1,5 @@
-# An engine names a limit for some seconds and then no longer does.  A limit that
-# is remembered would keep a sound worker idle.
+# An engine states a rate limit for some seconds and then no longer does.  A
+# limit that did not end would leave a healthy worker idle.
 . edge/lib.sh
 start_twins 2
 name_limit 1 2
--- a/regress/edge/limited-worker.sh
+++ b/regress/edge/limited-worker.sh
@@ -1,7 +1,7 @@
-# An engine and a plain worker name the requests a second that they take from all
-# routers, while three routers of their data centre send them more.  A limit
-# that is not read, or that each router keeps for itself, is passed, though
-# others have room for all the rest.
+# An engine and a plain worker state the requests a second that they accept from
+# all routers together, while three routers of their data centre send more.  If
+# the limit were ignored, or each router used all of it, it would be exceeded
+# although other workers have room for the rest.
 . edge/lib.sh
 start_twins 3
 "$build/tool_calls" limited 14 90 $routers >"$dir/calls" &
--- a/regress/edge/limits.awk
+++ b/regress/edge/limits.awk
@@ -1,6 +1,7 @@
-# Counts the requests (GOT lines) that a worker got while it named a limit (LIMIT
-# lines), sorted by time: from 3 s after it first named it, 4 s may bring one and
-# a half times what the limit allows, and 5 more.
+# Counts the requests (GOT lines) that a worker received while it stated a limit
+# (LIMIT lines); input is sorted by time.  From 3 s after the limit was first
+# stated, any 4 s may contain one and a half times the requests that the limit
+# allows, and 5 more.
 function judge(i, n) {
 	if (at - named[w] < 3e6)
 		return
--- a/regress/edge/lost-answers.sh
+++ b/regress/edge/lost-answers.sh
@@ -1,6 +1,6 @@
-# A plain worker runs requests and closes without an answer.  A booking may
-# have run: it is not sent again, and its caller is not told that it has not.
-# A look-up goes to the other worker.
+# A plain worker runs requests and closes the connection without an answer.  A
+# booking may have run: it is not sent again, and its caller is not told that it
+# did not run.  A look-up is sent to the other worker.
 . edge/lib.sh
 start_platform
 curl -s -o "$dir/null" "http://$(worker 7)/stand-in/lose"
--- a/regress/edge/no-chain.sh
+++ b/regress/edge/no-chain.sh
@@ -1,7 +1,7 @@
-# A router reaches no worker any more that holds some of the layers, as when
-# its data centre is cut off with half a copy of the model.  Its callers would
-# be refused one and all while the balancer sends them there; so it says that
-# it is not ready, until a worker has taken the layers over.
+# A router no longer reaches any worker that holds some of the layers, as when
+# its data centre is cut off with part of the model.  It would refuse all
+# callers that the balancer sends to it, so it reports that it is not ready
+# until a worker has loaded the missing layers.
 . edge/lib.sh
 start_store
 put_config 1
--- a/regress/edge/poison-news.sh
+++ b/regress/edge/poison-news.sh
@@ -1,5 +1,6 @@
-# A request crashes two workers while new routers greet the one that sent it.  What
-# it has learned must reach the router beside it, and not only the newcomers.
+# A request crashes two workers while new routers announce themselves to the
+# router that sent it.  Its quarantine must reach the other existing router, not
+# only the new ones.
 . edge/lib.sh
 start_platform
 ask() { curl -s -m 4 -o "$dir/null" -w '%{http_code}\n' -H 'Host: h.example' -H "Attempt-Id: $2" -H 'Authorization: Token key-1' "http://$(router $1)/r/$3"; }
--- a/regress/edge/poison-request.sh
+++ b/regress/edge/poison-request.sh
@@ -1,6 +1,6 @@
-# A request crashes each worker that runs it, and its caller sends it again
-# and again.  After the second worker the routers refuse it; workers that come
-# back stay up, and other callers are served.
+# A request crashes each worker that runs it, and its caller sends it again and
+# again.  After the second crash the routers refuse it; restarted workers stay
+# up, and other callers are served.
 . edge/lib.sh
 start_platform
 ask() { curl -s -m 4 -o "$dir/null" -w '%{http_code}\n' -H 'Host: h.example' -H "Attempt-Id: $1" -H 'Authorization: Token key-1' "http://$(router 1)/r/$2"; }
--- a/regress/edge/promises-seen.sh
+++ b/regress/edge/promises-seen.sh
@@ -1,4 +1,5 @@
-# The comparison itself: each kind of broken promise, made up, is seen.
+# Checks the comparison itself: it detects each kind of violation in made-up
+# logs.
 awk -v least=0 -f edge/promises.awk <<-LOGS
 	RUN twice w-1 POST
 	RUN twice w-2 POST
--- a/regress/edge/promises.awk
+++ b/regress/edge/promises.awk
@@ -1,9 +1,10 @@
 # Compares what callers saw (CALL lines) with what workers did (RUN and TOKEN
-# lines) and prints each promise with the number of times it was broken.
+# lines) and prints for each guarantee how often it was violated.
 $1 == "RUN" && $4 == "POST" { runs[$2]++ }
 $1 == "RUN" { ran[$2] = 1 }
-# A run of a stream counts from the first token that passed the last layer; it
-# is the same run on another chain, which the number behind the dash tells.
+# A run of a stream is counted at the first token that passed the last layer.  A
+# run that continues on a repaired chain is the same run; the number after the
+# dash counts its chains.
 $1 == "TOKEN" && $6 == 20 {
 	run = $3
 	sub(/-[0-9]+$/, "", run)
--- a/regress/edge/repaired-chain.sh
+++ b/regress/edge/repaired-chain.sh
@@ -1,8 +1,8 @@
-# An engine in the middle of chains stops answering and keeps its connections
-# open.  Its streams stand still at a first worker that is well; that one is
-# told of another chain, so that a caller sees a pause instead of a stream that
-# is cut, and no stream runs a second time.  The route allows one run, so that
-# they cannot begin anew.
+# An engine in the middle of chains stops answering but holds its connections
+# open.  Its streams stall at a healthy first worker.  That worker receives a
+# new chain, so that a caller sees a pause instead of a cut stream, and no
+# stream runs a second time.  The route allows only one run, so the streams
+# cannot be restarted.
 . edge/lib.sh
 STREAM_ATTEMPTS=1
 start_halves
--- a/regress/edge/restarted-worker.sh
+++ b/regress/edge/restarted-worker.sh
@@ -1,5 +1,5 @@
-# An engine crashes and starts again, empty, under another name.  It gets the
-# layers that are missing, and the data centre has a whole copy again.
+# An engine crashes and starts again without layers and under another id.  It
+# receives the missing layers, so that the data centre holds all of them again.
 . edge/lib.sh
 start_platform
 kill -KILL $worker_2
--- a/regress/edge/returned-key.sh
+++ b/regress/edge/returned-key.sh
@@ -1,6 +1,6 @@
-# A key is taken away, and the store comes back from a copy in which it is there.  A
-# router that starts before the operator has written again knows only the copy;
-# it must not run a request with that key.
+# A key is revoked, and the store is restored from a backup that still contains
+# it.  A router that starts before the operator has written again knows only the
+# backup; it must not run a request with that key.
 . edge/lib.sh
 start_twins 2 '"key-1","key-2"'
 store_copies
--- a/regress/edge/returned-leaving.sh
+++ b/regress/edge/returned-leaving.sh
@@ -1,6 +1,6 @@
-# Two workers say that they leave, and the store comes back from a copy in which
-# both are ready; it takes workers' entries only 2.5 s later.  What leaves must get
-# nothing new.
+# Two workers report that they leave, and the store is restored from a backup in
+# which both are ready; it drops workers' entries for another 2.5 s.  Leaving
+# workers must receive nothing new.
 . edge/lib.sh
 start_twins 2
 store_copies
--- a/regress/edge/returned-twice.sh
+++ b/regress/edge/returned-twice.sh
@@ -1,6 +1,7 @@
-# The store comes back from a copy twice within three seconds, beside a rush at
-# three times the load, and one router sleeps through the whole era between.  It must
-# not go by what it knew of the first era, nor hold a title of it.
+# The store is restored from a backup twice within three seconds, during a peak
+# of three times the load, and one router is stopped during the whole era
+# between.  It must not act on what it knew from the first era, nor remain
+# placer by an entry from it.
 . edge/lib.sh
 start_store
 put_config 1
--- a/regress/edge/silent-watch.sh
+++ b/regress/edge/silent-watch.sh
@@ -1,6 +1,7 @@
-# The connections of all open watches fall silent without a reset, while new ones
-# work.  A watch waits for ten seconds, and a configuration must be in force in
-# two: routers see by their asks that the store is further than they are.
+# The connections of all open watches fall silent without a reset, while new
+# ones work.  A watch lasts ten seconds, but a configuration must be in force
+# within two.  Routers detect the newer state of the store from their other
+# queries.
 . edge/lib.sh
 start_platform
 curl -s -o "$dir/null" "http://$store/stand-in/deafen"
--- a/regress/edge/slow-worker.sh
+++ b/regress/edge/slow-worker.sh
@@ -1,7 +1,7 @@
-# An engine turns ten times slower than it was, answers all it is asked and
-# passes events on.  Nothing about it is silent, so that routers would go on
-# sending to it: callers wait for their first event until they leave.  Its own
-# report tells its pace, and it is asked once first events are late.
+# An engine becomes ten times slower but answers all probes and passes events
+# on.  Nothing about it is silent, so routers would continue to send to it, and
+# callers would wait for their first event until they leave.  Its own report
+# shows the slowdown, and it is probed once first events are late.
 . edge/lib.sh
 start_platform
 "$build/tool_calls" learn 4 80 $(router 1) $(router 2) >"$dir/calls" &
--- a/regress/edge/stop-router.sh
+++ b/regress/edge/stop-router.sh
@@ -1,5 +1,5 @@
-# A router is told to stop under load.  It says that it is not ready, and
-# each request that it has read gets its whole answer before it ends.
+# A router is told to stop under load.  It reports that it is not ready, and
+# every request that it has read receives its complete answer before it exits.
 . edge/lib.sh
 start_platform
 "$build/tool_calls" stop 5 30 $(router 1) $(router 2) >"$dir/calls" &
--- a/regress/edge/store-back.sh
+++ b/regress/edge/store-back.sh
@@ -1,5 +1,5 @@
-# The store is away for some seconds and back.  The first question to it after
-# that must be answered at once: a watch that stays open would tell only at its
+# The store is unreachable for some seconds and returns.  The first watch after
+# that must be answered at once: one that stayed open would confirm only at its
 # end that keys can be checked again, and callers would be refused meanwhile.
 . edge/lib.sh
 start_platform
--- a/regress/edge/store-down.sh
+++ b/regress/edge/store-down.sh
@@ -1,5 +1,6 @@
-# The store goes away for three seconds and forgets its history.  What is
-# loaded serves on, and a configuration written afterwards is in force.
+# The store is unreachable for three seconds and loses its history.  The loaded
+# configuration continues to be served, and one written afterwards comes into
+# force.
 . edge/lib.sh
 start_platform
 "$build/tool_calls" down 6 30 $(router 1) $(router 2) >"$dir/calls" &
--- a/regress/edge/store-returned.sh
+++ b/regress/edge/store-returned.sh
@@ -1,7 +1,8 @@
-# The store comes back from a copy that lacks the routers, the placer's title, the
-# workers' layers and the newest configuration, and gives revisions out again.  A
-# router that goes on with its watch never hears what the store holds now, and
-# one that believes the copy refuses what its workers could run.
+# The store is restored from a backup that lacks the routers, the placer's
+# entry, the workers' layers and the newest configuration, and issues the same
+# revisions again.  A router that continued its watch would never see the
+# present state of the store, and one that trusted the backup would refuse what
+# its workers could run.
 . edge/lib.sh
 start_store
 put_config 1
--- a/regress/edge/wait-to-resume.sh
+++ b/regress/edge/wait-to-resume.sh
@@ -1,6 +1,6 @@
-# The first engine of a stream dies while the only other chain has no place.
-# The stream waits and goes on as soon as one is free; before, nobody looked
-# again, and its caller sat in silence until it left.
+# The first engine of a stream dies while the only other chain has no free
+# slot.  The stream waits and resumes as soon as one is free.  Formerly nothing
+# retried it, and its caller received nothing until it left.
 . edge/lib.sh
 export FAKE_SLOTS=1 FAKE_EVENT_MS=60
 start_store
