--- a/src/eq_answer.c
+++ b/src/eq_answer.c
@@ -236,7 +236,7 @@
 		return;
 	}
 	if (eq->state == EQ_STREAMING) {
-		eq_retry_or_fail(eq, "worker refused to go on");
+		eq_retry_or_fail(eq, "worker refused to resume");
 		return;
 	}
 	eq_relay(eq);
@@ -307,6 +307,6 @@
 		wkp_ask(edge, wk, now);
 	}
 	eq_retry_or_fail(eq, eq->garbled || end == HC_GARBLED
-				     ? "garbled answer"
+				     ? "malformed answer"
 				     : "connection broke");
 }
--- a/src/eq_send.c
+++ b/src/eq_send.c
@@ -17,8 +17,8 @@
 #define EQ_WAIT_FRACTION 0.5
 /*
  * Waiting time of a request that is already late.  Its caller would otherwise
- * only retry even later, and it abandons a stream without a first event after 2
- * s.
+ * only retry even later, and it abandons a stream without a first event after
+ * two seconds.
  */
 #define EQ_LATE_WAIT_US (1200 * MAG_US_PER_MS)
 /* Requests that a plain worker may queue beyond its slots. */
@@ -38,7 +38,7 @@
 	enum eq_choice choice;
 
 	if (eq->sends >= EQ_SENDS_MAX) {
-		eq_refuse(eq, 503, EQ_RETRY_LATER, "no worker took it");
+		eq_refuse(eq, 503, EQ_RETRY_LATER, "no worker accepted it");
 		return;
 	}
 	if (eq->service->has_engine)
@@ -118,7 +118,7 @@
 		max_wait_us = EQ_LATE_WAIT_US;
 	if (eq->state == EQ_STREAMING) {
 		/*
-		 * The stream has begun: it may resume until the pause is too
+		 * A stream that has begun may resume until the pause is too
 		 * long.
 		 */
 		if (now - eq->progress_us > 1500 * MAG_US_PER_MS)
