--- a/regress/check_ask.c
+++ b/regress/check_ask.c
@@ -25,8 +25,8 @@
 static struct ask_worker worker;
 static bool answers;
 static long now_ms;
-static int quiet;
-static int slow;
+static int silence_probes;
+static int slowdown_probes;
 
 static void probe(struct stream *stream, int64_t now)
 {
@@ -37,8 +37,8 @@
 
 	if (why == ASK_NONE)
 		return;
-	quiet += why == ASK_SILENT;
-	slow += why == ASK_SLOW;
+	silence_probes += why == ASK_SILENT;
+	slowdown_probes += why == ASK_SLOW;
 	worker.probes += why == ASK_SILENT;
 	worker.probed_us = now;
 	if (answers)
@@ -91,12 +91,12 @@
 					(struct stream){ now_ms, now_ms,
 							 false };
 		} else if (sscanf(line, "run %ld", &ms) == 1) {
-			quiet = 0;
-			slow = 0;
+			silence_probes = 0;
+			slowdown_probes = 0;
 			for (ms += now_ms; now_ms < ms; now_ms += TICK_MS)
 				tick();
 			fprintf(out, "probes for silence %d, for slowdown %d\n",
-				quiet, slow);
+				silence_probes, slowdown_probes);
 		}
 	}
 }
--- a/src/ask.c
+++ b/src/ask.c
@@ -1,9 +1,9 @@
 #include "ask.h"
 
 /*
- * Number of doublings of the interval for a worker that answers probes but
- * passes no events: a group of workers that all slow down together would
- * otherwise be probed without end.
+ * Maximum number of doublings of the probe interval for a worker that answers
+ * probes but passes no events: a group of workers that all slow down together
+ * would otherwise be probed without end.
  */
 #define ASK_DOUBLINGS_MAX 3
 /* A first event that takes longer than this is late. */
--- a/src/bud.c
+++ b/src/bud.c
@@ -46,16 +46,16 @@
 {
 	int64_t number = now / bud->slice_us;
 	int requests = 0;
-	int repeats = 0;
+	int retries = 0;
 	int i;
 
 	for (i = 0; i < BUD_SLICES; i++) {
 		if (bud->slices[i].number <= number - BUD_WINDOW_SLICES)
 			continue;
 		requests += bud->slices[i].requests;
-		repeats += bud->slices[i].retries;
+		retries += bud->slices[i].retries;
 	}
-	return bud->ratio * requests + bud->slack - repeats;
+	return bud->ratio * requests + bud->slack - retries;
 }
 
 /* Returns the slice of a point in time, reset if it held an older one. */
