--- a/regress/edge/lib.sh
+++ b/regress/edge/lib.sh
@@ -82,7 +82,7 @@
 store_copies() { curl -s -o "$dir/null" "http://$store/stand-in/copy"; }
 # store_returns AWAY_MS LATE_MS BUMP: restores the store from its backup.  It is
 # unreachable for AWAY_MS, then advances its revision by BUMP as if others had
-# written, and drops the workers' entries for another LATE_MS.
+# written, and rejects the workers' entries for another LATE_MS.
 store_returns() {
 	curl -s -o "$dir/null" "http://$store/stand-in/restore?AwayMs=$1&LateMs=$2&Bump=$3"
 	wait_for "grep -q RESTORED $dir/store.log"
--- a/regress/edge/returned-leaving.sh
+++ b/regress/edge/returned-leaving.sh
@@ -1,5 +1,5 @@
 # Two workers report that they leave, and the store is restored from a backup in
-# which both are ready; it drops workers' entries for another 2.5 s.  Leaving
+# which both are ready; it rejects workers' entries for another 2.5 s.  Leaving
 # workers must receive nothing new.
 . edge/lib.sh
 start_twins 2
