--- a/src/eq_answer.c
+++ b/src/eq_answer.c
@@ -236,7 +236,7 @@
 		return;
 	}
 	if (eq->state == EQ_STREAMING) {
-		eq_retry_or_fail(eq, "worker refused to resume");
+		eq_retry_or_fail(eq, "worker refused to go on");
 		return;
 	}
 	eq_relay(eq);
