--- a/regress/check_ask.c
+++ b/regress/check_ask.c
@@ -8,9 +8,9 @@
 #define TICK_MS	    10
 
 /*
- * One worker with streams through it, a tick at a time: a stream's first
- * event comes FIRST ms after its send, then one every GAP ms.  A sound worker
- * answers a question at once, a dead one does not.
+ * Simulates one worker with streams through it, tick by tick: a stream's first
+ * event arrives FIRST ms after its send, then one every GAP ms.  A healthy
+ * worker answers a probe at once, a dead one does not.
  */
 struct stream {
 	long sent_ms;
@@ -25,24 +25,24 @@
 static struct ask_worker worker;
 static bool answers;
 static long now_ms;
-static int quiet;
-static int slow;
+static int silence_probes;
+static int slowdown_probes;
 
-static void ask(struct stream *stream, int64_t now)
+static void probe(struct stream *stream, int64_t now)
 {
 	struct ask_stream view = { stream->sent_ms * MAG_US_PER_MS,
 				   stream->last_ms * MAG_US_PER_MS,
 				   100 * MAG_US_PER_MS, stream->began };
-	enum ask_why why = ask_worker(&view, &worker, now);
+	enum ask_reason why = ask_worker(&view, &worker, now);
 
-	if (why == ASK_NOT)
+	if (why == ASK_NONE)
 		return;
-	quiet += why == ASK_QUIET;
-	slow += why == ASK_SLOW;
-	worker.asks += why == ASK_QUIET;
-	worker.asked_us = now;
+	silence_probes += why == ASK_SILENT;
+	slowdown_probes += why == ASK_SLOW;
+	worker.probes += why == ASK_SILENT;
+	worker.probed_us = now;
 	if (answers)
-		worker.pace_us = now;
+		worker.slowdown_us = now;
 }
 
 static void tick(void)
@@ -59,14 +59,14 @@
 			stream->last_ms = now_ms;
 			stream->began = true;
 			worker.passed_us = now;
-			worker.asks = 0;
+			worker.probes = 0;
 		}
 	}
 	for (i = 0; i < count; i++)
-		ask(&streams[i], now);
+		probe(&streams[i], now);
 }
 
-static void drive(FILE *in, FILE *out)
+static void run_script(FILE *in, FILE *out)
 {
 	char line[LINE_MAX_];
 	long ms;
@@ -91,17 +91,17 @@
 					(struct stream){ now_ms, now_ms,
 							 false };
 		} else if (sscanf(line, "run %ld", &ms) == 1) {
-			quiet = 0;
-			slow = 0;
+			silence_probes = 0;
+			slowdown_probes = 0;
 			for (ms += now_ms; now_ms < ms; now_ms += TICK_MS)
 				tick();
-			fprintf(out, "asked for silence %d, for pace %d\n",
-				quiet, slow);
+			fprintf(out, "probes for silence %d, for slowdown %d\n",
+				silence_probes, slowdown_probes);
 		}
 	}
 }
 
 int main(void)
 {
-	return script_main("regress/ask", drive);
+	return script_main("regress/ask", run_script);
 }
--- a/regress/check_chn.c
+++ b/regress/check_chn.c
@@ -229,10 +229,10 @@
 /* Returns how much memory of a worker is in use, as far as a router knows. */
 static double rush_estimate(int worker, double sent, int64_t now)
 {
-	struct room_known known = { .own = sent,
-				    .recent = sent,
-				    .peers = rush.exchanged[worker],
-				    .routers = RUSH_ROUTERS };
+	struct room_load known = { .own = sent,
+				   .recent = sent,
+				   .peers = rush.exchanged[worker],
+				   .routers = RUSH_ROUTERS };
 
 	return room_held(&known, now);
 }
--- a/regress/check_room.c
+++ b/regress/check_room.c
@@ -6,23 +6,26 @@
 #define LINE_MAX_ 256
 #define NOW_US	  (100 * MAG_US_PER_S)
 
-/* "request PROMPT HINT MAX": of a service with 700 and 200 as usual. */
-static void request(const char *line, FILE *out)
+/*
+ * "request PROMPT HINT MAX": prints the expected sizes of a request to a
+ * service with a usual prompt of 700 and a usual answer of 200 tokens.
+ */
+static void print_request(const char *line, FILE *out)
 {
 	struct room_request r = { .usual_prompt = 700, .usual_answer = 200 };
 
 	if (sscanf(line, "%*s %d %d %d", &r.prompt, &r.answer_hint,
 		   &r.answer_max) != 3)
 		return;
-	fprintf(out, "%.0f tokens, %.0f in all\n", room_tokens(&r),
-		room_tokens_in_all(&r));
+	fprintf(out, "%.0f tokens, %.0f in all\n", room_mean_tokens(&r),
+		room_final_tokens(&r));
 }
 
 /*
- * "streams COUNT PROMPT ANSWER": streams of all ages; prints how what they
- * hold in truth compares with what is expected.
+ * "streams COUNT PROMPT ANSWER": compares the tokens that streams of all ages
+ * actually hold with the expected number.
  */
-static void streams(const char *line, FILE *out)
+static void compare_streams(const char *line, FILE *out)
 {
 	struct room_request r = { 0 };
 	double held = 0;
@@ -35,7 +38,7 @@
 		return;
 	for (i = 0; i < count; i++)
 		held += r.prompt + (i + 0.5) / count * r.answer_hint;
-	expected = count * room_tokens(&r);
+	expected = count * room_mean_tokens(&r);
 	fprintf(out, "%s\n",
 		expected < 0.99 * held	 ? "too little"
 		: expected > 1.01 * held ? "too much"
@@ -43,12 +46,12 @@
 }
 
 /*
- * "worker OWN PEERS REPORTED AGE_MS [RECENT ROUTERS]": what it holds by all
- * that is known.
+ * "worker OWN PEERS REPORTED AGE_MS [RECENT ROUTERS]": prints the memory in use
+ * by all that is known.
  */
-static void worker(const char *line, FILE *out)
+static void print_worker(const char *line, FILE *out)
 {
-	struct room_known known = { 0 };
+	struct room_load known = { 0 };
 	long age_ms;
 
 	if (sscanf(line, "%*s %lf %lf %lf %ld %lf %d", &known.own, &known.peers,
@@ -58,7 +61,7 @@
 	fprintf(out, "holds %.0f\n", room_held(&known, NOW_US));
 }
 
-static void drive(FILE *in, FILE *out)
+static void run_script(FILE *in, FILE *out)
 {
 	char line[LINE_MAX_];
 
@@ -67,15 +70,15 @@
 			continue;
 		fprintf(out, "> %s", line);
 		if (strncmp(line, "request ", 8) == 0)
-			request(line, out);
+			print_request(line, out);
 		else if (strncmp(line, "streams ", 8) == 0)
-			streams(line, out);
+			compare_streams(line, out);
 		else if (strncmp(line, "worker ", 7) == 0)
-			worker(line, out);
+			print_worker(line, out);
 	}
 }
 
 int main(void)
 {
-	return script_main("regress/room", drive);
+	return script_main("regress/room", run_script);
 }
--- a/src/core.c
+++ b/src/core.c
@@ -193,8 +193,8 @@
 			  uint8_t fingerprint[MAG_DIGEST_BYTES],
 			  uint32_t *endpoints_lost, int64_t *until_us)
 {
-	return quar_next_news(core->quar, fingerprint, endpoints_lost,
-			      until_us);
+	return quar_next_update(core->quar, fingerprint, endpoints_lost,
+				until_us);
 }
 
 /* Merges another instance's count of endpoints lost to a fingerprint. */
--- a/src/edge.c
+++ b/src/edge.c
@@ -4,56 +4,58 @@
 #include "edge.h"
 #include "jlog.h"
 
-/* Part of its slack that a router has at its start. */
-#define EDGE_SLACK_AT_START 0.25
+/* Fraction of its retry slack that a router has at its start. */
+#define EDGE_INITIAL_SLACK 0.25
 /*
- * A router without any chain counts as not ready after this: longer than a
- * worker is held off for one refusal, shorter than a restart.
+ * A router without a chain counts as not ready after this: longer than a worker
+ * is excluded after one refusal, shorter than a restart.
  */
-#define EDGE_CHAINLESS_US (600 * MAG_US_PER_MS)
-/* Part of a pipe between data centres that streams may take together. */
-#define EDGE_PIPE_SHARE 0.5
+#define EDGE_UNCOVERED_US (600 * MAG_US_PER_MS)
+/* Fraction of a link between data centres that all streams together may use. */
+#define EDGE_LINK_FRACTION 0.5
 
-/* Returns the number of a data centre, a new one for a new name. */
-int edge_centre(struct edge *edge, const char *name)
+/* Returns the index of a data centre, adding a new name to the table. */
+int edge_data_centre_index(struct edge *edge, const char *name)
 {
 	int i;
 
-	for (i = 0; i < edge->centre_count; i++) {
-		if (strcmp(edge->centres[i], name) == 0)
+	for (i = 0; i < edge->data_centre_count; i++) {
+		if (strcmp(edge->data_centres[i], name) == 0)
 			return i;
 	}
-	if (i == EDGE_CENTRES_MAX)
-		return EDGE_CENTRES_MAX - 1;
-	snprintf(edge->centres[i], sizeof(edge->centres[i]), "%s", name);
-	return edge->centre_count++;
+	if (i == EDGE_DATA_CENTRES_MAX)
+		return EDGE_DATA_CENTRES_MAX - 1;
+	snprintf(edge->data_centres[i], sizeof(edge->data_centres[i]), "%s",
+		 name);
+	return edge->data_centre_count++;
 }
 
 /*
- * Returns the budget of second sends to a service.  This instance's part of
- * the slack is what divides it over the most instances seen so far, and half
- * as many again that may have just come.  A process that has just started
- * has little slack: its predecessor may have spent it in the same window, and
- * routers that are restarted in turn would each spend it anew.
+ * Returns the retry budget of a service.  This instance's part of the slack is
+ * the total divided by one and a half times the most instances seen so far,
+ * plus one, to allow for instances that have just started.  A process that has
+ * just started has little slack: its predecessor may have spent its part in the
+ * same window, and routers restarted in turn would each spend it again.
  */
 struct bud *edge_budget(struct edge *edge, const char *service, int64_t now)
 {
 	int routers = 1 + pres_peer_count(edge->pres);
 	double slack;
-	double share;
+	double fraction;
 	struct edge_budget *budget;
 	int i;
 
-	if (routers > edge->routers_most)
-		edge->routers_most = routers;
-	share = (double)(now - edge->started_us) /
-			(double)edge->set.retry_window_us -
-		1;
-	if (share > 1 || edge->set.first_start)
-		share = 1;
-	if (share < EDGE_SLACK_AT_START)
-		share = EDGE_SLACK_AT_START;
-	slack = share * edge->set.retry_slack / (edge->routers_most * 1.5 + 1);
+	if (routers > edge->max_routers_seen)
+		edge->max_routers_seen = routers;
+	fraction = (double)(now - edge->started_us) /
+			   (double)edge->set.retry_window_us -
+		   1;
+	if (fraction > 1 || edge->set.first_start)
+		fraction = 1;
+	if (fraction < EDGE_INITIAL_SLACK)
+		fraction = EDGE_INITIAL_SLACK;
+	slack = fraction * edge->set.retry_slack /
+		(edge->max_routers_seen * 1.5 + 1);
 	for (i = 0; i < edge->budget_count; i++) {
 		if (strcmp(edge->budgets[i].service, service) == 0)
 			break;
@@ -73,43 +75,46 @@
 }
 
 /*
- * Tells whether a chain may lead through two data centres now.
+ * Tells whether a chain may cross between two data centres now.
  *
- * Load pattern: layers are lost, every router finds chains through another
- * data centre, and the one pipe between the two takes all of their prompts,
- * one after the other.  Beyond its capacity every stream on it stands still
- * until its caller leaves, and is sent again.  Each router therefore keeps to
- * its part of half a pipe; what does not fit is refused at once.
+ * Load pattern: layers are lost, every router finds chains through another data
+ * centre, and the one link between the two carries all of their prompts, one
+ * after the other.  Beyond its capacity every stream on it stalls until its
+ * caller leaves and the stream is sent again.  Each router therefore uses at
+ * most its part of half of the link's capacity; requests that do not fit are
+ * refused at once.
  */
-bool edge_may_cross(struct edge *edge, const struct rt_engine *engine,
-		    int64_t now)
+bool edge_may_cross_data_centres(struct edge *edge,
+				 const struct rt_engine *engine, int64_t now)
 {
-	double bytes_per_s = engine->pipe_mbps * 1e6 / 8 * EDGE_PIPE_SHARE /
-			     (edge->routers_most > 0 ? edge->routers_most : 1);
+	double bytes_per_s =
+		engine->link_mbps * 1e6 / 8 * EDGE_LINK_FRACTION /
+		(edge->max_routers_seen > 0 ? edge->max_routers_seen : 1);
 
-	edge->cross_bytes +=
-		bytes_per_s * (double)(now - edge->cross_us) / MAG_US_PER_S;
-	edge->cross_us = now;
-	if (edge->cross_bytes > bytes_per_s)
-		edge->cross_bytes = bytes_per_s;
-	return edge->cross_bytes > 0;
+	edge->crossing_budget_bytes +=
+		bytes_per_s * (double)(now - edge->crossing_budget_us) /
+		MAG_US_PER_S;
+	edge->crossing_budget_us = now;
+	if (edge->crossing_budget_bytes > bytes_per_s)
+		edge->crossing_budget_bytes = bytes_per_s;
+	return edge->crossing_budget_bytes > 0;
 }
 
 /*
- * Returns how many routers a data centre has, if they are spread evenly:
- * those that meet the same fault at the same moment.
+ * Returns the number of routers in a data centre, assuming an even
+ * distribution.  These routers react to the same fault at the same moment.
  */
-int edge_routers_here(const struct edge *edge)
+int edge_routers_per_data_centre(const struct edge *edge)
 {
 	int routers = 1 + pres_peer_count(edge->pres);
 
-	if (edge->centre_count > 1)
-		routers =
-			(routers + edge->centre_count - 1) / edge->centre_count;
+	if (edge->data_centre_count > 1)
+		routers = (routers + edge->data_centre_count - 1) /
+			  edge->data_centre_count;
 	return routers;
 }
 
-/* Draws a number for choices and spreads, not for secrets. */
+/* Returns a random number; not for secrets. */
 uint64_t edge_random(struct edge *edge)
 {
 	return mag_random(&edge->seed);
@@ -117,9 +122,9 @@
 
 /*
  * Tells whether there is a configuration to serve by.  A router that starts
- * after the store came back from a copy may read an older one than is in
- * force: it waits for the word of its peers, and for the operator to write
- * again what they name.
+ * after the store was restored from a backup may read an older configuration
+ * than the one in force.  It waits for the reports of its peers, and for the
+ * operator to write the version that they report again.
  */
 bool edge_has_config(const struct edge *edge, int64_t now)
 {
@@ -127,24 +132,24 @@
 		return false;
 	if (edge->attest.confirmed_us)
 		return true;
-	return edge->rt->version >= edge->newest_version &&
+	return edge->rt->version >= edge->newest_peer_version &&
 	       era_may_use_config(&edge->era,
 				  sto_era(edge->sto) != POS_ERA_NONE, now);
 }
 
 /*
- * Tells whether this router should get callers.  One that is cut off from the
- * store cannot check keys much longer, and one that reaches no whole copy of
- * the model can run no stream: callers are better served by others, if there
- * are any.
+ * Tells whether this router should receive callers.  A router that is cut off
+ * from the store can soon no longer check keys, and one that reaches no
+ * complete copy of the model cannot run streams: other routers, if there are
+ * any, serve its callers better.
  */
 bool edge_is_ready(const struct edge *edge, int64_t now)
 {
 	if (!edge_has_config(edge, now) || !edge->workers_listed ||
 	    edge->stopping)
 		return false;
-	if (edge->had_chains && edge->chainless_us &&
-	    now - edge->chainless_us > EDGE_CHAINLESS_US)
+	if (edge->was_covered && edge->uncovered_since_us &&
+	    now - edge->uncovered_since_us > EDGE_UNCOVERED_US)
 		return false;
 	return !edge->rt->has_accounts || !edge->set.keys_fail_closed ||
 	       !attest_soon_untrusted(&edge->attest, edge->set.keys_stale_us,
--- a/src/eq_answer.c
+++ b/src/eq_answer.c
@@ -6,20 +6,23 @@
 #include "jlog.h"
 #include "wkp.h"
 
-/* Weight of the newest pause in a stream's pace: one in so many. */
-#define EQ_PACE_PARTS 8
+/*
+ * The newest interval between events has a weight of one in this many in the
+ * stream's smoothed interval.
+ */
+#define EQ_INTERVAL_WEIGHT 8
 
 static bool eq_on_headers(void *user, const struct hc_answer *answer);
-static void eq_take_limit(const struct eq *eq, const struct hc_answer *answer);
+static void eq_apply_limit(const struct eq *eq, const struct hc_answer *answer);
 static void eq_on_body(void *user, const void *bytes, size_t len);
 static void eq_on_end(void *user, enum hc_end end);
-static void eq_events(struct eq *eq, const void *bytes, size_t len);
-static void eq_began(struct eq *eq);
-static void eq_take_gap(struct eq *eq, int64_t gap_us);
-static void eq_whole(struct eq *eq, struct wk *wk, int64_t now);
-static void eq_broken(struct eq *eq, struct wk *wk, enum hc_end end,
-		      int64_t now);
-static void eq_not_run(struct eq *eq, struct wk *wk, int64_t now);
+static void eq_forward_events(struct eq *eq, const void *bytes, size_t len);
+static void eq_note_started(struct eq *eq);
+static void eq_update_interval(struct eq *eq, int64_t interval_us);
+static void eq_on_complete(struct eq *eq, struct wk *wk, int64_t now);
+static void eq_on_broken(struct eq *eq, struct wk *wk, enum hc_end end,
+			 int64_t now);
+static void eq_on_not_run(struct eq *eq, struct wk *wk, int64_t now);
 static void eq_relay(struct eq *eq);
 
 const struct hc_ops eq_ops = {
@@ -29,21 +32,21 @@
 };
 
 /*
- * Tries a request again after an attempt that ended without its answer, if
- * that is allowed; else ends it.
+ * Retries a request after an attempt that ended without its answer if the route
+ * allows it; ends the request otherwise.
  */
-void eq_again(struct eq *eq, const char *why)
+void eq_retry_or_fail(struct eq *eq, const char *why)
 {
 	const struct rt_route *route = eq->route;
-	bool repeatable = route->repeat == RT_IDEMPOTENT ||
-			  (route->repeat == RT_STREAM && route->resumable);
+	bool repeatable = route->kind == RT_IDEMPOTENT ||
+			  (route->kind == RT_STREAMING && route->resumable);
 	char id[WIRE_ID_MAX];
 
 	jlog(LOG_EQ_AGAIN,
 	     "\"request\":\"%s\",\"why\":\"%s\",\"sends\":%d,\"runs\":%d,"
 	     "\"may_have_run\":%s,\"last_event\":%lld,\"answer\":%d,"
 	     "\"at_fault\":\"%s\"",
-	     jlog_text(id, sizeof(id), eq->asks.attempt_id), why, eq->sends,
+	     jlog_text(id, sizeof(id), eq->request.attempt_id), why, eq->sends,
 	     eq->runs, eq->may_have_run ? "true" : "false",
 	     (long long)eq->last_event, eq->answered ? eq->status : 0,
 	     eq->at_fault);
@@ -58,31 +61,33 @@
 	}
 	if (eq->state == EQ_SENT)
 		eq->state = EQ_WAITING;
-	if (eq->state == EQ_STREAMS)
+	if (eq->state == EQ_STREAMING)
 		met_add(&eq->edge->met, MET_RESUMES);
-	eq_try(eq, clk_boot_us());
+	eq_dispatch(eq, clk_boot_us());
 }
 
-/* An answer that names another request is skipped: ours may follow it. */
+/*
+ * Skips an answer that names another request: this request's answer may follow.
+ */
 static bool eq_on_headers(void *user, const struct hc_answer *answer)
 {
 	struct eq *eq = user;
 
-	pl_answer_decode(answer->status, answer->headers, &eq->says);
-	if (eq->says.attempt_id && eq->asks.attempt_id &&
-	    strcmp(eq->says.attempt_id, eq->asks.attempt_id) != 0)
+	pl_answer_decode(answer->status, answer->headers, &eq->answer);
+	if (eq->answer.attempt_id && eq->request.attempt_id &&
+	    strcmp(eq->answer.attempt_id, eq->request.attempt_id) != 0)
 		return false;
-	eq_take_limit(eq, answer);
+	eq_apply_limit(eq, answer);
 	eq->answered = true;
 	eq->status = answer->status;
 	eq->at_fault[0] = '\0';
-	if (eq->says.at_fault &&
-	    strlen(eq->says.at_fault) < sizeof(eq->at_fault))
+	if (eq->answer.at_fault &&
+	    strlen(eq->answer.at_fault) < sizeof(eq->at_fault))
 		mag_copy_name(eq->at_fault, sizeof(eq->at_fault),
-			      eq->says.at_fault);
-	if (eq->status / 100 == 2 && (!eq->says.sealed || eq->says.encoded))
+			      eq->answer.at_fault);
+	if (eq->status / 100 == 2 && (!eq->answer.sealed || eq->answer.encoded))
 		eq->garbled = true;
-	if (eq->state != EQ_STREAMS) {
+	if (eq->state != EQ_STREAMING) {
 		evbuffer_drain(eq->fields, evbuffer_get_length(eq->fields));
 		pl_answer_fields(answer->headers, eq->fields);
 		evbuffer_add(eq->fields, "", 1);
@@ -90,10 +95,13 @@
 	return true;
 }
 
-/* Takes the rate limit that the first worker names, or no longer names. */
-static void eq_take_limit(const struct eq *eq, const struct hc_answer *answer)
+/*
+ * Applies the rate limit that the first worker's answer states, or the absence
+ * of one.
+ */
+static void eq_apply_limit(const struct eq *eq, const struct hc_answer *answer)
 {
-	bool sound = answer->status / 100 == 2 && eq->says.sealed;
+	bool sound = answer->status / 100 == 2 && eq->answer.sealed;
 
 	wkp_apply_limit(eq->edge, eq->hops[0].worker, answer,
 			sound ? WK_ANSWER_SUCCESS : WK_ANSWER_OTHER,
@@ -106,14 +114,14 @@
 
 	if (eq->garbled)
 		return;
-	if (eq->status == 200 && eq->route->repeat == RT_STREAM)
-		eq_events(eq, bytes, len);
+	if (eq->status == 200 && eq->route->kind == RT_STREAMING)
+		eq_forward_events(eq, bytes, len);
 	else
 		evbuffer_add(eq->body, bytes, len);
 }
 
-/* Hands the whole events of a stream on, each once and in order. */
-static void eq_events(struct eq *eq, const void *bytes, size_t len)
+/* Forwards complete events of a stream, each once and in order. */
+static void eq_forward_events(struct eq *eq, const void *bytes, size_t len)
 {
 	int64_t now = clk_boot_us();
 	struct evs_event event;
@@ -131,7 +139,7 @@
 				continue;
 			if (eq->last_event >= 0 &&
 			    event.id != eq->last_event + 1) {
-				/* A piece is missing: not this stream. */
+				/* Event ids have a gap: an event is missing. */
 				eq->garbled = true;
 				break;
 			}
@@ -143,23 +151,23 @@
 	ready = evbuffer_get_length(out);
 	if (ready == 0)
 		return;
-	if (eq->state != EQ_STREAMS) {
-		eq->state = EQ_STREAMS;
-		eq->first_us = now;
-		eq_began(eq);
+	if (eq->state != EQ_STREAMING) {
+		eq->state = EQ_STREAMING;
+		eq->first_event_us = now;
+		eq_note_started(eq);
 		hs_stream_begin(eq->caller, eq->status,
 				(const char *)evbuffer_pullup(eq->fields, -1));
 	} else {
-		eq_take_gap(eq, now - eq->progress_us);
+		eq_update_interval(eq, now - eq->progress_us);
 	}
 	eq->progress_us = now;
-	eq_passed(eq, now);
+	eq_on_progress(eq, now);
 	hs_stream_data(eq->caller, evbuffer_pullup(out, -1), ready);
 	evbuffer_drain(out, ready);
 }
 
-/* All workers of a chain have taken the request. */
-static void eq_began(struct eq *eq)
+/* Notes that all workers of the chain have accepted the request. */
+static void eq_note_started(struct eq *eq)
 {
 	int i;
 
@@ -168,17 +176,18 @@
 		wk_on_start(eq->hops[i].worker);
 }
 
-/* Notes the time between two events. */
-static void eq_take_gap(struct eq *eq, int64_t gap_us)
+/* Updates the longest and the smoothed interval between events. */
+static void eq_update_interval(struct eq *eq, int64_t interval_us)
 {
-	if (gap_us > eq->gap_us)
-		eq->gap_us = gap_us;
-	if (eq->pace_us == 0)
-		eq->pace_us = gap_us;
-	eq->pace_us += (gap_us - eq->pace_us) / EQ_PACE_PARTS;
+	if (interval_us > eq->max_gap_us)
+		eq->max_gap_us = interval_us;
+	if (eq->event_interval_us == 0)
+		eq->event_interval_us = interval_us;
+	eq->event_interval_us +=
+		(interval_us - eq->event_interval_us) / EQ_INTERVAL_WEIGHT;
 }
 
-/* An attempt is over; the call is gone. */
+/* Called at the end of an attempt; the call has been released. */
 static void eq_on_end(void *user, enum hc_end end)
 {
 	struct eq *eq = user;
@@ -187,56 +196,59 @@
 
 	eq->call = NULL;
 	if (end == HC_WHOLE && !eq->garbled && eq->answered)
-		eq_whole(eq, wk, now);
+		eq_on_complete(eq, wk, now);
 	else
-		eq_broken(eq, wk, end, now);
+		eq_on_broken(eq, wk, end, now);
 }
 
-/* The worker's answer is complete. */
-static void eq_whole(struct eq *eq, struct wk *wk, int64_t now)
+/* Handles a complete answer of the worker. */
+static void eq_on_complete(struct eq *eq, struct wk *wk, int64_t now)
 {
-	bool idempotent = eq->route->repeat == RT_IDEMPOTENT;
-	bool good = eq->status / 100 == 2;
+	bool idempotent = eq->route->kind == RT_IDEMPOTENT;
+	bool success = eq->status / 100 == 2;
 
-	if (eq->says.not_run) {
-		eq_not_run(eq, wk, now);
+	if (eq->answer.not_run) {
+		eq_on_not_run(eq, wk, now);
 		return;
 	}
 	eq->may_have_run = true;
 	eq->runs++;
-	wk_add_result(wk, good || eq->status / 100 == 4, now - eq->sent_us);
+	wk_add_result(wk, success || eq->status / 100 == 4, now - eq->sent_us);
 	wk_clear_suspicion(wk);
 	wk_on_success(wk);
-	if (good) {
-		quar_ended_well(eq->edge->quar, eq->print, now);
-		if (eq->state == EQ_STREAMS && evs_pending(&eq->events) > 0) {
-			eq_again(eq, "stream ended inside an event");
+	if (success) {
+		quar_completed(eq->edge->quar, eq->fingerprint, now);
+		if (eq->state == EQ_STREAMING && evs_pending(&eq->events) > 0) {
+			eq_retry_or_fail(eq, "stream ended inside an event");
 			return;
 		}
 		eq_relay(eq);
 		return;
 	}
-	/* A failure of an idempotent request may be another's success. */
-	if (eq->status / 100 == 5 && eq->state != EQ_STREAMS && idempotent &&
+	/*
+	 * An idempotent request that fails at one worker may succeed at
+	 * another.
+	 */
+	if (eq->status / 100 == 5 && eq->state != EQ_STREAMING && idempotent &&
 	    eq->runs < eq->route->max_attempts &&
 	    bud_left(edge_budget(eq->edge, eq->service->name, now), now) > 1) {
 		eq_avoid(eq, wk);
-		eq_again(eq, "worker failed it");
+		eq_retry_or_fail(eq, "worker failed it");
 		return;
 	}
-	if (eq->state == EQ_STREAMS) {
-		eq_again(eq, "worker refused to go on");
+	if (eq->state == EQ_STREAMING) {
+		eq_retry_or_fail(eq, "worker refused to go on");
 		return;
 	}
 	eq_relay(eq);
 }
 
-/* Hands the worker's whole answer to the caller as it is. */
+/* Forwards the worker's complete answer to the caller unchanged. */
 static void eq_relay(struct eq *eq)
 {
 	size_t len;
 
-	if (eq->state == EQ_STREAMS) {
+	if (eq->state == EQ_STREAMING) {
 		hs_stream_end(eq->caller);
 		eq_finish(eq);
 		return;
@@ -249,17 +261,18 @@
 }
 
 /*
- * The worker says that it did not begin the request.  Of a chain it names the
- * worker at fault, which may be dead, leaving or short of memory: it is asked
- * which, and until then gets nothing new.
+ * Handles an answer that says the request was not started.  In a chain the
+ * answer names the worker at fault, which may be dead, leaving or out of
+ * memory.  That worker is probed to find out which, and receives nothing new
+ * until then.
  */
-static void eq_not_run(struct eq *eq, struct wk *wk, int64_t now)
+static void eq_on_not_run(struct eq *eq, struct wk *wk, int64_t now)
 {
 	struct edge *edge = eq->edge;
 	struct wk *fault = NULL;
 
 	if (eq->at_fault[0])
-		fault = eq_hop_at(eq, eq->at_fault);
+		fault = eq_worker_at_address(eq, eq->at_fault);
 	if (!fault)
 		fault = wk;
 	eq_avoid(eq, fault);
@@ -269,19 +282,19 @@
 	} else if (eq->status == 421) {
 		wk_suspect(fault, now, "another worker has its address");
 	}
-	eq_again(eq, "worker did not begin it");
+	eq_retry_or_fail(eq, "worker did not begin it");
 }
 
-/* The attempt ended without a whole answer. */
-static void eq_broken(struct eq *eq, struct wk *wk, enum hc_end end,
-		      int64_t now)
+/* Handles an attempt that ended without a complete answer. */
+static void eq_on_broken(struct eq *eq, struct wk *wk, enum hc_end end,
+			 int64_t now)
 {
 	struct edge *edge = eq->edge;
 
 	eq_avoid(eq, wk);
 	if (end == HC_UNSENT) {
 		wk_suspect(wk, now, "no connection");
-		eq_again(eq, "not sent");
+		eq_retry_or_fail(eq, "not sent");
 		eq_on_suspect(edge, wk, now);
 		return;
 	}
@@ -291,9 +304,10 @@
 	if (!eq->answered)
 		wk_on_break(wk, now);
 	if (end == HC_BROKEN) {
-		eq_blame(eq, wk, now);
+		eq_add_crash_candidate(eq, wk, now);
 		wkp_probe(edge, wk, now);
 	}
-	eq_again(eq, eq->garbled || end == HC_GARBLED ? "garbled answer"
-						      : "connection broke");
+	eq_retry_or_fail(eq, eq->garbled || end == HC_GARBLED
+				     ? "malformed answer"
+				     : "connection broke");
 }
--- a/src/hint.c
+++ b/src/hint.c
@@ -337,9 +337,9 @@
 	int64_t until_us;
 
 	while (message->crash_count < HINT_CRASHES_MAX &&
-	       quar_next_news(quar, crashes[message->crash_count].fingerprint,
-			      &crashes[message->crash_count].endpoints_lost,
-			      &until_us))
+	       quar_next_update(quar, crashes[message->crash_count].fingerprint,
+				&crashes[message->crash_count].endpoints_lost,
+				&until_us))
 		message->crash_count++;
 }
 
@@ -392,8 +392,8 @@
 	       message->limit_count * sizeof(message->limits[0]));
 	sto_follow_learn_pos(edge->follow, message->store_pos);
 	edge->era.peer_message_seen = true;
-	if (message->claim.version > edge->newest_version)
-		edge->newest_version = message->claim.version;
+	if (message->claim.version > edge->newest_peer_version)
+		edge->newest_peer_version = message->claim.version;
 	if (message->store_pos.era == sto_era(edge->sto))
 		hint_receive_claim(edge, &message->claim, now);
 	for (k = 0; k < message->suspect_count; k++)
@@ -521,9 +521,10 @@
 			continue;
 		if (!routers)
 			routers = hint_list_routers(hint, now, &count);
-		thr_set_part(&wk->thr,
-			     hint_limit_part(routers, count, hint->self.id, wk),
-			     now);
+		thr_set_fraction(
+			&wk->thr,
+			hint_limit_part(routers, count, hint->self.id, wk),
+			now);
 	}
 }
 
--- a/src/plr.c
+++ b/src/plr.c
@@ -95,12 +95,12 @@
 static void plr_plan_service(struct edge *edge, int index, int64_t now)
 {
 	const struct rt_service *service = &edge->rt->services[index];
-	int64_t *hole_since_us = &edge->placer.hole_since_us[index];
+	int64_t *hole_since_us = &edge->placer.coverage_gap_since_us[index];
 	static struct lay_card cards[PLR_CARDS_MAX];
 	static struct wk *workers[PLR_CARDS_MAX];
 	struct lay_model model = plr_model(&service->engine);
 	struct wire_range range;
-	bool holes[EDGE_CENTRES_MAX];
+	bool holes[EDGE_DATA_CENTRES_MAX];
 	bool hole = false;
 	bool initial;
 	int count;
@@ -110,7 +110,7 @@
 	initial = lay_is_empty(cards, count);
 	if (initial && now - edge->workers.last_added_us < PLR_SETTLE_US)
 		return;
-	for (i = 0; i < edge->centre_count; i++) {
+	for (i = 0; i < edge->data_centre_count; i++) {
 		holes[i] = lay_has_hole(&model, cards, count, i);
 		hole |= holes[i];
 	}
@@ -142,7 +142,7 @@
 			const struct lay_model *model, struct lay_card *cards,
 			int count, bool initial, int64_t now)
 {
-	int64_t *next_us = &edge->placer.balance_us[index];
+	int64_t *next_us = &edge->placer.next_balance_us[index];
 
 	if (!initial && now < *next_us)
 		return;
@@ -162,15 +162,15 @@
 	struct lay_bottleneck bottleneck;
 	int i;
 
-	if (now < edge->placer.cover_log_us)
+	if (now < edge->placer.next_coverage_log_us)
 		return;
-	edge->placer.cover_log_us = now + PLR_LOG_INTERVAL_US;
-	for (i = 0; i < edge->centre_count; i++) {
+	edge->placer.next_coverage_log_us = now + PLR_LOG_INTERVAL_US;
+	for (i = 0; i < edge->data_centre_count; i++) {
 		lay_find_bottleneck(model, cards, count, i, &bottleneck);
 		jlog(LOG_PLR_COVER,
 		     "\"data_centre\":\"%s\",\"workers\":%d,"
 		     "\"least_layer\":%d,\"holders\":%d,\"tokens\":%.0f",
-		     edge->centres[i], bottleneck.cards, bottleneck.layer,
+		     edge->data_centres[i], bottleneck.cards, bottleneck.layer,
 		     bottleneck.holders, bottleneck.tokens);
 	}
 }
@@ -182,7 +182,7 @@
 
 	model.layers = engine->layers;
 	model.layer_mb = engine->layer_mb;
-	model.token_mb = engine->token_bytes / 1e6 / engine->layers;
+	model.token_mb = engine->kv_token_bytes / 1e6 / engine->layers;
 	model.slots = engine->slots;
 	model.request_tokens =
 		engine->usual_prompt + engine->usual_answer / 2.0;
@@ -196,7 +196,7 @@
 			  struct lay_card *cards, struct wk **workers,
 			  int64_t now)
 {
-	const struct rt_kind *kind;
+	const struct rt_accelerator *kind;
 	struct lay_card *card;
 	struct wk *wk;
 	int count = 0;
@@ -207,13 +207,14 @@
 		if (strcmp(wk->entry.service, service->name) != 0 ||
 		    !wk->listed || !wk_alive(wk, now))
 			continue;
-		kind = rt_kind_named(&service->engine, wk->entry.kind);
+		kind = rt_find_accelerator(&service->engine, wk->entry.kind);
 		if (!kind)
 			continue;
 		card = &cards[count];
 		workers[count++] = wk;
 		memset(card, 0, sizeof(*card));
-		card->centre = edge_centre(edge, wk->entry.data_centre);
+		card->centre =
+			edge_data_centre_index(edge, wk->entry.data_centre);
 		card->memory_mb = kind->memory_mb;
 		card->step_factor = kind->step_factor;
 		card->from = wk->ordered ? wk->order.from : wk->layers.from;
--- a/src/wkp.c
+++ b/src/wkp.c
@@ -75,9 +75,9 @@
 	struct wire_limit limit = pl_limit_decode(answer->headers);
 	int64_t now = clk_boot_us();
 
-	if (wk_apply_limit(wk, &limit, kind, sent_us, now) != THR_SAME)
-		thr_set_part(&wk->thr, hint_own_limit_part(edge->hint, wk, now),
-			     now);
+	if (wk_apply_limit(wk, &limit, kind, sent_us, now) != THR_UNCHANGED)
+		thr_set_fraction(&wk->thr,
+				 hint_own_limit_part(edge->hint, wk, now), now);
 }
 
 /*
@@ -88,7 +88,7 @@
 void wkp_probe(struct edge *edge, struct wk *wk, int64_t now)
 {
 	if (!wk->probing && now - wk->probed_us >= WKP_PROBE_INTERVAL_US &&
-	    thr_may_ask(&wk->thr, wk->probed_us, now))
+	    thr_may_probe(&wk->thr, wk->probed_us, now))
 		wkp_send_probe(edge, wk, false, now);
 }
 
@@ -97,7 +97,7 @@
 			   int64_t now)
 {
 	int service =
-		edge->rt ? rt_service_named(edge->rt, wk->entry.service) : -1;
+		edge->rt ? rt_find_service(edge->rt, wk->entry.service) : -1;
 	struct hc_send send = { 0 };
 	struct wkp_call *call;
 	struct hc_call *started;
@@ -149,7 +149,7 @@
 	cds_list_for_each_entry (wk, &edge->workers.workers, node) {
 		if (wk->probing && !wk->unresponsive &&
 		    now - wk->probed_us >= WKP_UNRESPONSIVE_US &&
-		    now - edge->late_us >= WKP_UNRESPONSIVE_US)
+		    now - edge->last_late_tick_us >= WKP_UNRESPONSIVE_US)
 			wkp_mark_unresponsive(wk, now);
 		if (wk->slowdown > WKP_SLOW_FACTOR && wk_alive(wk, now) &&
 		    now - wk->slowdown_us >= WKP_SLOW_PROBE_US &&
@@ -276,7 +276,7 @@
 			continue;
 		suspect = quar_check(edge->quar, candidate->fingerprint, now) !=
 			  QUAR_CLEAR;
-		quar_lost_endpoint(edge->quar, candidate->fingerprint, 0,
+		quar_endpoint_lost(edge->quar, candidate->fingerprint, 0,
 				   suspects == (suspect ? 1 : 0), now);
 		candidate->at_us = 0;
 	}
