--- a/src/edge_main.c
+++ b/src/edge_main.c
@@ -244,7 +244,7 @@
 	edge->stop_by_us = now + edge->set.stop_us - EDGE_STOP_MARGIN_US;
 	jlog(LOG_STOPPING, "\"requests_open\":%d", edge->request_count);
 	pres_leave(edge->pres);
-	hs_stop_keeping(edge->callers);
+	hs_stop_keep_alive(edge->callers);
 }
 
 static void edge_stop_tick(struct edge *edge, int64_t now)
--- a/src/eq.c
+++ b/src/eq.c
@@ -133,7 +133,7 @@
 	met_add(&eq->edge->met, MET_REFUSED);
 	eq_log_end(eq, status, why);
 	if (retry == EQ_RETRY_ELSEWHERE)
-		hs_close_after(eq->caller);
+		hs_close_after_reply(eq->caller);
 	hs_reply(eq->caller, status, fields, NULL, 0);
 	eq->caller = NULL;
 	eq_free(eq);
--- a/src/hs.c
+++ b/src/hs.c
@@ -99,7 +99,7 @@
  * From now on each answer says that its connection closes after it, and
  * connections that wait for a request close at once.
  */
-void hs_stop_keeping(struct hs *hs)
+void hs_stop_keep_alive(struct hs *hs)
 {
 	struct hs_conn *conn;
 	struct hs_conn *next;
@@ -172,7 +172,7 @@
 	conn->user = user;
 }
 
-void hs_close_after(struct hs_conn *conn)
+void hs_close_after_reply(struct hs_conn *conn)
 {
 	conn->keep_alive = false;
 }
@@ -403,7 +403,7 @@
 
 	conn->user = NULL;
 	if (conn->state == HS_ANSWERING && user)
-		conn->hs->ops.gone(conn->hs->ctx, conn, user);
+		conn->hs->ops.disconnected(conn->hs->ctx, conn, user);
 	hs_close(conn);
 }
 
--- a/src/hs.h
+++ b/src/hs.h
@@ -32,14 +32,14 @@
 	/* A whole request has been read; answer it now or later. */
 	void (*request)(void *ctx, struct hs_conn *conn);
 	/* The caller left before its answer was out; conn is gone after. */
-	void (*gone)(void *ctx, struct hs_conn *conn, void *user);
+	void (*disconnected)(void *ctx, struct hs_conn *conn, void *user);
 };
 
 int hs_new(struct event_base *base, const char *address,
 	   const struct hs_ops *ops, void *ctx, struct hs **out);
 void hs_free(struct hs *hs);
 void hs_set_limits(struct hs *hs, const struct hs_limits *limits);
-void hs_stop_keeping(struct hs *hs);
+void hs_stop_keep_alive(struct hs *hs);
 int hs_open_count(const struct hs *hs);
 void hs_tick(struct hs *hs, int64_t now);
 
@@ -50,7 +50,7 @@
 void hs_set_user(struct hs_conn *conn, void *user);
 
 /* The connection closes after the answer, so that a caller goes elsewhere. */
-void hs_close_after(struct hs_conn *conn);
+void hs_close_after_reply(struct hs_conn *conn);
 void hs_reply(struct hs_conn *conn, int status, const char *fields,
 	      const void *body, size_t len);
 void hs_stream_begin(struct hs_conn *conn, int status, const char *fields);
