--- a/regress/fake_worker.c
+++ b/regress/fake_worker.c
@@ -78,7 +78,7 @@
 static void begin_token(struct job *job, int64_t now);
 static int parse_hops(const char *text, struct wire_hop *hops);
 
-static bool ignore_headers(void *user, const struct hc_answer *answer)
+static bool ignore_headers(void *user, const struct hc_response *answer)
 {
 	(void)user;
 	(void)answer;
@@ -92,7 +92,7 @@
 	(void)len;
 }
 
-static void ignore_end(void *user, enum hc_end end)
+static void ignore_end(void *user, enum hc_result end)
 {
 	(void)user;
 	(void)end;
@@ -453,7 +453,7 @@
 	end_job(job);
 }
 
-static bool step_headers(void *user, const struct hc_answer *answer)
+static bool step_headers(void *user, const struct hc_response *answer)
 {
 	struct job *job = user;
 
@@ -465,7 +465,7 @@
 	return true;
 }
 
-static void step_ended(void *user, enum hc_end end)
+static void step_ended(void *user, enum hc_result end)
 {
 	struct job *job = user;
 
@@ -474,7 +474,7 @@
 		end_job(job);
 		return;
 	}
-	if (end != HC_WHOLE)
+	if (end != HC_COMPLETE)
 		return; /* it stalls; the tick cuts it */
 	job->waits_since_us = 0;
 	job->hop++;
--- a/regress/tool_calls.c
+++ b/regress/tool_calls.c
@@ -43,7 +43,7 @@
 static int made;
 static int open_calls;
 
-static bool on_headers(void *user, const struct hc_answer *answer)
+static bool on_headers(void *user, const struct hc_response *answer)
 {
 	struct call *call = user;
 	const char *id = hdr_get(answer->headers, "Attempt-Id");
@@ -72,13 +72,13 @@
 	}
 }
 
-static void on_end(void *user, enum hc_end end)
+static void on_end(void *user, enum hc_result end)
 {
 	static const char *const ends[] = { "whole", "unsent", "broken",
 					    "garbled", "timeout" };
 	struct call *call = user;
 
-	if (end == HC_WHOLE && call->kind == 's' && call->status == 200 &&
+	if (end == HC_COMPLETE && call->kind == 's' && call->status == 200 &&
 	    (call->last != EVENTS || evs_pending(&call->evs) > 0))
 		call->order = false;
 	printf("CALL %s %c %d %s %s %s\n", call->id, call->kind, call->status,
@@ -95,7 +95,7 @@
 	struct call *call = calloc(1, sizeof(*call));
 	struct hc_send send = { .ops = &ops,
 				.user = call,
-				.fresh = true,
+				.new_connection = true,
 				.connect_by_us = now + CONNECT_US,
 				.deadline_us = now + PATIENCE_US };
 	struct hc_call *started;
--- a/src/edge_main.c
+++ b/src/edge_main.c
@@ -202,7 +202,7 @@
 	(void)what;
 	if (edge->ticked_us && now - edge->ticked_us > EDGE_LATE_US) {
 		edge->late_us = now;
-		hc_delay(edge->hc, now - edge->ticked_us);
+		hc_extend_deadlines(edge->hc, now - edge->ticked_us);
 	}
 	edge->ticked_us = now;
 	edge_reload(run, now);
--- a/src/eq_answer.c
+++ b/src/eq_answer.c
@@ -9,15 +9,16 @@
 /* Weight of the newest pause in a stream's pace: one in so many. */
 #define EQ_PACE_PARTS 8
 
-static bool eq_on_headers(void *user, const struct hc_answer *answer);
-static void eq_take_limit(const struct eq *eq, const struct hc_answer *answer);
+static bool eq_on_headers(void *user, const struct hc_response *answer);
+static void eq_take_limit(const struct eq *eq,
+			  const struct hc_response *answer);
 static void eq_on_body(void *user, const void *bytes, size_t len);
-static void eq_on_end(void *user, enum hc_end end);
+static void eq_on_end(void *user, enum hc_result end);
 static void eq_events(struct eq *eq, const void *bytes, size_t len);
 static void eq_began(struct eq *eq);
 static void eq_take_gap(struct eq *eq, int64_t gap_us);
 static void eq_whole(struct eq *eq, struct wk *wk, int64_t now);
-static void eq_broken(struct eq *eq, struct wk *wk, enum hc_end end,
+static void eq_broken(struct eq *eq, struct wk *wk, enum hc_result end,
 		      int64_t now);
 static void eq_not_run(struct eq *eq, struct wk *wk, int64_t now);
 static void eq_relay(struct eq *eq);
@@ -64,7 +65,7 @@
 }
 
 /* An answer that names another request is skipped: ours may follow it. */
-static bool eq_on_headers(void *user, const struct hc_answer *answer)
+static bool eq_on_headers(void *user, const struct hc_response *answer)
 {
 	struct eq *eq = user;
 
@@ -91,7 +92,7 @@
 }
 
 /* Takes the rate limit that the first worker names, or no longer names. */
-static void eq_take_limit(const struct eq *eq, const struct hc_answer *answer)
+static void eq_take_limit(const struct eq *eq, const struct hc_response *answer)
 {
 	bool sound = answer->status / 100 == 2 && eq->says.sealed;
 
@@ -178,14 +179,14 @@
 }
 
 /* An attempt is over; the call is gone. */
-static void eq_on_end(void *user, enum hc_end end)
+static void eq_on_end(void *user, enum hc_result end)
 {
 	struct eq *eq = user;
 	struct wk *wk = eq->hops[0].worker;
 	int64_t now = clk_boot_us();
 
 	eq->call = NULL;
-	if (end == HC_WHOLE && !eq->garbled && eq->answered)
+	if (end == HC_COMPLETE && !eq->garbled && eq->answered)
 		eq_whole(eq, wk, now);
 	else
 		eq_broken(eq, wk, end, now);
@@ -272,7 +273,7 @@
 }
 
 /* The attempt ended without a whole answer. */
-static void eq_broken(struct eq *eq, struct wk *wk, enum hc_end end,
+static void eq_broken(struct eq *eq, struct wk *wk, enum hc_result end,
 		      int64_t now)
 {
 	struct edge *edge = eq->edge;
@@ -289,10 +290,11 @@
 	wk_result(wk, false, 0);
 	if (!eq->answered)
 		wk_broke(wk, now);
-	if (end == HC_BROKEN) {
+	if (end == HC_CONN_LOST) {
 		eq_blame(eq, wk, now);
 		wkp_ask(edge, wk, now);
 	}
-	eq_again(eq, eq->garbled || end == HC_GARBLED ? "garbled answer"
-						      : "connection broke");
+	eq_again(eq, eq->garbled || end == HC_PROTOCOL_ERROR
+			     ? "garbled answer"
+			     : "connection broke");
 }
--- a/src/eq_repair.c
+++ b/src/eq_repair.c
@@ -35,9 +35,9 @@
 	struct evbuffer *body;
 };
 
-static bool eq_repair_headers(void *user, const struct hc_answer *answer);
+static bool eq_repair_headers(void *user, const struct hc_response *answer);
 static void eq_repair_body(void *user, const void *bytes, size_t len);
-static void eq_repair_end(void *user, enum hc_end end);
+static void eq_repair_end(void *user, enum hc_result end);
 static bool eq_repair_alive(const struct wk *wk, int64_t now);
 static struct evbuffer *eq_repair_message(const struct eq *eq);
 static void eq_repair_refused(struct eq *eq, const char *address, int64_t now);
@@ -123,7 +123,7 @@
 			      eq->hops[0].worker->is.address, body);
 }
 
-static bool eq_repair_headers(void *user, const struct hc_answer *answer)
+static bool eq_repair_headers(void *user, const struct hc_response *answer)
 {
 	struct eq_repair *repair = user;
 
@@ -140,7 +140,7 @@
 	evbuffer_add(repair->body, bytes, len);
 }
 
-static void eq_repair_end(void *user, enum hc_end end)
+static void eq_repair_end(void *user, enum hc_result end)
 {
 	struct eq_repair *repair = user;
 	struct eq *eq = repair->eq;
@@ -148,7 +148,7 @@
 	char chain[EQ_CHAIN_TEXT];
 	char id[WIRE_ID_MAX];
 	int64_t now = clk_boot_us();
-	int status = end == HC_WHOLE ? repair->status : 0;
+	int status = end == HC_COMPLETE ? repair->status : 0;
 
 	repair->call = NULL;
 	if (status == 409)
--- a/src/eq_send.c
+++ b/src/eq_send.c
@@ -224,8 +224,8 @@
 	 * A worker may close an idle connection while a request is on its
 	 * way; nobody could tell then whether it ran.
 	 */
-	send.fresh = eq->route->repeat == RT_ONCE;
-	send.head = strcmp(hs_method(eq->caller), "HEAD") == 0;
+	send.new_connection = eq->route->repeat == RT_ONCE;
+	send.head_request = strcmp(hs_method(eq->caller), "HEAD") == 0;
 	jlog(LOG_EQ_SENT,
 	     "\"request\":\"%s\",\"worker\":\"%s\",\"hops\":%d,"
 	     "\"chain\":\"%s\",\"send\":%d,\"from_event\":%lld,"
--- a/src/hc.c
+++ b/src/hc.c
@@ -76,7 +76,7 @@
 static void hc_event(struct bufferevent *bev, short what, void *arg);
 static void hc_parse(struct hc_call *call);
 static void hc_complete(struct hc_call *call);
-static void hc_end(struct hc_call *call, enum hc_end end);
+static void hc_finish(struct hc_call *call, enum hc_result end);
 static void hc_close(struct hc_call *call);
 static void hc_hint(struct hc_call *call, int64_t now);
 static bool hc_end_one_due(struct hc_host *host, int64_t now);
@@ -127,7 +127,7 @@
  * unread, and connections that stand have not been written to.  Without this
  * each call in progress would seem unanswered, and sound hosts dead.
  */
-void hc_delay(struct hc *hc, int64_t by_us)
+void hc_extend_deadlines(struct hc *hc, int64_t by_us)
 {
 	struct hc_host *host;
 	struct hc_call *call;
@@ -168,9 +168,9 @@
 			hc_close(call);
 		else if (call->state == HC_CONNECTING &&
 			 now >= call->connect_by_us)
-			hc_end(call, HC_UNSENT);
+			hc_finish(call, HC_UNSENT);
 		else if (call->state == HC_ACTIVE && now >= call->deadline_us)
-			hc_end(call, HC_TIMED_OUT);
+			hc_finish(call, HC_TIMED_OUT);
 		else
 			continue;
 		return true;
@@ -241,7 +241,7 @@
 {
 	struct hc_call *call = NULL;
 
-	if (!send->fresh && !cds_list_empty(&host->idle)) {
+	if (!send->new_connection && !cds_list_empty(&host->idle)) {
 		call = cds_list_first_entry(&host->idle, struct hc_call,
 					    in_idle);
 		cds_list_del(&call->in_idle);
@@ -336,7 +336,7 @@
 	call->request_len = evbuffer_get_length(send->request);
 	call->connect_by_us = send->connect_by_us;
 	call->deadline_us = send->deadline_us;
-	call->head = send->head;
+	call->head = send->head_request;
 	call->skipping = false;
 	call->until_eof = false;
 	call->got_bytes = false;
@@ -381,7 +381,7 @@
 		return;
 	switch (call->state) {
 	case HC_CONNECTING:
-		hc_end(call, HC_UNSENT);
+		hc_finish(call, HC_UNSENT);
 		return;
 	case HC_IDLE:
 		hc_close(call);
@@ -391,10 +391,10 @@
 	}
 	if ((what & BEV_EVENT_EOF) && call->until_eof && !call->skipping) {
 		call->keep_alive = false;
-		hc_end(call, HC_WHOLE);
+		hc_finish(call, HC_COMPLETE);
 		return;
 	}
-	hc_end(call, hc_unsent(call) ? HC_UNSENT : HC_BROKEN);
+	hc_finish(call, hc_unsent(call) ? HC_UNSENT : HC_CONN_LOST);
 }
 
 static void hc_parse(struct hc_call *call)
@@ -425,7 +425,7 @@
 		}
 		if (HTTP_PARSER_ERRNO(&call->parser) != HPE_OK ||
 		    call->parser.upgrade) {
-			hc_end(call, HC_GARBLED);
+			hc_finish(call, HC_PROTOCOL_ERROR);
 			return;
 		}
 	}
@@ -452,11 +452,11 @@
 		cds_list_add(&call->in_idle, &call->host->idle);
 	}
 	if (ops)
-		ops->ended(user, HC_WHOLE);
+		ops->ended(user, HC_COMPLETE);
 }
 
 /* Ends a call that failed, or whose answer ended with its connection. */
-static void hc_end(struct hc_call *call, enum hc_end end)
+static void hc_finish(struct hc_call *call, enum hc_result end)
 {
 	const struct hc_ops *ops = call->ops;
 	void *user = call->user;
@@ -521,7 +521,8 @@
 static int hc_on_headers(http_parser *parser)
 {
 	struct hc_call *call = parser->data;
-	struct hc_answer answer = { (int)parser->status_code, &call->headers };
+	struct hc_response answer = { (int)parser->status_code,
+				      &call->headers };
 
 	if (parser->status_code / 100 == 1)
 		return 0;
--- a/src/hc.h
+++ b/src/hc.h
@@ -29,15 +29,15 @@
 	HC_E_FULL = -3, /* the host's bound on connections is reached */
 };
 
-enum hc_end {
-	HC_WHOLE,     /* the answer is complete */
-	HC_UNSENT,    /* no byte of the request left this machine */
-	HC_BROKEN,    /* the connection ended before the answer did */
-	HC_GARBLED,   /* what came is no answer in the protocol */
-	HC_TIMED_OUT, /* the deadline of the call has passed */
+enum hc_result {
+	HC_COMPLETE,	   /* the answer is complete */
+	HC_UNSENT,	   /* no byte of the request left this machine */
+	HC_CONN_LOST,	   /* the connection ended before the answer did */
+	HC_PROTOCOL_ERROR, /* what came is no answer in the protocol */
+	HC_TIMED_OUT,	   /* the deadline of the call has passed */
 };
 
-struct hc_answer {
+struct hc_response {
 	int status;
 	const struct hdr_list *headers;
 };
@@ -45,10 +45,10 @@
 struct hc_ops {
 	/* Header of the answer; return false to skip this answer, because
 	 * it belongs to another request, and to wait for the next one. */
-	bool (*headers)(void *user, const struct hc_answer *answer);
+	bool (*headers)(void *user, const struct hc_response *answer);
 	void (*body)(void *user, const void *bytes, size_t len);
 	/* The call is over and released. */
-	void (*ended)(void *user, enum hc_end end);
+	void (*ended)(void *user, enum hc_result end);
 };
 
 struct hc_send {
@@ -57,14 +57,14 @@
 	void *user;
 	int64_t connect_by_us;
 	int64_t deadline_us; /* MAG_NEVER: the owner cancels */
-	bool fresh;	     /* never on a connection that was used before */
-	bool head;	     /* the answer has no body */
+	bool new_connection; /* never on a connection that was used before */
+	bool head_request;   /* the answer has no body */
 };
 
 struct hc *hc_new(struct event_base *base);
 void hc_free(struct hc *hc);
 void hc_tick(struct hc *hc, int64_t now);
-void hc_delay(struct hc *hc, int64_t by_us);
+void hc_extend_deadlines(struct hc *hc, int64_t by_us);
 
 int hc_host_new(struct hc *hc, const char *address, int max_connections,
 		struct hc_host **out);
--- a/src/plr.c
+++ b/src/plr.c
@@ -63,9 +63,9 @@
 		     struct lay_card *cards, struct wk **workers, int64_t now);
 static void plr_order(struct edge *edge, struct wk *wk,
 		      const struct wire_range *range, int64_t now);
-static bool plr_on_headers(void *user, const struct hc_answer *answer);
+static bool plr_on_headers(void *user, const struct hc_response *answer);
 static void plr_on_body(void *user, const void *bytes, size_t len);
-static void plr_on_end(void *user, enum hc_end end);
+static void plr_on_end(void *user, enum hc_result end);
 
 static const struct hc_ops plr_ops = {
 	.headers = plr_on_headers,
@@ -272,7 +272,7 @@
 	     (long long)wk->orders_taken);
 }
 
-static bool plr_on_headers(void *user, const struct hc_answer *answer)
+static bool plr_on_headers(void *user, const struct hc_response *answer)
 {
 	struct plr_call *call = user;
 
@@ -289,19 +289,19 @@
 	(void)len;
 }
 
-static void plr_on_end(void *user, enum hc_end end)
+static void plr_on_end(void *user, enum hc_result end)
 {
 	struct plr_call *call = user;
 	struct wk *wk = call->wk;
 
-	if (end == HC_WHOLE && call->status / 100 != 2) {
+	if (end == HC_COMPLETE && call->status / 100 != 2) {
 		/* It was not taken: the state it rested on has changed. */
 		wk->ordered = false;
 		wk->orders_taken = -1;
 	}
-	if (end != HC_WHOLE || call->status / 100 != 2)
+	if (end != HC_COMPLETE || call->status / 100 != 2)
 		jlog(LOG_PLR_UNSURE, "\"worker\":\"%s\",\"status\":%d",
-		     wk->is.id, end == HC_WHOLE ? call->status : 0);
+		     wk->is.id, end == HC_COMPLETE ? call->status : 0);
 	wk_drop(wk);
 	free(call);
 }
--- a/src/sto.c
+++ b/src/sto.c
@@ -15,9 +15,9 @@
 /* Malformed eras are logged this often at most. */
 #define STO_BAD_ERA_US MAG_US_PER_S
 
-static bool sto_on_headers(void *user, const struct hc_answer *answer);
+static bool sto_on_headers(void *user, const struct hc_response *answer);
 static void sto_on_body(void *user, const void *bytes, size_t len);
-static void sto_on_end(void *user, enum hc_end end);
+static void sto_on_end(void *user, enum hc_result end);
 static enum sto_result sto_result_of(int status);
 static bool sto_is_news(struct sto *sto, const struct sto_call *call);
 
@@ -138,7 +138,7 @@
 	free(call);
 }
 
-static bool sto_on_headers(void *user, const struct hc_answer *answer)
+static bool sto_on_headers(void *user, const struct hc_response *answer)
 {
 	struct sto_call *call = user;
 
@@ -154,7 +154,7 @@
 	evbuffer_add(call->body, bytes, len);
 }
 
-static void sto_on_end(void *user, enum hc_end end)
+static void sto_on_end(void *user, enum hc_result end)
 {
 	struct sto_call *call = user;
 	enum sto_result result = STO_LOST;
@@ -163,7 +163,7 @@
 	size_t len = evbuffer_get_length(call->body);
 	const char *body;
 
-	if (end == HC_WHOLE && sto_is_news(sto, call))
+	if (end == HC_COMPLETE && sto_is_news(sto, call))
 		result = sto_result_of(call->status);
 	else if (end == HC_UNSENT)
 		result = STO_REFUSED;
--- a/src/wkp.c
+++ b/src/wkp.c
@@ -47,13 +47,13 @@
 	struct evbuffer *body;
 };
 
-static bool wkp_on_headers(void *user, const struct hc_answer *answer);
+static bool wkp_on_headers(void *user, const struct hc_response *answer);
 static void wkp_on_body(void *user, const void *bytes, size_t len);
-static void wkp_on_end(void *user, enum hc_end end);
+static void wkp_on_end(void *user, enum hc_result end);
 static void wkp_start(struct edge *edge, struct wk *wk, bool fresh,
 		      int64_t now);
 static void wkp_unresponsive(struct wk *wk, int64_t now);
-static void wkp_silent(struct edge *edge, struct wk *wk, enum hc_end end,
+static void wkp_silent(struct edge *edge, struct wk *wk, enum hc_result end,
 		       int64_t now);
 static int wkp_lost_together(const struct edge *edge, int64_t now);
 static void wkp_died(struct edge *edge, struct wk *wk, int64_t now);
@@ -67,7 +67,7 @@
 
 /* Takes the rate limit that any answer of a worker names, or does not name. */
 void wkp_take_limit(struct edge *edge, struct wk *wk,
-		    const struct hc_answer *answer, enum wk_answer kind,
+		    const struct hc_response *answer, enum wk_answer kind,
 		    int64_t sent_us)
 {
 	struct wire_limit limit = pl_limit_decode(answer->headers);
@@ -117,7 +117,7 @@
 		wk->is.address, NULL);
 	send.ops = &wkp_ops;
 	send.user = call;
-	send.fresh = fresh;
+	send.new_connection = fresh;
 	send.connect_by_us = now + WKP_ANSWER_US;
 	send.deadline_us = now + WKP_ANSWER_US;
 	met_add(&edge->met, MET_PROBES);
@@ -162,7 +162,7 @@
 	     wk->is.id, (int)((now - wk->probed_us) / MAG_US_PER_MS));
 }
 
-static bool wkp_on_headers(void *user, const struct hc_answer *answer)
+static bool wkp_on_headers(void *user, const struct hc_response *answer)
 {
 	struct wkp_call *call = user;
 
@@ -179,7 +179,7 @@
 	evbuffer_add(call->body, bytes, len);
 }
 
-static void wkp_on_end(void *user, enum hc_end end)
+static void wkp_on_end(void *user, enum hc_result end)
 {
 	struct wkp_call *call = user;
 	struct wk *wk = call->wk;
@@ -188,14 +188,14 @@
 
 	wk->probing = false;
 	wk_drop(wk);
-	if (end == HC_WHOLE)
+	if (end == HC_COMPLETE)
 		wk->unresponsive = false;
-	if (end == HC_WHOLE && call->engine) {
+	if (end == HC_COMPLETE && call->engine) {
 		wkp_report(call, now);
-	} else if (end == HC_WHOLE) {
+	} else if (end == HC_COMPLETE) {
 		if (call->status == 200)
 			wk_clear(wk);
-	} else if (end == HC_BROKEN && !call->fresh) {
+	} else if (end == HC_CONN_LOST && !call->fresh) {
 		/*
 		 * Workers drop idle connections without notice, and links
 		 * reset them; that says nothing of the worker.
@@ -209,14 +209,14 @@
 }
 
 /* A worker did not answer: it is suspected, and what waits for it is moved. */
-static void wkp_silent(struct edge *edge, struct wk *wk, enum hc_end end,
+static void wkp_silent(struct edge *edge, struct wk *wk, enum hc_result end,
 		       int64_t now)
 {
 	wk->suspect_until_us = 0;
 	wk_suspect(wk, now, "no answer to a question");
 	eq_on_suspect(edge, wk, now);
 	/* Silence may be a freeze; a closed port is a death. */
-	if (end == HC_UNSENT || end == HC_BROKEN)
+	if (end == HC_UNSENT || end == HC_CONN_LOST)
 		wkp_died(edge, wk, now);
 }
 
