--- a/regress/check_pl.c
+++ b/regress/check_pl.c
@@ -45,7 +45,7 @@
 		worker.service, worker.address, worker.data_centre,
 		worker.draining ? "draining" : "ready", worker.slots,
 		worker.layers.from, worker.layers.to,
-		(long long)worker.born_ms);
+		(long long)worker.started_ms);
 }
 
 static void show_report(FILE *out, const char *text)
@@ -111,11 +111,12 @@
 		hdr_add_value(&headers, text + 1, strlen(text + 1));
 	}
 	limit = pl_limit_decode(&headers);
-	if (limit.word == WIRE_LIMIT_NAMED)
+	if (limit.status == WIRE_LIMIT_VALID)
 		fprintf(out, "%g a second\n", limit.per_s);
 	else
 		fprintf(out, "%s\n",
-			limit.word == WIRE_LIMIT_BAD ? "unreadable" : "none");
+			limit.status == WIRE_LIMIT_INVALID ? "unreadable"
+							   : "none");
 	hdr_free(&headers);
 }
 
--- a/regress/check_thr.c
+++ b/regress/check_thr.c
@@ -121,7 +121,7 @@
 static void answer(int64_t sent_us, int r)
 {
 	struct wire_limit said = { limit < 0 ? WIRE_LIMIT_NONE
-					     : WIRE_LIMIT_NAMED,
+					     : WIRE_LIMIT_VALID,
 				   limit };
 
 	if (wk_take_limit(&routers[r].wk, &said, WK_ANSWER_SOUND, sent_us,
--- a/regress/check_wk.c
+++ b/regress/check_wk.c
@@ -21,7 +21,7 @@
 		   worker.address, &born, &worker.layers.from,
 		   &worker.layers.to, worker.service) < 5)
 		return;
-	worker.born_ms = born;
+	worker.started_ms = born;
 	wk_list_put(&table, &worker, now, NULL);
 }
 
--- a/src/sto_follow.c
+++ b/src/sto_follow.c
@@ -171,7 +171,7 @@
 		follow->ops->begin(follow->user);
 	}
 	sto_tell(follow, &items);
-	if (items.more && items.count > 0) {
+	if (items.has_more && items.count > 0) {
 		mag_copy_name(follow->after, sizeof(follow->after),
 			      items.items[items.count - 1].key);
 		pl_store_items_free(&items);
--- a/src/wire.h
+++ b/src/wire.h
@@ -32,19 +32,19 @@
 	char kind[MAG_NAME_MAX]; /* of accelerator, "" for plain services */
 	int slots;
 	bool draining;
-	int64_t born_ms; /* Unix time of its start; 0: it does not say */
+	int64_t started_ms; /* Unix time of its start; 0: it does not say */
 	struct wire_range layers;
 };
 
 /* Whether an answer names the requests a second that its worker takes. */
-enum wire_limit_word {
+enum wire_limit_status {
 	WIRE_LIMIT_NONE,
-	WIRE_LIMIT_NAMED,
-	WIRE_LIMIT_BAD, /* it cannot be read */
+	WIRE_LIMIT_VALID,
+	WIRE_LIMIT_INVALID, /* it cannot be read */
 };
 
 struct wire_limit {
-	enum wire_limit_word word;
+	enum wire_limit_status status;
 	double per_s; /* of all routers together */
 };
 
@@ -58,7 +58,7 @@
 struct wire_report {
 	bool busy; /* an order is being carried out */
 	int64_t orders_taken;
-	int64_t born_ms;
+	int64_t started_ms;
 	int running;
 	int waiting;
 	double memory_used;  /* tokens x layers that cannot yield */
@@ -89,7 +89,7 @@
 struct wire_items {
 	struct wire_item *items;
 	int count;
-	bool more;	  /* a further page begins after the last key */
+	bool has_more;	  /* a further page begins after the last key */
 	int64_t revision; /* of the store, when it answered */
 };
 
--- a/src/wk.c
+++ b/src/wk.c
@@ -374,11 +374,11 @@
 {
 	struct wire_worker known = wk->is;
 
-	if (worker->born_ms > known.born_ms) {
+	if (worker->started_ms > known.started_ms) {
 		wk_take_entry(wk, worker, now);
 		return;
 	}
-	if (worker->born_ms == known.born_ms)
+	if (worker->started_ms == known.started_ms)
 		known.draining |= worker->draining;
 	wk_take_entry(wk, &known, now);
 }
@@ -395,7 +395,7 @@
 	for (i = 0; i < WK_PAST_MAX; i++) {
 		past = &table->past[i];
 		if (past->gone_us && past->gone_us <= table->returned_us &&
-		    worker->born_ms <= past->born_ms &&
+		    worker->started_ms <= past->born_ms &&
 		    strcmp(past->id, worker->id) == 0)
 			return true;
 	}
@@ -409,14 +409,14 @@
 
 	table->past_next = (table->past_next + 1) % WK_PAST_MAX;
 	mag_copy_name(past->id, sizeof(past->id), wk->is.id);
-	past->born_ms = wk->is.born_ms;
+	past->born_ms = wk->is.started_ms;
 	past->gone_us = now;
 }
 
 static void wk_take_entry(struct wk *wk, const struct wire_worker *worker,
 			  int64_t now)
 {
-	bool reborn = worker->born_ms != wk->is.born_ms;
+	bool reborn = worker->started_ms != wk->is.started_ms;
 	bool leaving = wk->is.draining && !reborn;
 	bool moved = worker->layers.from != wk->is.layers.from ||
 		     worker->layers.to != wk->is.layers.to;
@@ -431,7 +431,7 @@
 	if (reborn) {
 		/* It lost its layers, its orders and its faults. */
 		jlog(LOG_WK_RESTARTED, "\"worker\":\"%s\",\"born_ms\":%lld",
-		     worker->id, (long long)worker->born_ms);
+		     worker->id, (long long)worker->started_ms);
 		wk->orders_taken = -1;
 		wk->reported_us = 0;
 		wk->slowdown = 1;
@@ -471,11 +471,11 @@
 		if (other == wk || !other->listed ||
 		    strcmp(other->is.address, wk->is.address) != 0 ||
 		    strcmp(other->is.service, wk->is.service) != 0 ||
-		    !other->is.born_ms || !wk->is.born_ms)
+		    !other->is.started_ms || !wk->is.started_ms)
 			continue;
-		if (other->is.born_ms < wk->is.born_ms)
+		if (other->is.started_ms < wk->is.started_ms)
 			other->replaced = true;
-		else if (other->is.born_ms > wk->is.born_ms)
+		else if (other->is.started_ms > wk->is.started_ms)
 			wk->replaced = true;
 	}
 }
--- a/src/wk_limit.c
+++ b/src/wk_limit.c
@@ -27,11 +27,11 @@
 {
 	enum thr_change change = THR_SAME;
 
-	if (limit->word == WIRE_LIMIT_BAD) {
+	if (limit->status == WIRE_LIMIT_INVALID) {
 		wk_log_limit(wk, THR_SAME, wk_limit_sources[answer], now);
 		return THR_SAME;
 	}
-	if (limit->word == WIRE_LIMIT_NAMED)
+	if (limit->status == WIRE_LIMIT_VALID)
 		change = thr_named(&wk->thr, limit->per_s, now, now);
 	else if (answer == WK_ANSWER_SOUND)
 		change = thr_not_named(&wk->thr, sent_us);
