--- a/regress/check_pl.c
+++ b/regress/check_pl.c
@@ -82,7 +82,7 @@
 		hops[i].from = 100 + i;
 		hops[i].to = 101 + i;
 	}
-	if (pl_order_repath(body, sizeof(body), id, hops, count))
+	if (pl_order_repath_encode(body, sizeof(body), id, hops, count))
 		fprintf(out, "too long\n");
 	else
 		fprintf(out, "%zu bytes %.100s\n", strlen(body), body);
@@ -93,7 +93,7 @@
 {
 	char address[MAG_ADDR_MAX];
 
-	pl_order_fault(text, strlen(text), address, sizeof(address));
+	pl_order_refused_worker(text, strlen(text), address, sizeof(address));
 	fprintf(out, "fault \"%s\"\n", address);
 }
 
--- a/src/edge_follow.c
+++ b/src/edge_follow.c
@@ -103,7 +103,8 @@
 
 	if (strcmp(item->key, PL_CONFIG_KEY) == 0)
 		edge_config_item(edge, item);
-	else if (strncmp(item->key, PL_WORKERS, strlen(PL_WORKERS)) == 0)
+	else if (strncmp(item->key, PL_WORKERS_PREFIX,
+			 strlen(PL_WORKERS_PREFIX)) == 0)
 		edge_worker_item(edge, item);
 	else if (strncmp(item->key, PRES_PREFIX, strlen(PRES_PREFIX)) == 0)
 		pres_item(edge->pres, item);
@@ -198,7 +199,7 @@
 	int service;
 
 	if (item->deleted) {
-		wk_remove(&edge->workers, item->key + strlen(PL_WORKERS),
+		wk_remove(&edge->workers, item->key + strlen(PL_WORKERS_PREFIX),
 			  edge_gone_us(edge, now), now);
 		return;
 	}
--- a/src/eq.c
+++ b/src/eq.c
@@ -148,7 +148,7 @@
 static void eq_retry_fields(const struct eq *eq, enum eq_retry retry,
 			    char *fields, size_t size)
 {
-	int64_t wait = eq->asks.wait_ms;
+	int64_t wait = eq->asks.timeout_ms;
 	double spread = (double)(edge_random(eq->edge) % 1000) / 1000;
 	double left;
 
@@ -348,7 +348,7 @@
 static void eq_deadlines(struct eq *eq)
 {
 	int64_t limit = eq->route->timeout_us;
-	int64_t wait = eq->asks.wait_ms * MAG_US_PER_MS;
+	int64_t wait = eq->asks.timeout_ms * MAG_US_PER_MS;
 
 	if (wait > 0 && wait < limit)
 		limit = wait;
--- a/src/eq.h
+++ b/src/eq.h
@@ -68,7 +68,7 @@
 
 	/* The answer of the attempt in progress. */
 	int status;
-	struct pl_answer says;
+	struct pl_response says;
 	char at_fault[MAG_ADDR_MAX];
 	bool answered; /* its header has come */
 	bool garbled;
--- a/src/eq_answer.c
+++ b/src/eq_answer.c
@@ -69,7 +69,7 @@
 {
 	struct eq *eq = user;
 
-	pl_answer_decode(answer->status, answer->headers, &eq->says);
+	pl_response_decode(answer->status, answer->headers, &eq->says);
 	if (eq->says.attempt_id && eq->asks.attempt_id &&
 	    strcmp(eq->says.attempt_id, eq->asks.attempt_id) != 0)
 		return false;
@@ -85,7 +85,7 @@
 		eq->garbled = true;
 	if (eq->state != EQ_STREAMS) {
 		evbuffer_drain(eq->fields, evbuffer_get_length(eq->fields));
-		pl_answer_fields(answer->headers, eq->fields);
+		pl_response_fields(answer->headers, eq->fields);
 		evbuffer_add(eq->fields, "", 1);
 	}
 	return true;
--- a/src/eq_repair.c
+++ b/src/eq_repair.c
@@ -116,8 +116,8 @@
 	char body[PL_ORDER_MAX];
 	int count = eq_wire_hops(eq, hops);
 
-	if (pl_order_repath(body, sizeof(body), eq->asks.attempt_id, hops,
-			    count))
+	if (pl_order_repath_encode(body, sizeof(body), eq->asks.attempt_id,
+				   hops, count))
 		return NULL;
 	return pl_call_encode("POST", PL_ORDER_PATH,
 			      eq->hops[0].worker->is.address, body);
@@ -152,9 +152,10 @@
 
 	repair->call = NULL;
 	if (status == 409)
-		pl_order_fault((char *)evbuffer_pullup(repair->body, -1),
-			       evbuffer_get_length(repair->body), address,
-			       sizeof(address));
+		pl_order_refused_worker(
+			(char *)evbuffer_pullup(repair->body, -1),
+			evbuffer_get_length(repair->body), address,
+			sizeof(address));
 	jlog(LOG_EQ_REPAIRED,
 	     "\"request\":\"%s\",\"worker\":\"%s\",\"hops\":%d,"
 	     "\"chain\":\"%s\",\"repair\":%d,\"status\":%d,\"at_fault\":\"%s\","
--- a/src/eq_send.c
+++ b/src/eq_send.c
@@ -250,7 +250,7 @@
 /* Makes the message to the first worker. */
 static struct evbuffer *eq_message(struct eq *eq, int64_t now)
 {
-	struct pl_outgoing out = { 0 };
+	struct pl_worker_request out = { 0 };
 	struct wire_hop hops[CHN_HOPS_MAX];
 
 	out.method = hs_method(eq->caller);
@@ -258,7 +258,7 @@
 	out.headers = hs_headers(eq->caller);
 	out.worker_id = eq->hops[0].worker->is.id;
 	out.account = eq->account;
-	out.left_ms = (eq->deadline_us - now) / MAG_US_PER_MS;
+	out.remaining_ms = (eq->deadline_us - now) / MAG_US_PER_MS;
 	out.last_event = -1;
 	if (eq->state == EQ_STREAMS)
 		out.last_event = eq->last_event;
@@ -268,5 +268,5 @@
 		out.hops = hops;
 		out.hop_count = eq_wire_hops(eq, hops);
 	}
-	return pl_outgoing_encode(&out);
+	return pl_worker_request_encode(&out);
 }
--- a/src/plr.c
+++ b/src/plr.c
@@ -245,7 +245,7 @@
 	call = calloc(1, sizeof(*call));
 	if (!call)
 		return;
-	pl_order_place(body, sizeof(body), range, wk->orders_taken);
+	pl_order_place_encode(body, sizeof(body), range, wk->orders_taken);
 	call->edge = edge;
 	call->wk = wk;
 	send.request =
--- a/src/sto.c
+++ b/src/sto.c
@@ -57,7 +57,7 @@
 	char path[PL_PATH_MAX];
 	char body[64];
 
-	pl_store_lease(path);
+	pl_store_lease_path(path);
 	pl_store_lease_body(body, sizeof(body), ttl_ms);
 	sto_start(sto, "POST", path, body, 0, done, user);
 }
@@ -66,7 +66,7 @@
 {
 	char path[PL_PATH_MAX];
 
-	pl_store_keep(path, lease);
+	pl_store_renew_path(path, lease);
 	sto_start(sto, "POST", path, NULL, 0, done, user);
 }
 
@@ -74,7 +74,7 @@
 {
 	char path[PL_PATH_MAX];
 
-	pl_store_end(path, lease);
+	pl_store_revoke_path(path, lease);
 	sto_start(sto, "DELETE", path, NULL, 0, done, user);
 }
 
@@ -85,7 +85,7 @@
 	char path[PL_PATH_MAX];
 	char *body = pl_store_swap_body(&swap);
 
-	pl_store_swap(path);
+	pl_store_swap_path(path);
 	sto_start(sto, "POST", path, body, 0, done, user);
 	free(body);
 }
--- a/src/sto_follow.c
+++ b/src/sto_follow.c
@@ -127,7 +127,7 @@
 	follow->sent_us = clk_boot_us();
 	if (!follow->after[0])
 		follow->list_sent_us = follow->sent_us;
-	pl_store_range(path, follow->prefix, follow->after);
+	pl_store_range_path(path, follow->prefix, follow->after);
 	follow->call = sto_start(follow->sto, "GET", path, NULL, 0, sto_listed,
 				 follow);
 }
@@ -146,7 +146,7 @@
 	follow->state = STO_WATCHING;
 	follow->behind_us = 0;
 	follow->sent_us = clk_boot_us();
-	pl_store_watch(path, follow->prefix, follow->at.revision, wait_ms);
+	pl_store_watch_path(path, follow->prefix, follow->at.revision, wait_ms);
 	follow->call = sto_start(follow->sto, "GET", path, NULL,
 				 wait_ms * MAG_US_PER_MS, sto_watched, follow);
 }
@@ -236,7 +236,7 @@
 		return;
 	ask->follow = follow;
 	ask->sent_us = clk_boot_us();
-	pl_store_range(path, PL_CONFIG_KEY, PL_CONFIG_KEY);
+	pl_store_range_path(path, PL_CONFIG_KEY, PL_CONFIG_KEY);
 	sto_start(follow->sto, "GET", path, NULL, 0, sto_asked, ask);
 }
 
