--- a/src/adm_config.c
+++ b/src/adm_config.c
@@ -101,7 +101,7 @@
 	service->mean_cost = ADM_START_COST;
 	service->used_part = 1;
 	if (old)
-		at = mag_name_near(old->name, sizeof(*old), (size_t)old_count,
+		at = mag_find_name(old->name, sizeof(*old), (size_t)old_count,
 				   cfg->name, hint);
 	if (at < 0)
 		return;
@@ -212,10 +212,10 @@
 		const struct adm_queue *from = &old->queues[i];
 		const char *service = old->services[from->service].name;
 		const char *account = old->accounts[from->account].name;
-		int s = mag_name_near(
+		int s = mag_find_name(
 			adm->services->name, sizeof(*adm->services),
 			(size_t)adm->service_count, service, from->service);
-		int a = mag_name_near(
+		int a = mag_find_name(
 			adm->accounts->name, sizeof(*adm->accounts),
 			(size_t)adm->account_count, account, from->account);
 
@@ -244,7 +244,7 @@
 		int at = -1;
 
 		if (old->limits)
-			at = mag_name_near(
+			at = mag_find_name(
 				old->limits->name, sizeof(*old->limits),
 				(size_t)old->limit_count, to->name, next);
 		if (at < 0)
@@ -266,7 +266,7 @@
 		int at = -1;
 
 		if (old->endpoints)
-			at = mag_name_near(
+			at = mag_find_name(
 				old->endpoints->name, sizeof(*old->endpoints),
 				(size_t)old->endpoint_count, to->name, next);
 		if (at < 0)
@@ -284,11 +284,11 @@
 	int account = -1;
 
 	if (request->service >= 0) {
-		service = mag_name_near(
+		service = mag_find_name(
 			adm->services->name, sizeof(*adm->services),
 			(size_t)adm->service_count,
 			old->services[request->service].name, request->service);
-		account = mag_name_near(
+		account = mag_find_name(
 			adm->accounts->name, sizeof(*adm->accounts),
 			(size_t)adm->account_count,
 			old->accounts[request->account].name, request->account);
--- a/src/core.c
+++ b/src/core.c
@@ -484,7 +484,7 @@
 {
 	if (account < 0 || to->account_count == 0)
 		return -1;
-	return mag_name_near(to->accounts->name, sizeof(*to->accounts),
+	return mag_find_name(to->accounts->name, sizeof(*to->accounts),
 			     to->account_count, from->accounts[account].name,
 			     account);
 }
@@ -494,6 +494,6 @@
 {
 	if (route < 0 || to->route_count == 0)
 		return -1;
-	return mag_name_near(to->routes->name, sizeof(*to->routes),
+	return mag_find_name(to->routes->name, sizeof(*to->routes),
 			     to->route_count, from->routes[route].name, route);
 }
--- a/src/mag.c
+++ b/src/mag.c
@@ -39,7 +39,7 @@
  * for not known): a change of a set moves few entries, and none far, but to
  * search from the start for each of thousands takes longer than all else.
  */
-int mag_name_near(const char *names, size_t stride, size_t count,
+int mag_find_name(const char *names, size_t stride, size_t count,
 		  const char *name, int hint)
 {
 	size_t up = hint < 0 ? 0 : (size_t)hint;
--- a/src/mag.h
+++ b/src/mag.h
@@ -36,7 +36,7 @@
 uint64_t mag_random(uint64_t *state);
 double mag_random_unit(uint64_t *state);
 int64_t mag_backoff(int64_t first_us, int times, int doublings_max);
-int mag_name_near(const char *names, size_t stride, size_t count,
+int mag_find_name(const char *names, size_t stride, size_t count,
 		  const char *name, int hint);
 
 #endif /* MAG_H */
--- a/src/shr.c
+++ b/src/shr.c
@@ -282,7 +282,7 @@
 static int shr_index(const shr_name *names, int count, const char *name,
 		     int hint)
 {
-	return mag_name_near(names[0], sizeof(*names), (size_t)count, name,
+	return mag_find_name(names[0], sizeof(*names), (size_t)count, name,
 			     hint);
 }
 
