--- a/src/edge_follow.c
+++ b/src/edge_follow.c
@@ -152,7 +152,7 @@
 	if (pl_config_decode(item->value, item->len, &fresh, why,
 			     sizeof(why))) {
 		jlog(LOG_RT_BAD, "\"why\":\"%s\"",
-		     jlog_text(text, sizeof(text), why));
+		     jlog_sanitize(text, sizeof(text), why));
 		return;
 	}
 	edge->listed_version = fresh->version;
@@ -206,7 +206,7 @@
 	if (pl_worker_decode(item->key, item->value, item->len, &worker, why,
 			     sizeof(why))) {
 		jlog(LOG_WK_UNREAD, "\"why\":\"%s\"",
-		     jlog_text(text, sizeof(text), why));
+		     jlog_sanitize(text, sizeof(text), why));
 		return;
 	}
 	if (wk_list_put(&edge->workers, &worker, now, &wk))
--- a/src/eq.c
+++ b/src/eq.c
@@ -391,7 +391,7 @@
 	     "\"target_ms\":%d,\"gap_aim_ms\":%d,\"sends\":%d,"
 	     "\"may_have_run\":%s,\"config\":%lld,\"config_age_ms\":%d,"
 	     "\"worker\":\"%s\"",
-	     jlog_text(id, sizeof(id), eq->asks.attempt_id),
+	     jlog_sanitize(id, sizeof(id), eq->asks.attempt_id),
 	     eq->route ? eq->route->name : "", eq->account ? eq->account : "",
 	     status, why, (int)((now - eq->arrived_us) / MAG_US_PER_MS),
 	     eq->first_us
--- a/src/eq_answer.c
+++ b/src/eq_answer.c
@@ -44,7 +44,7 @@
 	     "\"request\":\"%s\",\"why\":\"%s\",\"sends\":%d,\"runs\":%d,"
 	     "\"may_have_run\":%s,\"last_event\":%lld,\"answer\":%d,"
 	     "\"at_fault\":\"%s\"",
-	     jlog_text(id, sizeof(id), eq->asks.attempt_id), why, eq->sends,
+	     jlog_sanitize(id, sizeof(id), eq->asks.attempt_id), why, eq->sends,
 	     eq->runs, eq->may_have_run ? "true" : "false",
 	     (long long)eq->last_event, eq->answered ? eq->status : 0,
 	     eq->at_fault);
--- a/src/eq_repair.c
+++ b/src/eq_repair.c
@@ -160,7 +160,7 @@
 	     "\"request\":\"%s\",\"worker\":\"%s\",\"hops\":%d,"
 	     "\"chain\":\"%s\",\"repair\":%d,\"status\":%d,\"at_fault\":\"%s\","
 	     "\"silent_ms\":%d",
-	     jlog_text(id, sizeof(id), eq->asks.attempt_id),
+	     jlog_sanitize(id, sizeof(id), eq->asks.attempt_id),
 	     eq->hops[0].worker->is.id, eq->hop_count,
 	     eq_chain_text(eq, chain, sizeof(chain)), eq->repairs, status,
 	     address, (int)((now - eq->progress_us) / MAG_US_PER_MS));
--- a/src/eq_send.c
+++ b/src/eq_send.c
@@ -231,7 +231,7 @@
 	     "\"chain\":\"%s\",\"send\":%d,\"from_event\":%lld,"
 	     "\"requests_there\":%d,"
 	     "\"left_ms\":%d",
-	     jlog_text(id, sizeof(id), eq->asks.attempt_id), wk->is.id,
+	     jlog_sanitize(id, sizeof(id), eq->asks.attempt_id), wk->is.id,
 	     eq->hop_count, eq_chain_text(eq, chain, sizeof(chain)), eq->sends,
 	     (long long)eq->last_event, wk->firsts,
 	     (int)((eq->deadline_us - now) / MAG_US_PER_MS));
--- a/src/jlog.c
+++ b/src/jlog.c
@@ -95,7 +95,7 @@
 			continue;
 		snprintf(value, sizeof(value), "%.*s", len - key - 1,
 			 fields + key + 1);
-		jlog_text(value, sizeof(value), value);
+		jlog_sanitize(value, sizeof(value), value);
 		used += (size_t)snprintf(members + used, sizeof(members) - used,
 					 "%s\"%.*s\":\"%s\"",
 					 used > 0 ? "," : "", key, fields,
@@ -123,7 +123,7 @@
 	return jlog_lost;
 }
 
-const char *jlog_text(char *dst, unsigned int size, const char *text)
+const char *jlog_sanitize(char *dst, unsigned int size, const char *text)
 {
 	unsigned int i;
 
--- a/src/jlog.h
+++ b/src/jlog.h
@@ -21,6 +21,6 @@
 void jlog_flush(void);
 uint64_t jlog_dropped(void);
 /* Copies text with what JSON does not allow in a string replaced. */
-const char *jlog_text(char *dst, unsigned int size, const char *text);
+const char *jlog_sanitize(char *dst, unsigned int size, const char *text);
 
 #endif /* JLOG_H */
