--- a/src/edge_follow.c
+++ b/src/edge_follow.c
@@ -227,7 +227,7 @@
 	struct edge *edge = user;
 	int64_t now = clk_boot_us();
 
-	met_add(&edge->met, MET_RETURNS);
+	met_increment(&edge->met, MET_RETURNS);
 	era_returned(&edge->era, now);
 	wk_returned(&edge->workers, now);
 	pres_returned(edge->pres, now);
@@ -245,7 +245,7 @@
 /* All is read again; what is missing from the list is gone. */
 static void edge_log_settled(struct edge *edge, int64_t now)
 {
-	met_time(&edge->met, MET_RECOVERY, now - edge->era.returned_us);
+	met_observe(&edge->met, MET_RECOVERY, now - edge->era.returned_us);
 	jlog(LOG_PF_SETTLED,
 	     "\"era\":%lld,\"took_ms\":%d,\"workers_gone\":%d,"
 	     "\"peers_gone\":%d,\"config\":%lld,\"config_in_store\":%lld",
--- a/src/eq.c
+++ b/src/eq.c
@@ -53,7 +53,7 @@
 	int64_t now = clk_boot_us();
 	struct eq *eq;
 
-	met_add(&edge->met, MET_REQUESTS);
+	met_increment(&edge->met, MET_REQUESTS);
 	if (!edge_has_config(edge, now)) {
 		/* No configuration yet: nobody knows what is a route. */
 		eq_refuse_early(edge, conn);
@@ -81,7 +81,7 @@
 	struct eq *eq = user;
 
 	(void)conn;
-	met_add(&edge->met, MET_GONE);
+	met_increment(&edge->met, MET_GONE);
 	eq_log_end(eq, 0, "caller left");
 	eq->caller = NULL;
 	eq_free(eq);
@@ -130,7 +130,7 @@
 		return;
 	}
 	eq_retry_fields(eq, retry, fields, sizeof(fields));
-	met_add(&eq->edge->met, MET_REFUSED);
+	met_increment(&eq->edge->met, MET_REFUSED);
 	eq_log_end(eq, status, why);
 	if (retry == EQ_RETRY_ELSEWHERE)
 		hs_close_after_reply(eq->caller);
@@ -178,7 +178,8 @@
 /* Ends a request that may have run, or that ran out of time. */
 void eq_fail(struct eq *eq, int status, const char *why)
 {
-	met_add(&eq->edge->met, eq->state == EQ_STREAMS ? MET_CUT : MET_FAILED);
+	met_increment(&eq->edge->met,
+		      eq->state == EQ_STREAMS ? MET_CUT : MET_FAILED);
 	eq_log_end(eq, status, why);
 	if (eq->state == EQ_STREAMS)
 		hs_abort(eq->caller);
@@ -193,13 +194,13 @@
 {
 	int64_t now = clk_boot_us();
 
-	met_add(&eq->edge->met, MET_ANSWERED);
+	met_increment(&eq->edge->met, MET_ANSWERED);
 	if (eq->first_us) {
-		met_time(&eq->edge->met, MET_FIRST_EVENT,
-			 eq->first_us - eq->arrived_us);
-		met_time(&eq->edge->met, MET_GAP, eq->gap_us);
+		met_observe(&eq->edge->met, MET_FIRST_EVENT,
+			    eq->first_us - eq->arrived_us);
+		met_observe(&eq->edge->met, MET_GAP, eq->gap_us);
 	} else {
-		met_time(&eq->edge->met, MET_ANSWER, now - eq->arrived_us);
+		met_observe(&eq->edge->met, MET_ANSWER, now - eq->arrived_us);
 	}
 	eq_log_end(eq, eq->status, "answered");
 	eq->caller = NULL;
@@ -223,7 +224,7 @@
 
 static void eq_refuse_early(struct edge *edge, struct hs_conn *conn)
 {
-	met_add(&edge->met, MET_REFUSED);
+	met_increment(&edge->met, MET_REFUSED);
 	jlog(LOG_EQ_END, "\"status\":503,\"why\":\"no configuration yet\"");
 	hs_reply(conn, 503, "Retry-After: 0.5\r\n", NULL, 0);
 }
@@ -266,7 +267,7 @@
 		eq->route =
 			rt_find(eq->rt, eq->asks.host, hs_target(eq->caller));
 	if (!eq->route) {
-		met_add(&eq->edge->met, MET_NO_ROUTE);
+		met_increment(&eq->edge->met, MET_NO_ROUTE);
 		eq_refuse(eq, 404, EQ_RETRY_NEVER, "no route");
 		return false;
 	}
@@ -279,7 +280,7 @@
 		return true;
 	account = eq->asks.key ? rt_account_of(eq->rt, eq->asks.key) : -1;
 	if (account < 0) {
-		met_add(&eq->edge->met, MET_NO_KEY);
+		met_increment(&eq->edge->met, MET_NO_KEY);
 		eq_refuse(eq, 401, EQ_RETRY_NEVER, "unknown key");
 		return false;
 	}
@@ -303,7 +304,7 @@
 	}
 	eq_fingerprint(eq);
 	if (quar_check(edge->quar, eq->print, now) == QUAR_QUARANTINED) {
-		met_add(&eq->edge->met, MET_POISON);
+		met_increment(&eq->edge->met, MET_POISON);
 		eq_refuse(eq, 503, EQ_RETRY_NEVER, "crashes workers");
 		return false;
 	}
--- a/src/eq_answer.c
+++ b/src/eq_answer.c
@@ -60,7 +60,7 @@
 	if (eq->state == EQ_SENT)
 		eq->state = EQ_WAITING;
 	if (eq->state == EQ_STREAMS)
-		met_add(&eq->edge->met, MET_RESUMES);
+		met_increment(&eq->edge->met, MET_RESUMES);
 	eq_try(eq, clk_boot_us());
 }
 
@@ -137,7 +137,7 @@
 			}
 			eq->last_event = event.id;
 		}
-		met_add(&eq->edge->met, MET_EVENTS);
+		met_increment(&eq->edge->met, MET_EVENTS);
 		evbuffer_add(out, event.bytes, event.len);
 	}
 	ready = evbuffer_get_length(out);
--- a/src/eq_repair.c
+++ b/src/eq_repair.c
@@ -167,7 +167,7 @@
 	eq->repair = NULL;
 	eq_repair_free(repair);
 	if (status / 100 == 2) {
-		met_add(&eq->edge->met, MET_REPAIRS);
+		met_increment(&eq->edge->met, MET_REPAIRS);
 		return;
 	}
 	eq_repair_refused(eq, address, now);
--- a/src/eq_send.c
+++ b/src/eq_send.c
@@ -192,7 +192,7 @@
 
 	if (eq->sends == 0) {
 		bud_request(bud, now);
-		met_time(&eq->edge->met, MET_WAIT, now - eq->arrived_us);
+		met_observe(&eq->edge->met, MET_WAIT, now - eq->arrived_us);
 	} else if (!bud_take(bud, now)) {
 		eq_release(eq);
 		if (eq->state == EQ_STREAMS)
@@ -201,10 +201,10 @@
 			eq_refuse(eq, 503, EQ_RETRY_SOON, "retry budget spent");
 		return;
 	} else {
-		met_add(&eq->edge->met, MET_REPEATS);
+		met_increment(&eq->edge->met, MET_REPEATS);
 	}
 	eq->sends++;
-	met_add(&eq->edge->met, MET_SENDS);
+	met_increment(&eq->edge->met, MET_SENDS);
 	eq->sent_us = now;
 	eq->progress_us = eq->state == EQ_STREAMS ? eq->progress_us : now;
 	eq->asked_us = now;
--- a/src/eq_stall.c
+++ b/src/eq_stall.c
@@ -199,7 +199,7 @@
 {
 	int64_t now = clk_boot_us();
 
-	met_add(&eq->edge->met, MET_STALLS);
+	met_increment(&eq->edge->met, MET_STALLS);
 	eq_blame(eq, fault, now);
 	eq_avoid(eq, fault);
 	if (!eq_may_begin_anew(eq, now) && eq_repair_start(eq, fault, now))
--- a/src/met.c
+++ b/src/met.c
@@ -27,13 +27,13 @@
 			   "the store's return to a whole list after it" },
 };
 
-void met_add(struct met *met, enum met_counter id)
+void met_increment(struct met *met, enum met_counter id)
 {
 	met->counters[id]++;
 }
 
 /* Notes a span of time in a histogram. */
-void met_time(struct met *met, enum met_histogram id, int64_t us)
+void met_observe(struct met *met, enum met_histogram id, int64_t us)
 {
 	struct met_hist *hist = &met->hists[id];
 	int i;
--- a/src/met.h
+++ b/src/met.h
@@ -57,8 +57,8 @@
 	struct met_hist hists[MET_HISTOGRAM_COUNT];
 };
 
-void met_add(struct met *met, enum met_counter id);
-void met_time(struct met *met, enum met_histogram id, int64_t us);
+void met_increment(struct met *met, enum met_counter id);
+void met_observe(struct met *met, enum met_histogram id, int64_t us);
 void met_write(const struct met *met, struct evbuffer *out);
 
 #endif /* MET_H */
--- a/src/plr.c
+++ b/src/plr.c
@@ -261,7 +261,7 @@
 	}
 	wk_hold(wk);
 	thr_sent(&wk->thr, now);
-	met_add(&edge->met, MET_ORDERS);
+	met_increment(&edge->met, MET_ORDERS);
 	wk->ordered = true;
 	wk->ordered_us = now;
 	wk->order = *range;
--- a/src/wkp.c
+++ b/src/wkp.c
@@ -120,7 +120,7 @@
 	send.new_connection = fresh;
 	send.connect_by_us = now + WKP_ANSWER_US;
 	send.deadline_us = now + WKP_ANSWER_US;
-	met_add(&edge->met, MET_PROBES);
+	met_increment(&edge->met, MET_PROBES);
 	if (!send.request || hc_start(wk->host, &send, &started)) {
 		evbuffer_free(call->body);
 		free(call);
