--- a/regress/eng.h
+++ b/regress/eng.h
@@ -65,11 +65,11 @@
 
 extern double eng_speed; /* times faster than rated */
 
-bool eng_current(struct eng_endpoint *ep, const char *request, long attempt,
-		 bool cancel);
+bool eng_register_attempt(struct eng_endpoint *ep, const char *request,
+			  long attempt, bool cancel);
 int eng_run(struct eng_endpoint *ep, struct eng_step *step, CURL *curl);
 long eng_post(CURL *curl, const char *url, const char *body,
 	      struct eng_answer *answer);
-json_t *eng_hops(const struct eng_step *step);
+json_t *eng_hops_json(const struct eng_step *step);
 
 #endif /* ENG_H */
--- a/regress/eng_stage.c
+++ b/regress/eng_stage.c
@@ -14,8 +14,8 @@
 static int eng_pass_on(struct eng_step *step, CURL *curl);
 
 /* Notes an attempt; false if a newer one is known, or it was cancelled. */
-bool eng_current(struct eng_endpoint *ep, const char *request, long attempt,
-		 bool cancel)
+bool eng_register_attempt(struct eng_endpoint *ep, const char *request,
+			  long attempt, bool cancel)
 {
 	struct eng_attempt *seen = NULL;
 	struct eng_attempt *at;
@@ -108,7 +108,7 @@
 	if (step->stage > 0)
 		eng_link(ep);
 	eng_work(ep, first, last);
-	step->state = fk_fold(step->state, first, last);
+	step->state = fk_apply_layers(step->state, first, last);
 	fk_record("step endpoint=%s request=%s attempt=%ld index=%u first=%u "
 		  "last=%u",
 		  ep->name, step->request, step->attempt, step->index, first,
@@ -117,7 +117,7 @@
 	step->hop_count = 1;
 	if (step->stage + 1 < json_array_size(step->chain))
 		return eng_pass_on(step, curl);
-	fk_token(step->token, step->state);
+	fk_format_token(step->token, step->state);
 	return 0;
 }
 
@@ -209,7 +209,7 @@
 }
 
 /* The times of the stages from this one on, as a list. */
-json_t *eng_hops(const struct eng_step *step)
+json_t *eng_hops_json(const struct eng_step *step)
 {
 	json_t *list = json_array();
 	size_t i;
--- a/regress/fake_engine.c
+++ b/regress/fake_engine.c
@@ -63,7 +63,7 @@
 		return;
 	}
 	step.state = strtoull(state, NULL, 16);
-	if (!eng_current(ep, step.request, step.attempt, false))
+	if (!eng_register_attempt(ep, step.request, step.attempt, false))
 		fk_answer_json(req, 409, "",
 			       json_pack("{s:I, s:s}", "stage",
 					 (json_int_t)step.stage, "why",
@@ -76,7 +76,7 @@
 	else
 		fk_answer_json(req, 200, "",
 			       json_pack("{s:s, s:o}", "token", step.token,
-					 "hops_us", eng_hops(&step)));
+					 "hops_us", eng_hops_json(&step)));
 }
 
 /* Sends one event; false if the caller has gone. */
@@ -109,12 +109,13 @@
 	if (fk_fault(ep->fk, "wrong_id", NULL))
 		id = "another";
 	while (times-- > 0) {
-		if (!eng_event(
-			    req, NULL,
-			    json_pack("{s:s, s:I, s:I, s:s, s:o}", "request",
-				      id, "attempt", (json_int_t)step->attempt,
-				      "index", (json_int_t)step->index, "token",
-				      step->token, "hops_us", eng_hops(step))))
+		if (!eng_event(req, NULL,
+			       json_pack("{s:s, s:I, s:I, s:s, s:o}", "request",
+					 id, "attempt",
+					 (json_int_t)step->attempt, "index",
+					 (json_int_t)step->index, "token",
+					 step->token, "hops_us",
+					 eng_hops_json(step))))
 			return false;
 	}
 	return true;
@@ -129,9 +130,10 @@
 	bool going = true;
 
 	for (; going && step->index < max; step->index++) {
-		step->state = fk_fold_start(prompt, step->index);
+		step->state = fk_initial_state(prompt, step->index);
 		step->stage = 0;
-		if (!eng_current(ep, step->request, step->attempt, false)) {
+		if (!eng_register_attempt(ep, step->request, step->attempt,
+					  false)) {
 			going = false;
 		} else if (eng_run(ep, step, curl) == 0) {
 			going = eng_send_token(req, step);
@@ -164,7 +166,7 @@
 	if (json_array_size(given) != from)
 		return "given tokens and from differ";
 	json_array_foreach (given, i, token) {
-		fk_whole_token(right, prompt, (uint32_t)i, layers);
+		fk_expected_token(right, prompt, (uint32_t)i, layers);
 		if (!json_is_string(token) ||
 		    strcmp(json_string_value(token), right) != 0)
 			return "a given token is wrong";
@@ -197,7 +199,7 @@
 		fk_answer(req, 503, "X-Not-Begun: 1\r\n", "", 0);
 		return;
 	}
-	if (!eng_current(ep, step.request, step.attempt, false)) {
+	if (!eng_register_attempt(ep, step.request, step.attempt, false)) {
 		fk_answer(req, 409, "", "", 0);
 		return;
 	}
@@ -221,7 +223,7 @@
 		json_string_value(json_object_get(body, "request"));
 
 	if (request)
-		eng_current(
+		eng_register_attempt(
 			fk_ctx(req->fk), request,
 			json_integer_value(json_object_get(body, "attempt")),
 			true);
--- a/regress/fake_platform.c
+++ b/regress/fake_platform.c
@@ -209,7 +209,7 @@
 	version = entry->value ? entry->version : 0;
 	pthread_mutex_unlock(&plat_lock);
 	if (fk_fault(req->fk, "lose_after_write", NULL))
-		fk_cut(req);
+		fk_abort(req);
 	else
 		plat_answer(req, done ? 200 : 409, version, "", 0);
 }
@@ -251,7 +251,7 @@
 	pthread_mutex_unlock(&plat_lock);
 	json_decref(body);
 	if (fk_fault(req->fk, "lose_after_write", NULL))
-		fk_cut(req);
+		fk_abort(req);
 	else if (fence)
 		fk_answer_json(req, 200, "",
 			       json_pack("{s:I}", "fence", (json_int_t)fence));
@@ -455,7 +455,7 @@
 	if (fk_fault(req->fk, "delay_ms", &value))
 		fk_sleep_us(value * MAG_US_PER_MS);
 	if (fk_fault(req->fk, "refuse", NULL)) {
-		fk_cut(req);
+		fk_abort(req);
 		return;
 	}
 	for (i = 0; i < MAG_ARRAY_SIZE(plat_calls); i++) {
--- a/regress/fake_service.c
+++ b/regress/fake_service.c
@@ -145,7 +145,7 @@
 	if (fk_fault(req->fk, "die_after", NULL))
 		_exit(SVC_EXIT_DIED);
 	if (fk_fault(req->fk, "lose_answer", NULL)) {
-		fk_cut(req);
+		fk_abort(req);
 		free(text);
 		return;
 	}
--- a/regress/fk.c
+++ b/regress/fk.c
@@ -198,7 +198,7 @@
 }
 
 /* Closes the connection without an answer, or in the middle of one. */
-void fk_cut(struct fk_request *req)
+void fk_abort(struct fk_request *req)
 {
 	mg_disable_connection_keep_alive(req->conn);
 }
@@ -291,7 +291,7 @@
 }
 
 /* The state that enters layer 0 for a token (FNV-1a of the prompt). */
-uint64_t fk_fold_start(const char *prompt, uint32_t index)
+uint64_t fk_initial_state(const char *prompt, uint32_t index)
 {
 	uint64_t state = UINT64_C(14695981039346656037);
 
@@ -302,7 +302,7 @@
 }
 
 /* Runs layers first..last; another order gives another state. */
-uint64_t fk_fold(uint64_t state, uint32_t first, uint32_t last)
+uint64_t fk_apply_layers(uint64_t state, uint32_t first, uint32_t last)
 {
 	uint32_t layer;
 
@@ -315,16 +315,17 @@
 }
 
 /* The text of a token. */
-void fk_token(char token[FK_TOKEN_MAX], uint64_t state)
+void fk_format_token(char token[FK_TOKEN_MAX], uint64_t state)
 {
 	snprintf(token, FK_TOKEN_MAX, "w%08x", (unsigned int)(state >> 32));
 }
 
 /* The right token of a prompt at an index. */
-void fk_whole_token(char token[FK_TOKEN_MAX], const char *prompt,
-		    uint32_t index, uint32_t layers)
+void fk_expected_token(char token[FK_TOKEN_MAX], const char *prompt,
+		       uint32_t index, uint32_t layers)
 {
-	fk_token(token, fk_fold(fk_fold_start(prompt, index), 0, layers - 1));
+	fk_format_token(token, fk_apply_layers(fk_initial_state(prompt, index),
+					       0, layers - 1));
 }
 
 /* Reads the objects of a set file; ends the process if it can't. */
--- a/regress/fk.h
+++ b/regress/fk.h
@@ -46,7 +46,7 @@
 	       const char *body, size_t len);
 void fk_answer_json(struct fk_request *req, int status, const char *headers,
 		    json_t *body);
-void fk_cut(struct fk_request *req);
+void fk_abort(struct fk_request *req);
 const char *fk_header(const struct fk_request *req, const char *name);
 long fk_query_number(const struct fk_request *req, const char *name);
 
@@ -56,11 +56,11 @@
 int fk_record_open(const char *path);
 void fk_record(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
 
-uint64_t fk_fold_start(const char *prompt, uint32_t index);
-uint64_t fk_fold(uint64_t state, uint32_t first, uint32_t last);
-void fk_token(char token[FK_TOKEN_MAX], uint64_t state);
-void fk_whole_token(char token[FK_TOKEN_MAX], const char *prompt,
-		    uint32_t index, uint32_t layers);
+uint64_t fk_initial_state(const char *prompt, uint32_t index);
+uint64_t fk_apply_layers(uint64_t state, uint32_t first, uint32_t last);
+void fk_format_token(char token[FK_TOKEN_MAX], uint64_t state);
+void fk_expected_token(char token[FK_TOKEN_MAX], const char *prompt,
+		       uint32_t index, uint32_t layers);
 
 json_t *fk_load_set(const char *path);
 void fk_sleep_us(int64_t us);
--- a/regress/tool_load.c
+++ b/regress/tool_load.c
@@ -119,7 +119,8 @@
 	json_t *index = json_object_get(data, "index");
 	char right[FK_TOKEN_MAX];
 
-	fk_whole_token(right, call->prompt, call->tokens, (uint32_t)opt.layers);
+	fk_expected_token(right, call->prompt, call->tokens,
+			  (uint32_t)opt.layers);
 	if (!token || json_integer_value(index) != call->tokens ||
 	    strcmp(token, right) != 0)
 		call->wrong = true;
@@ -190,8 +191,8 @@
 
 	for (call->tokens = 0; text && call->tokens < (uint32_t)opt.tokens;
 	     call->tokens++) {
-		fk_whole_token(right, call->prompt, call->tokens,
-			       (uint32_t)opt.layers);
+		fk_expected_token(right, call->prompt, call->tokens,
+				  (uint32_t)opt.layers);
 		if (strncmp(text, right, len) != 0)
 			return false;
 		text += len;
--- a/regress/tool_verify.c
+++ b/regress/tool_verify.c
@@ -53,7 +53,7 @@
 
 static size_t ver_hash(const char *name, long index)
 {
-	return fk_fold_start(name, (uint32_t)index) % VER_BUCKETS;
+	return fk_initial_state(name, (uint32_t)index) % VER_BUCKETS;
 }
 
 /* Copies the value of key=value out of a line; "" if it isn't there. */
