--- a/src/hs.c
+++ b/src/hs.c
@@ -14,17 +14,17 @@
 #include "hs_int.h"
 
 /*
- * Bytes that one connection may hold unread beyond the request in progress:
- * a caller that pipelines waits in its own socket beyond this.
+ * Maximum of unparsed input that is buffered for a connection (bytes).  Further
+ * pipelined requests stay in the socket.
  */
-#define HS_READ_AHEAD 65536
-#define HS_BACKLOG    1024
-/* A caller that takes no byte for so long is taken for gone (milliseconds). */
-#define HS_USER_TIMEOUT 5000
-#define HS_DEFAULT_IDLE 15000
-#define HS_DEFAULT_HEAD 3000
-#define HS_HEADER_BYTES 16384
-#define HS_BODY_BYTES	(4U << 20)
+#define HS_INPUT_MAX 65536
+#define HS_BACKLOG   1024
+/* Drops a client that acknowledges no data for this long (milliseconds). */
+#define HS_USER_TIMEOUT_MS	5000
+#define HS_DEFAULT_IDLE_MS	15000
+#define HS_DEFAULT_HEADER_MS	3000
+#define HS_DEFAULT_HEADER_BYTES 16384
+#define HS_DEFAULT_BODY_BYTES	(4U << 20)
 
 static void hs_accept(struct evconnlistener *listener, evutil_socket_t fd,
 		      struct sockaddr *addr, int addr_len, void *arg);
@@ -32,16 +32,16 @@
 static void hs_written(struct bufferevent *bev, void *arg);
 static void hs_event(struct bufferevent *bev, short what, void *arg);
 static void hs_parse(struct hs_conn *conn);
-static void hs_next(struct hs_conn *conn);
-static void hs_refuse(struct hs_conn *conn, int status);
+static void hs_reset_conn(struct hs_conn *conn);
+static void hs_send_error(struct hs_conn *conn, int status);
 static void hs_close(struct hs_conn *conn);
-static void hs_lost(struct hs_conn *conn);
-static void hs_end_answer(struct hs_conn *conn);
+static void hs_disconnect(struct hs_conn *conn);
+static void hs_end_response(struct hs_conn *conn);
 static const char *hs_reason(int status);
 
 /*
- * Listens on "ip:port".  Returns HS_E_LISTEN if the address is not free or
- * not this machine's.
+ * Listens on "ip:port".  Returns HS_E_LISTEN if the address is malformed, in
+ * use or not local.
  */
 int hs_new(struct event_base *base, const char *address,
 	   const struct hs_ops *ops, void *ctx, struct hs **out)
@@ -58,9 +58,11 @@
 	hs->base = base;
 	hs->ops = *ops;
 	hs->ctx = ctx;
-	hs->keep = true;
-	hs->limits = (struct hs_limits){ HS_HEADER_BYTES, HS_BODY_BYTES,
-					 HS_DEFAULT_HEAD, HS_DEFAULT_IDLE };
+	hs->keep_alive = true;
+	hs->limits =
+		(struct hs_limits){ HS_DEFAULT_HEADER_BYTES,
+				    HS_DEFAULT_BODY_BYTES, HS_DEFAULT_HEADER_MS,
+				    HS_DEFAULT_IDLE_MS };
 	CDS_INIT_LIST_HEAD(&hs->conns);
 	hs->listener = evconnlistener_new_bind(
 		base, hs_accept, hs,
@@ -75,7 +77,7 @@
 	return HS_OK;
 }
 
-/* Closes the listener and every connection without calling the owner. */
+/* Closes the listener and all connections without calling the owner. */
 void hs_free(struct hs *hs)
 {
 	struct hs_conn *conn;
@@ -89,34 +91,35 @@
 	free(hs);
 }
 
-/* Takes new limits; they hold from the next request of each connection. */
+/* Sets limits; header and idle timeouts that run already keep their value. */
 void hs_set_limits(struct hs *hs, const struct hs_limits *limits)
 {
 	hs->limits = *limits;
 }
 
 /*
- * From now on each answer says that its connection closes after it, and
- * connections that wait for a request close at once.
+ * Disables keep-alive: every further response carries "Connection: close", and
+ * idle connections are closed, by the next tick or once their last response
+ * has been sent.
  */
 void hs_stop_keep_alive(struct hs *hs)
 {
 	struct hs_conn *conn;
 	struct hs_conn *next;
 
-	hs->keep = false;
+	hs->keep_alive = false;
 	cds_list_for_each_entry_safe (conn, next, &hs->conns, node) {
-		if (conn->state == HS_READING && !conn->begun &&
+		if (conn->state == HS_READING && !conn->started &&
 		    hs_unsent(conn) == 0)
-			conn->due_us = 0;
-		else if (conn->state == HS_READING && !conn->begun)
+			conn->deadline_us = 0;
+		else if (conn->state == HS_READING && !conn->started)
 			conn->state = HS_CLOSING;
 	}
 }
 
 /*
- * Returns the connections with a request that is read or answered, or with an
- * answer of which some bytes still wait to be sent.
+ * Returns the number of connections with a request in progress or with unsent
+ * bytes of a response.
  */
 int hs_open_count(const struct hs *hs)
 {
@@ -124,23 +127,23 @@
 	int count = 0;
 
 	cds_list_for_each_entry (conn, &hs->conns, node)
-		count += conn->state != HS_READING || conn->begun ||
+		count += conn->state != HS_READING || conn->started ||
 			 evbuffer_get_length(
 				 bufferevent_get_output(conn->bev)) > 0;
 	return count;
 }
 
-/* Ends connections whose header or next request did not come in time. */
+/* Closes connections whose header or next request did not arrive in time. */
 void hs_tick(struct hs *hs, int64_t now)
 {
 	struct hs_conn *conn;
 	struct hs_conn *next;
 
 	cds_list_for_each_entry_safe (conn, next, &hs->conns, node) {
-		if (conn->state != HS_READING || now < conn->due_us)
+		if (conn->state != HS_READING || now < conn->deadline_us)
 			continue;
-		if (conn->begun)
-			hs_refuse(conn, 408);
+		if (conn->started)
+			hs_send_error(conn, 408);
 		else
 			hs_close(conn);
 	}
@@ -166,7 +169,7 @@
 	return conn->body;
 }
 
-/* Sets what the owner is given back when the caller leaves. */
+/* Sets the argument for the disconnected callback; NULL: do not call it. */
 void hs_set_user(struct hs_conn *conn, void *user)
 {
 	conn->user = user;
@@ -178,14 +181,14 @@
 }
 
 /*
- * Answers the request with a whole body.  fields holds further header lines,
- * each ended by CR LF, or is NULL.
+ * Sends a response with a complete body.  fields holds additional header
+ * lines, each terminated by CR LF, or is NULL.
  */
 void hs_reply(struct hs_conn *conn, int status, const char *fields,
 	      const void *body, size_t len)
 {
 	struct evbuffer *out = bufferevent_get_output(conn->bev);
-	bool keep = conn->keep_alive && conn->hs->keep;
+	bool keep = conn->keep_alive && conn->hs->keep_alive;
 
 	evbuffer_add_printf(out,
 			    "HTTP/1.1 %d %s\r\n%sContent-Length: %zu\r\n%s\r\n",
@@ -194,14 +197,14 @@
 	if (len > 0 && conn->parser.method != HTTP_HEAD)
 		evbuffer_add(out, body, len);
 	conn->keep_alive = keep;
-	hs_end_answer(conn);
+	hs_end_response(conn);
 }
 
-/* Begins an answer whose length is not known; it is sent in chunks. */
+/* Starts a response of unknown length with chunked transfer coding. */
 void hs_stream_begin(struct hs_conn *conn, int status, const char *fields)
 {
 	struct evbuffer *out = bufferevent_get_output(conn->bev);
-	bool keep = conn->keep_alive && conn->hs->keep;
+	bool keep = conn->keep_alive && conn->hs->keep_alive;
 
 	conn->keep_alive = keep;
 	conn->chunked = true;
@@ -225,23 +228,23 @@
 void hs_stream_end(struct hs_conn *conn)
 {
 	evbuffer_add(bufferevent_get_output(conn->bev), "0\r\n\r\n", 5);
-	hs_end_answer(conn);
+	hs_end_response(conn);
 }
 
 /*
- * Breaks an answer off.  The connection is reset, so that a caller cannot
- * take what it has for the whole.
+ * Aborts a response.  The connection is reset, so that the client cannot take
+ * a truncated response for a complete one.
  */
 void hs_abort(struct hs_conn *conn)
 {
-	struct linger hard = { .l_onoff = 1, .l_linger = 0 };
+	struct linger linger = { .l_onoff = 1, .l_linger = 0 };
 
-	setsockopt(bufferevent_getfd(conn->bev), SOL_SOCKET, SO_LINGER, &hard,
-		   sizeof(hard));
+	setsockopt(bufferevent_getfd(conn->bev), SOL_SOCKET, SO_LINGER, &linger,
+		   sizeof(linger));
 	hs_close(conn);
 }
 
-/* Returns the bytes of the answer that the caller has not taken yet. */
+/* Returns the response bytes that are not yet passed to the socket. */
 size_t hs_unsent(struct hs_conn *conn)
 {
 	return evbuffer_get_length(bufferevent_get_output(conn->bev));
@@ -252,7 +255,7 @@
 {
 	struct hs *hs = arg;
 	struct hs_conn *conn = calloc(1, sizeof(*conn));
-	unsigned int patience = HS_USER_TIMEOUT;
+	unsigned int timeout_ms = HS_USER_TIMEOUT_MS;
 	int on = 1;
 
 	(void)listener;
@@ -263,8 +266,8 @@
 		return;
 	}
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &patience,
-		   sizeof(patience));
+	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms,
+		   sizeof(timeout_ms));
 	conn->hs = hs;
 	conn->body = evbuffer_new();
 	conn->bev = bufferevent_socket_new(hs->base, fd, BEV_OPT_CLOSE_ON_FREE);
@@ -280,10 +283,10 @@
 	}
 	http_parser_init(&conn->parser, HTTP_REQUEST);
 	conn->parser.data = conn;
-	conn->due_us = clk_boot_us() + hs->limits.idle_ms * MAG_US_PER_MS;
+	conn->deadline_us = clk_boot_us() + hs->limits.idle_ms * MAG_US_PER_MS;
 	cds_list_add_tail(&conn->node, &hs->conns);
 	bufferevent_setcb(conn->bev, hs_read, hs_written, hs_event, conn);
-	bufferevent_setwatermark(conn->bev, EV_READ, 0, HS_READ_AHEAD);
+	bufferevent_setwatermark(conn->bev, EV_READ, 0, HS_INPUT_MAX);
 	bufferevent_enable(conn->bev, EV_READ | EV_WRITE);
 }
 
@@ -296,7 +299,7 @@
 		hs_parse(conn);
 }
 
-/* The answer is out: close where that was agreed. */
+/* All output has been written: closes the connection if it is closing. */
 static void hs_written(struct bufferevent *bev, void *arg)
 {
 	struct hs_conn *conn = arg;
@@ -313,10 +316,10 @@
 	(void)bev;
 	if (!(what & (BEV_EVENT_EOF | BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT)))
 		return;
-	hs_lost(conn);
+	hs_disconnect(conn);
 }
 
-/* Gives the parser what has come, up to the end of one request. */
+/* Parses the input up to the end of one request. */
 static void hs_parse(struct hs_conn *conn)
 {
 	struct evbuffer *in = bufferevent_get_input(conn->bev);
@@ -324,52 +327,54 @@
 	size_t len;
 	size_t used;
 
-	while (conn->state == HS_READING && !conn->whole) {
+	while (conn->state == HS_READING && !conn->complete) {
 		len = evbuffer_get_contiguous_space(in);
 		if (len == 0)
 			return;
 		bytes = evbuffer_pullup(in, (ev_ssize_t)len);
-		if (!conn->begun) {
-			conn->begun = true;
-			conn->due_us =
+		if (!conn->started) {
+			conn->started = true;
+			conn->deadline_us =
 				clk_boot_us() +
 				conn->hs->limits.header_ms * MAG_US_PER_MS;
 		}
 		used = http_parser_execute(&conn->parser, &hs_settings,
 					   (const char *)bytes, len);
 		evbuffer_drain(in, used);
-		if (conn->whole)
+		if (conn->complete)
 			break;
 		if (conn->error_status ||
 		    HTTP_PARSER_ERRNO(&conn->parser) != HPE_OK) {
-			hs_refuse(conn, conn->error_status ? conn->error_status
-							   : 400);
+			hs_send_error(conn, conn->error_status
+						    ? conn->error_status
+						    : 400);
 			return;
 		}
 		if (conn->parser.upgrade) {
-			hs_refuse(conn, 400);
+			hs_send_error(conn, 400);
 			return;
 		}
 	}
-	if (!conn->whole)
+	if (!conn->complete)
 		return;
-	conn->whole = false;
-	conn->state = HS_ANSWERING;
+	conn->complete = false;
+	conn->state = HS_RESPONDING;
 	conn->keep_alive = http_should_keep_alive(&conn->parser) != 0;
 	conn->hs->ops.request(conn->hs->ctx, conn);
 }
 
-/* Makes the connection ready for its next request. */
-static void hs_next(struct hs_conn *conn)
+/* Resets the connection for its next request. */
+static void hs_reset_conn(struct hs_conn *conn)
 {
 	conn->state = HS_READING;
-	conn->begun = false;
-	conn->whole = false;
+	conn->started = false;
+	conn->complete = false;
 	conn->user = NULL;
 	conn->chunked = false;
 	conn->target_len = 0;
 	conn->header_len = 0;
-	conn->due_us = clk_boot_us() + conn->hs->limits.idle_ms * MAG_US_PER_MS;
+	conn->deadline_us =
+		clk_boot_us() + conn->hs->limits.idle_ms * MAG_US_PER_MS;
 	hdr_reset(&conn->headers);
 	evbuffer_drain(conn->body, evbuffer_get_length(conn->body));
 	http_parser_init(&conn->parser, HTTP_REQUEST);
@@ -379,10 +384,10 @@
 				    BEV_TRIG_DEFER_CALLBACKS);
 }
 
-/* Answers what could not be read as a request, and closes. */
-static void hs_refuse(struct hs_conn *conn, int status)
+/* Sends an error for a request that could not be read, then closes. */
+static void hs_send_error(struct hs_conn *conn, int status)
 {
-	conn->state = HS_ANSWERING;
+	conn->state = HS_RESPONDING;
 	conn->keep_alive = false;
 	hs_reply(conn, status, NULL, NULL, 0);
 }
@@ -396,25 +401,25 @@
 	free(conn);
 }
 
-/* The peer closed or the connection broke; the owner hears of it first. */
-static void hs_lost(struct hs_conn *conn)
+/* The client closed or the connection failed: notifies the owner first. */
+static void hs_disconnect(struct hs_conn *conn)
 {
 	void *user = conn->user;
 
 	conn->user = NULL;
-	if (conn->state == HS_ANSWERING && user)
+	if (conn->state == HS_RESPONDING && user)
 		conn->hs->ops.disconnected(conn->hs->ctx, conn, user);
 	hs_close(conn);
 }
 
-static void hs_end_answer(struct hs_conn *conn)
+static void hs_end_response(struct hs_conn *conn)
 {
 	conn->user = NULL;
-	if (conn->keep_alive && conn->hs->keep) {
-		hs_next(conn);
+	if (conn->keep_alive && conn->hs->keep_alive) {
+		hs_reset_conn(conn);
 		return;
 	}
-	/* It closes once the last byte is out, not before. */
+	/* hs_written() closes the connection after the last byte. */
 	conn->state = HS_CLOSING;
 	bufferevent_enable(conn->bev, EV_WRITE);
 }
--- a/src/hs.h
+++ b/src/hs.h
@@ -2,10 +2,11 @@
 #define HS_H
 
 /*
- * The server's side of HTTP/1.1 on an event loop.  A connection carries one
- * request at a time; what a caller pipelines waits in its socket.  Framing is
- * strict: both lengths given, a bad chunk or an oversize header end the
- * connection with an error answer, so that no request hides in another.
+ * HTTP/1.1 server on an event loop.  A connection processes one request at a
+ * time; pipelined requests wait in the socket.  Framing is strict: a request
+ * with both Content-Length and Transfer-Encoding, a malformed chunk or an
+ * oversized header gets an error response and the connection is closed, which
+ * prevents request smuggling.
  */
 
 #include <stdbool.h>
@@ -27,11 +28,14 @@
 	HS_E_LISTEN = -2,
 };
 
-/* What the owner of a server is called with. */
+/* Callbacks to the owner of a server. */
 struct hs_ops {
-	/* A whole request has been read; answer it now or later. */
+	/* A complete request was read; reply to it now or later. */
 	void (*request)(void *ctx, struct hs_conn *conn);
-	/* The caller left before its answer was out; conn is gone after. */
+	/*
+	 * The client disconnected before the response was complete; conn is
+	 * freed when this returns.
+	 */
 	void (*disconnected)(void *ctx, struct hs_conn *conn, void *user);
 };
 
@@ -49,7 +53,10 @@
 struct evbuffer *hs_body(struct hs_conn *conn);
 void hs_set_user(struct hs_conn *conn, void *user);
 
-/* The connection closes after the answer, so that a caller goes elsewhere. */
+/*
+ * Closes the connection after the response, so that the client reconnects,
+ * possibly to another instance.
+ */
 void hs_close_after_reply(struct hs_conn *conn);
 void hs_reply(struct hs_conn *conn, int status, const char *fields,
 	      const void *body, size_t len);
--- a/src/hs_int.h
+++ b/src/hs_int.h
@@ -1,7 +1,7 @@
 #ifndef HS_INT_H
 #define HS_INT_H
 
-/* What the parts of the HTTP server share: connections, and their parser. */
+/* Internals of the HTTP server: its connections and their parser. */
 
 #include <event2/bufferevent.h>
 #include <event2/listener.h>
@@ -14,9 +14,9 @@
 #define HS_TARGET_MAX 8192
 
 enum hs_state {
-	HS_READING,   /* waits for a request, or is in the middle of one */
-	HS_ANSWERING, /* a request is with the owner */
-	HS_CLOSING,   /* the answer drains, then the connection closes */
+	HS_READING,    /* waits for a request or reads one */
+	HS_RESPONDING, /* the owner processes a request */
+	HS_CLOSING,    /* closes once the response has been sent */
 };
 
 struct hs {
@@ -26,7 +26,7 @@
 	void *ctx;
 	struct hs_limits limits;
 	struct cds_list_head conns;
-	bool keep; /* answers leave their connections open */
+	bool keep_alive; /* connections stay open after a response */
 };
 
 struct hs_conn {
@@ -40,17 +40,19 @@
 	char target[HS_TARGET_MAX];
 	size_t target_len;
 	size_t header_len;
-	int64_t due_us; /* of the header, or of the next request */
+	int64_t deadline_us; /* for the header, or for the next request */
 	void *user;
-	int error_status; /* found while parsing, 0: none */
-	bool begun;	  /* bytes of the next request have come */
-	bool whole;	  /* the request has been read to its end */
+	int error_status; /* found while parsing; 0: none */
+	bool started;	  /* bytes of the next request have arrived */
+	bool complete;	  /* the request has been read to its end */
 	bool keep_alive;
-	bool chunked; /* the answer in progress */
+	bool chunked; /* the response in progress is chunked */
 };
 
-/* Fills a connection's request while the parser reads it; error_status is set
- * where a limit is passed. */
+/*
+ * Parser callbacks that store the request in its connection; they set
+ * error_status if a limit is exceeded.
+ */
 extern const http_parser_settings hs_settings;
 
 #endif /* HS_INT_H */
--- a/src/hs_limits.h
+++ b/src/hs_limits.h
@@ -3,12 +3,12 @@
 
 #include <stdint.h>
 
-/* What callers may send, and how long they may take or stay idle. */
+/* Size and time limits for clients. */
 struct hs_limits {
 	uint32_t header_bytes;
 	uint32_t body_bytes;
-	uint32_t header_ms; /* from the first byte to the whole header */
-	uint32_t idle_ms;   /* between two requests */
+	uint32_t header_ms; /* from the first byte to the end of the header */
+	uint32_t idle_ms;   /* idle time between two requests */
 };
 
 #endif /* HS_LIMITS_H */
--- a/src/hs_parse.c
+++ b/src/hs_parse.c
@@ -34,7 +34,7 @@
 	return 0;
 }
 
-/* Counts header bytes against the limit, so that no header fills memory. */
+/* Counts header bytes against the limit, which bounds the memory they use. */
 static int hs_count_header(struct hs_conn *conn, size_t len)
 {
 	conn->header_len += len;
@@ -62,13 +62,16 @@
 	return hdr_add_value(&conn->headers, at, len);
 }
 
-/* Refuses a body that is known to be too long, and says that one may come. */
+/*
+ * Rejects a body whose Content-Length exceeds the limit; otherwise replies to
+ * "Expect: 100-continue", so that the client sends the body.
+ */
 static int hs_on_headers(http_parser *parser)
 {
 	struct hs_conn *conn = parser->data;
 	const char *expect = hdr_get(&conn->headers, "Expect");
 
-	conn->due_us = MAG_NEVER;
+	conn->deadline_us = MAG_NEVER;
 	if (parser->content_length != UINT64_MAX &&
 	    parser->content_length > conn->hs->limits.body_bytes) {
 		conn->error_status = 413;
@@ -96,7 +99,7 @@
 {
 	struct hs_conn *conn = parser->data;
 
-	conn->whole = true;
+	conn->complete = true;
 	http_parser_pause(parser, 1);
 	return 0;
 }
