--- a/src/hc.c
+++ b/src/hc.c
@@ -14,12 +14,12 @@
 #include "hc.h"
 
 /*
- * An idle connection is not used again after this, because a host may drop
- * it without notice; hosts that name a shorter time are followed.
+ * An idle connection is closed after this time, because the host may drop it
+ * without notice.  A shorter timeout in the host's Keep-Alive field applies.
  */
 #define HC_IDLE_US (4 * MAG_US_PER_S)
-/* Unacknowledged bytes for so long end a connection (milliseconds). */
-#define HC_USER_TIMEOUT 3000
+/* Data unacknowledged for this long closes a connection (milliseconds). */
+#define HC_USER_TIMEOUT_MS 3000
 
 enum hc_state {
 	HC_CONNECTING,
@@ -40,10 +40,10 @@
 	int max_connections;
 	int open;
 	struct cds_list_head conns;
-	struct cds_list_head idle; /* the one used last comes first */
+	struct cds_list_head idle; /* most recently used first */
 };
 
-/* A connection and the call on it; idle ones carry no call. */
+/* A connection and the call on it; in state HC_IDLE it carries no call. */
 struct hc_call {
 	struct cds_list_head node;
 	struct cds_list_head in_idle;
@@ -54,18 +54,18 @@
 	struct hdr_list headers;
 	const struct hc_ops *ops;
 	void *user;
-	struct evbuffer *request; /* until the connection stands */
+	struct evbuffer *request; /* until the connection is established */
 	size_t request_len;
 	int64_t connect_by_us;
 	int64_t deadline_us;
 	int64_t idle_until_us;
-	bool head;
-	bool skipping;	/* an answer that belongs to another request */
-	bool until_eof; /* the answer's length is the connection's */
-	bool got_bytes;
-	bool whole;
+	bool head_request;
+	bool skipping;	/* the response belongs to another request */
+	bool until_eof; /* the response ends when the connection closes */
+	bool bytes_received;
+	bool complete;
 	bool keep_alive;
-	bool cancelled; /* by a callback, while the parser runs */
+	bool cancelled; /* by a callback while the parser runs */
 	bool parsing;
 };
 
@@ -76,10 +76,10 @@
 static void hc_event(struct bufferevent *bev, short what, void *arg);
 static void hc_parse(struct hc_call *call);
 static void hc_complete(struct hc_call *call);
-static void hc_finish(struct hc_call *call, enum hc_result end);
+static void hc_finish(struct hc_call *call, enum hc_result result);
 static void hc_close(struct hc_call *call);
-static void hc_hint(struct hc_call *call, int64_t now);
-static bool hc_end_one_due(struct hc_host *host, int64_t now);
+static void hc_set_idle_timeout(struct hc_call *call, int64_t now);
+static bool hc_expire_one(struct hc_host *host, int64_t now);
 static int hc_on_field(http_parser *parser, const char *at, size_t len);
 static int hc_on_value(http_parser *parser, const char *at, size_t len);
 static int hc_on_begin(http_parser *parser);
@@ -108,7 +108,7 @@
 	return hc;
 }
 
-/* Closes every connection without ending the calls on them. */
+/* Closes all connections without calling the callbacks. */
 void hc_free(struct hc *hc)
 {
 	struct hc_host *host;
@@ -122,10 +122,11 @@
 }
 
 /*
- * Puts the deadlines of all calls off.  For a process that did not run for a
- * while, as on a machine that was paused: answers that came meanwhile lie
- * unread, and connections that stand have not been written to.  Without this
- * each call in progress would seem unanswered, and sound hosts dead.
+ * Extends the deadlines of all calls.  Used after the process did not run for
+ * a while, for example because the machine was paused: responses that arrived
+ * meanwhile are still unread, and requests on established connections are not
+ * sent yet.  Otherwise all calls in progress would time out and healthy hosts
+ * would look dead.
  */
 void hc_extend_deadlines(struct hc *hc, int64_t by_us)
 {
@@ -143,23 +144,23 @@
 	}
 }
 
-/* Ends calls whose deadline has passed and idle connections grown old. */
+/* Ends calls whose deadline has passed and closes expired idle connections. */
 void hc_tick(struct hc *hc, int64_t now)
 {
 	struct hc_host *host;
 
 	cds_list_for_each_entry (host, &hc->hosts, node) {
 		/*
-		 * What is told of an end may close other connections of the
-		 * host, so the list is read anew after each one.
+		 * The ended callback may close other connections of the host,
+		 * so the iteration restarts after each one.
 		 */
-		while (hc_end_one_due(host, now))
+		while (hc_expire_one(host, now))
 			;
 	}
 }
 
-/* Ends one call or idle connection that is due; false if there is none. */
-static bool hc_end_one_due(struct hc_host *host, int64_t now)
+/* Ends one expired call or idle connection; false if there is none. */
+static bool hc_expire_one(struct hc_host *host, int64_t now)
 {
 	struct hc_call *call;
 
@@ -178,7 +179,7 @@
 	return false;
 }
 
-/* Makes a host of "ip:port"; nothing is opened yet. */
+/* Creates a host from "ip:port"; opens no connection yet. */
 int hc_host_new(struct hc *hc, const char *address, int max_connections,
 		struct hc_host **out)
 {
@@ -206,7 +207,7 @@
 	host->max_connections = max_connections;
 }
 
-/* Closes all connections of a host; calls on them are not told. */
+/* Closes all connections of a host without calling the callbacks. */
 void hc_host_free(struct hc_host *host)
 {
 	struct hc_call *call;
@@ -220,7 +221,7 @@
 	free(host);
 }
 
-/* Closes the connections that carry nothing. */
+/* Closes the idle connections of a host. */
 void hc_host_drop_idle(struct hc_host *host)
 {
 	struct hc_call *call;
@@ -233,8 +234,8 @@
 }
 
 /*
- * Sends a request.  The call's end is told exactly once, never from within
- * this function.
+ * Sends a request.  On success the ended callback is called exactly once
+ * unless the call is cancelled, and never from within this function.
  */
 int hc_start(struct hc_host *host, const struct hc_send *send,
 	     struct hc_call **out)
@@ -268,8 +269,8 @@
 }
 
 /*
- * Gives a call up: its connection closes, so that the host stops working on
- * it.  Its end is not told.
+ * Cancels a call and closes its connection, so that the host stops working on
+ * it.  The ended callback is not called.
  */
 void hc_cancel(struct hc_call *call)
 {
@@ -281,7 +282,7 @@
 	hc_close(call);
 }
 
-/* Tells whether no byte of the request has left this machine so far. */
+/* Returns true if no byte of the request has been sent so far. */
 bool hc_unsent(const struct hc_call *call)
 {
 	size_t left;
@@ -289,13 +290,13 @@
 	if (call->state == HC_CONNECTING)
 		return true;
 	left = evbuffer_get_length(bufferevent_get_output(call->bev));
-	return !call->got_bytes && left >= call->request_len;
+	return !call->bytes_received && left >= call->request_len;
 }
 
 static struct hc_call *hc_open(struct hc_host *host)
 {
 	struct hc_call *call = calloc(1, sizeof(*call));
-	unsigned int patience = HC_USER_TIMEOUT;
+	unsigned int timeout_ms = HC_USER_TIMEOUT_MS;
 	int on = 1;
 	int fd;
 
@@ -312,17 +313,20 @@
 	host->open++;
 	cds_list_add_tail(&call->node, &host->conns);
 	bufferevent_setcb(call->bev, hc_read, NULL, hc_event, call);
-	/* A failure at once is told through the event callback, too. */
+	/* A connect that fails at once is reported through hc_event(), too. */
 	if (bufferevent_socket_connect(call->bev,
 				       (struct sockaddr *)&host->addr,
 				       host->addr_len) == 0) {
 		fd = bufferevent_getfd(call->bev);
 		setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-		setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &patience,
-			   sizeof(patience));
+		setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms,
+			   sizeof(timeout_ms));
 		bufferevent_enable(call->bev, EV_READ | EV_WRITE);
 	} else {
-		/* The tick ends it; the caller is never called back here. */
+		/*
+		 * The next hc_tick() ends the call, because hc_start() must
+		 * not call the callbacks.
+		 */
 		call->connect_by_us = 0;
 	}
 	return call;
@@ -336,11 +340,11 @@
 	call->request_len = evbuffer_get_length(send->request);
 	call->connect_by_us = send->connect_by_us;
 	call->deadline_us = send->deadline_us;
-	call->head = send->head_request;
+	call->head_request = send->head_request;
 	call->skipping = false;
 	call->until_eof = false;
-	call->got_bytes = false;
-	call->whole = false;
+	call->bytes_received = false;
+	call->complete = false;
 	call->keep_alive = false;
 	hdr_reset(&call->headers);
 	http_parser_init(&call->parser, HTTP_RESPONSE);
@@ -363,7 +367,7 @@
 		hc_parse(call);
 		return;
 	}
-	/* Bytes that no request asked for belong to nobody. */
+	/* Bytes without a request in progress are a protocol error. */
 	hc_close(call);
 }
 
@@ -404,7 +408,7 @@
 	size_t len;
 	size_t used;
 
-	call->got_bytes = true;
+	call->bytes_received = true;
 	for (;;) {
 		len = evbuffer_get_contiguous_space(in);
 		if (len == 0)
@@ -419,7 +423,7 @@
 			return;
 		}
 		evbuffer_drain(in, used);
-		if (call->whole) {
+		if (call->complete) {
 			hc_complete(call);
 			return;
 		}
@@ -431,7 +435,7 @@
 	}
 }
 
-/* The answer is whole: keep the connection if that is sound. */
+/* Ends a call with a complete response; reuses the connection if possible. */
 static void hc_complete(struct hc_call *call)
 {
 	struct evbuffer *in = bufferevent_get_input(call->bev);
@@ -441,29 +445,32 @@
 	int64_t now = clk_boot_us();
 
 	call->ops = NULL;
-	/* An answer that came before the request was out, or bytes behind
-	 * it, leave the connection in a state that nobody knows. */
+	/*
+	 * A response that arrived before the request was completely sent, or
+	 * bytes after the response, leave the connection in an undefined
+	 * state.
+	 */
 	if (!call->keep_alive || evbuffer_get_length(in) > 0 ||
 	    evbuffer_get_length(out) > 0) {
 		hc_close(call);
 	} else {
 		call->state = HC_IDLE;
-		hc_hint(call, now);
+		hc_set_idle_timeout(call, now);
 		cds_list_add(&call->in_idle, &call->host->idle);
 	}
 	if (ops)
 		ops->ended(user, HC_COMPLETE);
 }
 
-/* Ends a call that failed, or whose answer ended with its connection. */
-static void hc_finish(struct hc_call *call, enum hc_result end)
+/* Ends a call that failed, or whose response ended with its connection. */
+static void hc_finish(struct hc_call *call, enum hc_result result)
 {
 	const struct hc_ops *ops = call->ops;
 	void *user = call->user;
 
 	hc_close(call);
 	if (ops)
-		ops->ended(user, end);
+		ops->ended(user, result);
 }
 
 static void hc_close(struct hc_call *call)
@@ -479,20 +486,23 @@
 	free(call);
 }
 
-/* Keeps an idle connection for less than the host says it will. */
-static void hc_hint(struct hc_call *call, int64_t now)
+/*
+ * Sets the idle timeout to HC_IDLE_US, or to half of the host's Keep-Alive
+ * timeout if that is shorter.
+ */
+static void hc_set_idle_timeout(struct hc_call *call, int64_t now)
 {
-	const char *keep = hdr_get(&call->headers, "Keep-Alive");
-	const char *timeout = keep ? strstr(keep, "timeout=") : NULL;
-	int64_t hold = HC_IDLE_US;
-	long seconds;
-
-	if (timeout) {
-		seconds = strtol(timeout + strlen("timeout="), NULL, 10);
-		if (seconds >= 0 && seconds * MAG_US_PER_S / 2 < hold)
-			hold = seconds * MAG_US_PER_S / 2;
+	const char *field = hdr_get(&call->headers, "Keep-Alive");
+	const char *value = field ? strstr(field, "timeout=") : NULL;
+	int64_t idle_us = HC_IDLE_US;
+	long timeout_s;
+
+	if (value) {
+		timeout_s = strtol(value + strlen("timeout="), NULL, 10);
+		if (timeout_s >= 0 && timeout_s * MAG_US_PER_S / 2 < idle_us)
+			idle_us = timeout_s * MAG_US_PER_S / 2;
 	}
-	call->idle_until_us = now + hold;
+	call->idle_until_us = now + idle_us;
 }
 
 static int hc_on_begin(http_parser *parser)
@@ -517,23 +527,24 @@
 	return hdr_add_value(&call->headers, at, len);
 }
 
-/* Returns 1 for an answer without a body, as the parser wants it. */
+/* Returns 1 for a response without a body, as the parser requires. */
 static int hc_on_headers(http_parser *parser)
 {
 	struct hc_call *call = parser->data;
-	struct hc_response answer = { (int)parser->status_code,
-				      &call->headers };
+	struct hc_response response = { (int)parser->status_code,
+					&call->headers };
 
 	if (parser->status_code / 100 == 1)
 		return 0;
 	call->skipping = false;
 	if (call->ops)
-		call->skipping = !call->ops->headers(call->user, &answer);
+		call->skipping = !call->ops->headers(call->user, &response);
 	if (call->cancelled)
 		return -1;
 	call->keep_alive = http_should_keep_alive(parser) != 0;
-	call->until_eof = !call->head && hc_ends_with_connection(parser);
-	return call->head ? 1 : 0;
+	call->until_eof =
+		!call->head_request && hc_ends_with_connection(parser);
+	return call->head_request ? 1 : 0;
 }
 
 static int hc_on_body(http_parser *parser, const char *at, size_t len)
@@ -551,12 +562,12 @@
 
 	if (parser->status_code / 100 == 1 || call->skipping)
 		return 0;
-	call->whole = true;
+	call->complete = true;
 	http_parser_pause(parser, 1);
 	return 0;
 }
 
-/* Tells whether an answer has neither a length nor chunks. */
+/* Returns true for a response with neither a length nor chunks. */
 static bool hc_ends_with_connection(const http_parser *parser)
 {
 	if (parser->status_code == 204 || parser->status_code == 304)
--- a/src/hc.h
+++ b/src/hc.h
@@ -2,10 +2,10 @@
 #define HC_H
 
 /*
- * The client's side of HTTP/1.1 on an event loop: one call at a time on a
- * connection, connections kept for a host.  A failure says whether a byte of
- * the request may have reached the host, because only a call that provably
- * did not may be sent again where the work must not be repeated.
+ * HTTP/1.1 client on an event loop.  Each host has a pool of connections; a
+ * connection carries one call at a time.  The result of a failed call tells
+ * whether any byte of the request may have reached the host: a request that
+ * must not run twice may be resent only if none did.
  */
 
 #include <stdbool.h>
@@ -26,15 +26,15 @@
 	HC_OK = 0,
 	HC_E_MEMORY = -1,
 	HC_E_ADDRESS = -2,
-	HC_E_FULL = -3, /* the host's bound on connections is reached */
+	HC_E_FULL = -3, /* max_connections calls are in progress */
 };
 
 enum hc_result {
-	HC_COMPLETE,	   /* the answer is complete */
-	HC_UNSENT,	   /* no byte of the request left this machine */
-	HC_CONN_LOST,	   /* the connection ended before the answer did */
-	HC_PROTOCOL_ERROR, /* what came is no answer in the protocol */
-	HC_TIMED_OUT,	   /* the deadline of the call has passed */
+	HC_COMPLETE,	   /* the response was received completely */
+	HC_UNSENT,	   /* no byte of the request was sent */
+	HC_CONN_LOST,	   /* the connection closed before the response ended */
+	HC_PROTOCOL_ERROR, /* the received bytes are not valid HTTP */
+	HC_TIMED_OUT,	   /* the deadline passed */
 };
 
 struct hc_response {
@@ -43,22 +43,25 @@
 };
 
 struct hc_ops {
-	/* Header of the answer; return false to skip this answer, because
-	 * it belongs to another request, and to wait for the next one. */
-	bool (*headers)(void *user, const struct hc_response *answer);
+	/*
+	 * Called after the header of a response.  Return false to skip the
+	 * response, because it belongs to another request, and to wait for
+	 * the next one.
+	 */
+	bool (*headers)(void *user, const struct hc_response *response);
 	void (*body)(void *user, const void *bytes, size_t len);
-	/* The call is over and released. */
-	void (*ended)(void *user, enum hc_result end);
+	/* The call has ended and must not be used any more. */
+	void (*ended)(void *user, enum hc_result result);
 };
 
 struct hc_send {
-	struct evbuffer *request; /* the whole message; taken over */
+	struct evbuffer *request; /* complete message; hc_start() frees it */
 	const struct hc_ops *ops;
 	void *user;
 	int64_t connect_by_us;
-	int64_t deadline_us; /* MAG_NEVER: the owner cancels */
-	bool new_connection; /* never on a connection that was used before */
-	bool head_request;   /* the answer has no body */
+	int64_t deadline_us; /* MAG_NEVER: none, the owner cancels */
+	bool new_connection; /* do not reuse an idle connection */
+	bool head_request;   /* the method is HEAD: no response body */
 };
 
 struct hc *hc_new(struct event_base *base);
