--- a/src/hdr.c
+++ b/src/hdr.c
@@ -6,9 +6,9 @@
 
 static int hdr_reserve(struct hdr_list *list, size_t more);
 static int hdr_append(struct hdr_list *list, const char *bytes, size_t len);
-static int hdr_new_slot(struct hdr_list *list);
+static int hdr_new_field(struct hdr_list *list);
 
-/* Forgets all fields and keeps the memory for the next message. */
+/* Removes all fields but retains the memory for the next message. */
 void hdr_reset(struct hdr_list *list)
 {
 	list->len = 0;
@@ -16,39 +16,39 @@
 	list->in_value = false;
 }
 
-/* Releases the memory of a list; the list itself is the caller's. */
+/* Frees the memory of a list, but not the list itself. */
 void hdr_free(struct hdr_list *list)
 {
 	free(list->text);
-	free(list->slots);
+	free(list->fields);
 	memset(list, 0, sizeof(*list));
 }
 
-/* Adds bytes of a field's name; the first ones after a value begin a field. */
+/* Appends to a field's name; the first bytes after a value start a field. */
 int hdr_add_name(struct hdr_list *list, const char *bytes, size_t len)
 {
 	if (list->in_value || list->count == 0) {
-		if (hdr_new_slot(list))
+		if (hdr_new_field(list))
 			return HDR_E_MEMORY;
 		list->in_value = false;
 	}
 	return hdr_append(list, bytes, len);
 }
 
-/* Adds bytes of the value of the field whose name came last. */
+/* Appends to the value of the last field. */
 int hdr_add_value(struct hdr_list *list, const char *bytes, size_t len)
 {
 	if (!list->in_value) {
 		if (hdr_reserve(list, 1))
 			return HDR_E_MEMORY;
 		list->text[list->len++] = '\0';
-		list->slots[list->count - 1].value = (uint32_t)list->len;
+		list->fields[list->count - 1].value = (uint32_t)list->len;
 		list->in_value = true;
 	}
 	return hdr_append(list, bytes, len);
 }
 
-/* Returns the value of the first field of a name, or NULL. */
+/* Returns the value of the first field with a name (case ignored), or NULL. */
 const char *hdr_get(const struct hdr_list *list, const char *name)
 {
 	int i;
@@ -62,15 +62,15 @@
 
 const char *hdr_name(const struct hdr_list *list, int i)
 {
-	return list->text + list->slots[i].name;
+	return list->text + list->fields[i].name;
 }
 
 const char *hdr_value(const struct hdr_list *list, int i)
 {
-	return list->text + list->slots[i].value;
+	return list->text + list->fields[i].value;
 }
 
-/* Makes room for more bytes and the NUL behind them. */
+/* Ensures space for more bytes and a terminating NUL. */
 static int hdr_reserve(struct hdr_list *list, size_t more)
 {
 	size_t need = list->len + more + 1;
@@ -99,27 +99,27 @@
 	return HDR_OK;
 }
 
-/* Begins a field with an empty name and an empty value. */
-static int hdr_new_slot(struct hdr_list *list)
+/* Starts a field with an empty name and an empty value. */
+static int hdr_new_field(struct hdr_list *list)
 {
-	struct hdr_slot *slots;
+	struct hdr_field *fields;
 	int cap;
 
-	if (list->count == list->slot_cap) {
-		cap = list->slot_cap ? list->slot_cap * 2 : 16;
-		slots = realloc(list->slots, (size_t)cap * sizeof(*slots));
-		if (!slots)
+	if (list->count == list->field_cap) {
+		cap = list->field_cap ? list->field_cap * 2 : 16;
+		fields = realloc(list->fields, (size_t)cap * sizeof(*fields));
+		if (!fields)
 			return HDR_E_MEMORY;
-		list->slots = slots;
-		list->slot_cap = cap;
+		list->fields = fields;
+		list->field_cap = cap;
 	}
 	if (hdr_reserve(list, 1))
 		return HDR_E_MEMORY;
 	if (list->count > 0)
 		list->text[list->len++] = '\0';
 	list->text[list->len] = '\0';
-	list->slots[list->count].name = (uint32_t)list->len;
-	list->slots[list->count].value = (uint32_t)list->len;
+	list->fields[list->count].name = (uint32_t)list->len;
+	list->fields[list->count].value = (uint32_t)list->len;
 	list->count++;
 	return HDR_OK;
 }
--- a/src/hdr.h
+++ b/src/hdr.h
@@ -2,27 +2,28 @@
 #define HDR_H
 
 /*
- * Header fields of one HTTP message in the order in which they came.  Bytes
- * may be added in pieces, as a parser hands them out.
+ * Header fields of one HTTP message in the order received.  Names and values
+ * may be added in several pieces, as a parser delivers them.
  */
 
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
-struct hdr_slot {
+/* Offsets of a name and its value in the text of the list. */
+struct hdr_field {
 	uint32_t name;
 	uint32_t value;
 };
 
 struct hdr_list {
-	char *text; /* names and values, each with its NUL */
+	char *text; /* names and values, each NUL-terminated */
 	size_t len;
 	size_t cap;
-	struct hdr_slot *slots;
+	struct hdr_field *fields;
 	int count;
-	int slot_cap;
-	bool in_value;
+	int field_cap;
+	bool in_value; /* the last bytes added belong to a value */
 };
 
 enum hdr_err {
