--- a/regress/check_evs.c
+++ b/regress/check_evs.c
@@ -5,7 +5,7 @@
 
 #define LINE_MAX_ 1024
 
-/* Turns \n, \r and \\ of a script line into bytes. */
+/* Converts the escapes \n and \r of a script line to bytes. */
 static size_t unescape(const char *text, char *dst)
 {
 	size_t len = 0;
--- a/regress/fuzz_evs.c
+++ b/regress/fuzz_evs.c
@@ -5,13 +5,13 @@
 #include "evs.h"
 
 /*
- * Any bytes as a worker's stream, in pieces of any size.  What is handed on
- * must be what came, whole events only, wherever it was cut.
+ * Feeds arbitrary bytes as a worker's stream, in pieces of any size.  The
+ * events must be complete, equal the input and not depend on the piece size.
  */
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-/* Feeds in pieces and sums up the events' bytes and ids. */
+/* Feeds the input in pieces; counts the events' bytes and hashes their ids. */
 static void feed(const uint8_t *data, size_t size, size_t piece, size_t *bytes,
 		 uint64_t *sum)
 {
--- a/src/evs.c
+++ b/src/evs.c
@@ -6,7 +6,10 @@
 static int64_t evs_id(const char *bytes, size_t len);
 static bool evs_find_end(const struct evs *evs, size_t *end);
 
-/* Adds bytes as they come; negative if memory is short or no event ends. */
+/*
+ * Appends received bytes.  Returns a negative value if memory is exhausted or
+ * if the unfinished event would exceed EVS_EVENT_MAX.
+ */
 int evs_feed(struct evs *evs, const void *bytes, size_t len)
 {
 	size_t cap = evs->cap ? evs->cap : 1024;
@@ -35,13 +38,16 @@
 	return 0;
 }
 
-/* Hands out the next whole event; false if none is there. */
+/* Returns the next complete event; false if there is none. */
 bool evs_next(struct evs *evs, struct evs_event *event)
 {
 	size_t end;
 
 	if (!evs_find_end(evs, &end)) {
-		/* An end may straddle the next feed by three bytes. */
+		/*
+		 * Up to three bytes of the blank line that ends an event
+		 * may precede the rest of it in the next feed.
+		 */
 		evs->scanned = evs->len > 3 ? evs->len - 3 : 0;
 		if (evs->scanned < evs->start)
 			evs->scanned = evs->start;
@@ -55,7 +61,7 @@
 	return true;
 }
 
-/* Returns the bytes of an event that has not ended. */
+/* Returns the number of buffered bytes of an incomplete event. */
 size_t evs_pending(const struct evs *evs)
 {
 	return evs->len - evs->start;
@@ -95,7 +101,7 @@
 	return false;
 }
 
-/* Reads the number of an event's id line. */
+/* Returns the number in an event's id line, or EVS_NO_ID. */
 static int64_t evs_id(const char *bytes, size_t len)
 {
 	const char *end = bytes + len;
--- a/src/evs.h
+++ b/src/evs.h
@@ -2,9 +2,9 @@
 #define EVS_H
 
 /*
- * Splits a stream of server-sent events into whole events.  Pure.  A caller
- * is handed whole events only, so that after a break another worker can go
- * on behind the last one.
+ * Splits a stream of server-sent events into events; performs no I/O.  Only
+ * complete events are relayed to a client, so that after a failure another
+ * worker can resume the stream after the last one.
  */
 
 #include <stdbool.h>
@@ -12,19 +12,20 @@
 #include <stdint.h>
 
 #define EVS_NO_ID (-1)
-/* An event beyond this is no event of ours (bytes). */
+/* Longest accepted event (bytes); a longer one is treated as an error. */
 #define EVS_EVENT_MAX (1 << 20)
 
 struct evs {
 	char *bytes;
-	size_t start; /* of the next event */
+	size_t start; /* offset of the next event */
 	size_t len;
 	size_t cap;
-	size_t scanned;
+	size_t scanned; /* no event ends before this offset */
 };
 
 struct evs_event {
-	const char *bytes; /* with its blank line; valid until the next feed */
+	const char
+		*bytes; /* includes the blank line; valid until the next feed */
 	size_t len;
 	int64_t id; /* EVS_NO_ID if it has none */
 };
