--- a/src/wire.h
+++ b/src/wire.h
@@ -2,8 +2,9 @@
 #define WIRE_H
 
 /*
- * What the platform's pages say about workers and the store, decoded: the
- * types that platform/ fills and reads.  Nothing here knows a wire name.
+ * Decoded form of what the platform's interfaces say about workers and the
+ * store.  platform/ converts between these types and the wire; no name of the
+ * wire format appears here.
  */
 
 #include <stdbool.h>
@@ -14,72 +15,72 @@
 
 #define WIRE_ID_MAX	 64
 #define WIRE_STALLED_MAX 256
-#define WIRE_KEY_MAX	 201 /* of the store, with its NUL */
+#define WIRE_KEY_MAX	 201 /* longest key of the store, with its NUL */
 #define WIRE_HOPS_MAX	 32
 
-/* Layers [from, to) of a model; none if from == to. */
+/* Layers [from, to) of a model; empty if from == to. */
 struct wire_range {
 	int from;
 	int to;
 };
 
-/* A worker as the list of workers shows it. */
+/* An entry of the list of workers. */
 struct wire_worker {
 	char id[WIRE_ID_MAX];
 	char service[MAG_NAME_MAX];
 	char address[MAG_ADDR_MAX];
 	char data_centre[MAG_NAME_MAX];
-	char kind[MAG_NAME_MAX]; /* of accelerator, "" for plain services */
+	char kind[MAG_NAME_MAX]; /* of accelerator; "" for plain services */
 	int slots;
 	bool draining;
-	int64_t started_ms; /* Unix time of its start; 0: it does not say */
+	int64_t started_ms; /* Unix time of its start; 0: unknown */
 	struct wire_range layers;
 };
 
-/* Whether an answer names the requests a second that its worker takes. */
+/* Whether a response states the rate limit of its worker. */
 enum wire_limit_status {
 	WIRE_LIMIT_NONE,
 	WIRE_LIMIT_VALID,
-	WIRE_LIMIT_INVALID, /* it cannot be read */
+	WIRE_LIMIT_INVALID, /* present but malformed */
 };
 
 struct wire_limit {
 	enum wire_limit_status status;
-	double per_s; /* of all routers together */
+	double per_s; /* requests per second, over all routers together */
 };
 
-/* A request that stands still, and the worker it waits for. */
+/* A stalled request and the worker it waits for. */
 struct wire_stalled {
 	char attempt_id[WIRE_ID_MAX];
 	char address[MAG_ADDR_MAX];
 };
 
-/* A worker's word on its own state, some hundred milliseconds old. */
+/* A worker's report of its state, some hundred milliseconds old. */
 struct wire_report {
-	bool busy; /* an order is being carried out */
+	bool busy; /* an order is in progress */
 	int64_t orders_taken;
 	int64_t started_ms;
 	int running;
 	int waiting;
-	double memory_used;  /* tokens x layers that cannot yield */
+	double memory_used;  /* tokens x layers that cannot be evicted */
 	double memory_total; /* tokens x layers */
-	double slowdown;     /* over 1: slower than it should be */
+	double slowdown;     /* over 1: slower than normal */
 	struct wire_range layers;
 	int stalled_count;
 	struct wire_stalled stalled[WIRE_STALLED_MAX];
 };
 
-/* One worker of a chain and the layers it runs there. */
+/* One worker of a chain and the layers [from, to) that it runs. */
 struct wire_hop {
 	char address[MAG_ADDR_MAX];
 	int from;
 	int to;
 };
 
-/* A change of one item of the store, or an item that was read. */
+/* An item read from the store, or a change of an item. */
 struct wire_item {
 	char key[WIRE_KEY_MAX];
-	char *value; /* decoded bytes with a NUL behind; NULL if deleted */
+	char *value; /* decoded bytes, NUL-terminated; NULL if deleted */
 	size_t len;
 	int64_t revision;
 	int64_t lease; /* 0: none */
@@ -89,8 +90,8 @@
 struct wire_items {
 	struct wire_item *items;
 	int count;
-	bool has_more;	  /* a further page begins after the last key */
-	int64_t revision; /* of the store, when it answered */
+	bool has_more;	  /* a further page starts after the last key */
+	int64_t revision; /* of the store when it responded */
 };
 
 #endif /* WIRE_H */
