--- a/regress/check_pl.c
+++ b/regress/check_pl.c
@@ -10,7 +10,7 @@
 #define LINE_MAX_ 16384
 #define WHY_MAX	  256
 
-static void show_config(FILE *out, const char *text)
+static void print_config(FILE *out, const char *text)
 {
 	struct rt_set *set;
 	char why[WHY_MAX];
@@ -31,7 +31,7 @@
 	rt_drop(set);
 }
 
-static void show_worker(FILE *out, const char *text)
+static void print_worker(FILE *out, const char *text)
 {
 	struct wire_worker worker;
 	char why[WHY_MAX];
@@ -48,7 +48,7 @@
 		(long long)worker.started_ms);
 }
 
-static void show_report(FILE *out, const char *text)
+static void print_report(FILE *out, const char *text)
 {
 	static struct wire_report report;
 	int i;
@@ -65,8 +65,8 @@
 			report.stalled[i].address);
 }
 
-/* "repath ID HOPS": an order with so many hops, the first ones shown. */
-static void show_repath(FILE *out, const char *line)
+/* "repath ID COUNT": prints the start of a repath order with COUNT hops. */
+static void print_repath(FILE *out, const char *line)
 {
 	static struct wire_hop hops[WIRE_HOPS_MAX];
 	char body[PL_ORDER_MAX];
@@ -88,8 +88,8 @@
 		fprintf(out, "%zu bytes %.100s\n", strlen(body), body);
 }
 
-/* "fault TEXT": whom an order was refused for. */
-static void show_fault(FILE *out, const char *text)
+/* "fault TEXT": prints the worker that a refusal of an order names. */
+static void print_refused_worker(FILE *out, const char *text)
 {
 	char address[MAG_ADDR_MAX];
 
@@ -97,8 +97,8 @@
 	fprintf(out, "fault \"%s\"\n", address);
 }
 
-/* "limit [TEXT]": what an answer says of the requests that a worker takes. */
-static void show_limit(FILE *out, const char *text)
+/* "limit [TEXT]": prints the rate limit in the header of a response. */
+static void print_limit(FILE *out, const char *text)
 {
 	static const char name[] = "server-limit";
 	struct hdr_list headers = { 0 };
@@ -120,8 +120,8 @@
 	hdr_free(&headers);
 }
 
-/* "era [TEXT]": the era that an answer of the store names. */
-static void show_era(FILE *out, const char *text)
+/* "era [TEXT]": prints the era in the header of a response of the store. */
+static void print_era(FILE *out, const char *text)
 {
 	struct hdr_list headers = { 0 };
 	int64_t era;
@@ -149,19 +149,19 @@
 		fprintf(out, "> %s", line);
 		line[strcspn(line, "\n")] = '\0';
 		if (strncmp(line, "config ", 7) == 0)
-			show_config(out, line + 7);
+			print_config(out, line + 7);
 		else if (strncmp(line, "worker ", 7) == 0)
-			show_worker(out, line + 7);
+			print_worker(out, line + 7);
 		else if (strncmp(line, "report ", 7) == 0)
-			show_report(out, line + 7);
+			print_report(out, line + 7);
 		else if (strncmp(line, "repath ", 7) == 0)
-			show_repath(out, line + 7);
+			print_repath(out, line + 7);
 		else if (strncmp(line, "fault ", 6) == 0)
-			show_fault(out, line + 6);
+			print_refused_worker(out, line + 6);
 		else if (strncmp(line, "era", 3) == 0)
-			show_era(out, line + 3);
+			print_era(out, line + 3);
 		else if (strncmp(line, "limit", 5) == 0)
-			show_limit(out, line + 5);
+			print_limit(out, line + 5);
 	}
 }
 
--- a/regress/fuzz_pl.c
+++ b/regress/fuzz_pl.c
@@ -6,15 +6,16 @@
 #include "pl_worker.h"
 
 /*
- * Any bytes as what the platform hands out: configuration, entries and reports
- * of workers, answers of the store.  The first byte says which.
+ * Feeds arbitrary bytes to the decoders of the platform's data: configuration,
+ * entries and reports of workers, responses of the store.  The first byte
+ * selects the decoder.
  */
 
 #define WHY_MAX 256
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-/* Reads the bytes as the era that an answer names. */
+/* Decodes the bytes as the era in a response of the store. */
 static void read_era(const char *text, size_t len)
 {
 	struct hdr_list headers = { 0 };
