--- a/src/clk.c
+++ b/src/clk.c
@@ -7,7 +7,7 @@
 #define CLK_NS_PER_MS 1000000
 #define CLK_MS_PER_S  1000
 
-/* Returns microseconds of the monotonic clock, which deadlines are kept in. */
+/* Returns the time of the monotonic clock in microseconds, for deadlines. */
 int64_t clk_now_us(void)
 {
 	struct timespec now;
@@ -17,9 +17,10 @@
 }
 
 /*
- * Returns microseconds of the clock that goes on while the machine is
- * suspended.  A deadline kept in it has passed when a frozen process wakes,
- * so that a lease or a reading from before the freeze is not trusted.
+ * Returns the time in microseconds of the monotonic clock that also advances
+ * while the machine is suspended.  A deadline on this clock has passed when
+ * the process resumes after a long suspension, so a lease or a measurement
+ * from before it is no longer trusted.
  */
 int64_t clk_boot_us(void)
 {
@@ -29,7 +30,7 @@
 	return now.tv_sec * MAG_US_PER_S + now.tv_nsec / CLK_NS_PER_US;
 }
 
-/* Returns milliseconds since 1970, which timed keys carry. */
+/* Returns Unix time in milliseconds, which UUIDv7 keys contain. */
 int64_t clk_wall_ms(void)
 {
 	struct timespec now;
