--- a/regress/check_jlog.c
+++ b/regress/check_jlog.c
@@ -7,7 +7,7 @@
 
 #define LINE_MAX_ 2048
 
-/* Prints the members of one line, without its time. */
+/* Prints the members of one line except the time. */
 static void print_line(int fd, FILE *out)
 {
 	char line[LINE_MAX_];
@@ -23,7 +23,7 @@
 	fprintf(out, "%s", members ? members + 1 : line);
 }
 
-/* "fields TEXT": an event of a module that other programs share. */
+/* "fields TEXT": logs an event with key=value fields. */
 static void drive(FILE *in, FILE *out)
 {
 	char line[LINE_MAX_];
--- a/src/jlog.c
+++ b/src/jlog.c
@@ -18,14 +18,15 @@
 static size_t jlog_len;
 static char jlog_instance[MAG_NAME_MAX];
 static int jlog_fd = STDOUT_FILENO;
-static int jlog_per_s;
+static int jlog_max_per_s;
 static int64_t jlog_second;
-static int jlog_this_second;
-static uint64_t jlog_lost;
+static int jlog_second_lines;
+static uint64_t jlog_drop_count;
 
 /*
- * Sets where lines go and how many a second are kept.  The descriptor is made
- * non-blocking: a reader that stops must not stop the router.
+ * Sets the output and the maximum of lines per second; 0: no limit.  The
+ * descriptor is made non-blocking, because a reader that stops reading must
+ * not block the router.
  */
 void jlog_open(const char *instance, int fd, int lines_per_s)
 {
@@ -33,7 +34,7 @@
 
 	snprintf(jlog_instance, sizeof(jlog_instance), "%s", instance);
 	jlog_fd = fd;
-	jlog_per_s = lines_per_s;
+	jlog_max_per_s = lines_per_s;
 	if (flags >= 0)
 		fcntl(fd, F_SETFL, flags | O_NONBLOCK);
 }
@@ -48,13 +49,13 @@
 
 	if (now / MAG_US_PER_S != jlog_second) {
 		jlog_second = now / MAG_US_PER_S;
-		jlog_this_second = 0;
+		jlog_second_lines = 0;
 	}
-	if (jlog_per_s > 0 && jlog_this_second >= jlog_per_s) {
-		jlog_lost++;
+	if (jlog_max_per_s > 0 && jlog_second_lines >= jlog_max_per_s) {
+		jlog_drop_count++;
 		return;
 	}
-	jlog_this_second++;
+	jlog_second_lines++;
 	used = snprintf(line, sizeof(line),
 			"{\"t_ms\":%" PRId64 ",\"instance\":\"%s\","
 			"\"event\":%d,\"name\":\"%s\",",
@@ -66,7 +67,7 @@
 	used += more;
 	if (more < 0 || used >= JLOG_LINE_MAX - 3 ||
 	    jlog_len + (size_t)used + 2 > sizeof(jlog_buffer)) {
-		jlog_lost++;
+		jlog_drop_count++;
 		return;
 	}
 	line[used++] = '}';
@@ -76,8 +77,9 @@
 }
 
 /*
- * Writes an event whose fields are text, as modules that other programs share
- * make them; all values stay text, because a fingerprint may be all digits.
+ * Logs an event whose fields are key=value text, as the modules write them that
+ * are shared with other programs.  All values become strings, because a
+ * fingerprint may consist of digits only.
  */
 void jlog_fields(enum log_id id, const char *fields)
 {
@@ -104,7 +106,7 @@
 	jlog(id, "%s", members);
 }
 
-/* Writes what the reader takes without waiting; the rest stays. */
+/* Writes what the descriptor accepts without blocking; the rest is retained. */
 void jlog_flush(void)
 {
 	ssize_t n;
@@ -113,14 +115,14 @@
 		return;
 	n = write(jlog_fd, jlog_buffer, jlog_len);
 	if (n <= 0)
-		return; /* full or closed: lines are dropped and counted */
+		return; /* pipe full or closed: jlog() drops and counts */
 	memmove(jlog_buffer, jlog_buffer + n, jlog_len - (size_t)n);
 	jlog_len -= (size_t)n;
 }
 
 uint64_t jlog_dropped(void)
 {
-	return jlog_lost;
+	return jlog_drop_count;
 }
 
 const char *jlog_sanitize(char *dst, unsigned int size, const char *text)
--- a/src/jlog.h
+++ b/src/jlog.h
@@ -2,10 +2,11 @@
 #define JLOG_H
 
 /*
- * Structured log lines on standard output: one JSON object a line, with the
- * numbered event first.  Lines are buffered and written when the loop is
- * idle; what a slow reader or the budget of lines leaves no room for is
- * dropped and counted, so that no request ever waits for a log.
+ * Structured log lines on standard output: one JSON object per line, with the
+ * number and the name of the event.  Lines are buffered and written when the
+ * event loop is idle.  Lines beyond the rate limit, or beyond the buffer if the
+ * reader is slow, are dropped and counted, so that no request waits for
+ * logging.
  */
 
 #include <stdint.h>
@@ -13,14 +14,17 @@
 #include "log_events.h"
 
 void jlog_open(const char *instance, int fd, int lines_per_s);
-/* fmt makes further members, such as "\"request\":\"%s\"". */
+/* fmt formats additional members, such as "\"request\":\"%s\"". */
 void jlog(enum log_id id, const char *fmt, ...)
 	__attribute__((format(printf, 2, 3)));
-/* fields are key=value, separated by spaces. */
+/* fields holds key=value pairs separated by spaces. */
 void jlog_fields(enum log_id id, const char *fields);
 void jlog_flush(void);
 uint64_t jlog_dropped(void);
-/* Copies text with what JSON does not allow in a string replaced. */
+/*
+ * Copies text for use in a JSON string: replaces control characters, quotes,
+ * backslashes and bytes from 0x7f on by '?'.  text may be dst.
+ */
 const char *jlog_sanitize(char *dst, unsigned int size, const char *text);
 
 #endif /* JLOG_H */
