--- a/src/log.c
+++ b/src/log.c
@@ -28,8 +28,8 @@
 static log_fields_fn log_fields_sink;
 
 /*
- * Sets the program's name and the least severe priority that is written.
- * To be called before threads start.
+ * Sets the program's name and the least severe priority that is logged.  Must
+ * be called before threads start.
  */
 void log_open(const char *program, enum log_prio threshold)
 {
@@ -38,8 +38,8 @@
 }
 
 /*
- * Sends finished lines elsewhere, as tests do; a NULL sink drops them.  To
- * be called before threads start.
+ * Redirects formatted lines, for tests; a NULL sink drops them.  Must be called
+ * before threads start.
  */
 void log_set_sink(log_sink_fn sink, void *ctx)
 {
@@ -48,23 +48,23 @@
 }
 
 /*
- * Hands events to a program that writes them in a format of its own, instead
- * of lines.  To be called before threads start.
+ * Passes events to a program that logs them in its own format, in place of
+ * formatted lines.  Must be called before threads start.
  */
 void log_set_fields_sink(log_fields_fn sink)
 {
 	log_fields_sink = sink;
 }
 
-/* Returns the name of a numbered event, as the catalogue lists it. */
+/* Returns the name of an event in LOG_EVENTS. */
 const char *log_event_name(enum log_id id)
 {
 	return log_find(id)->name;
 }
 
 /*
- * Writes one line: number and name of the event, then the key=value fields
- * that fmt makes.
+ * Logs an event in one line: its number and name, then the key=value fields
+ * formatted by fmt.
  */
 void log_event(enum log_id id, const char *fmt, ...)
 {
@@ -86,7 +86,10 @@
 	log_sink(log_sink_ctx, entry->prio, line);
 }
 
-/* Finds the entry of an event; the table is short and starts sorted. */
+/*
+ * Returns the entry of an event, or the first entry if there is none.  The
+ * table is short, so a linear search is enough.
+ */
 static const struct log_entry *log_find(enum log_id id)
 {
 	size_t i;
@@ -98,7 +101,7 @@
 	return &log_entries[0];
 }
 
-/* Writes a line as syslog would: priority, UTC time, program, process id. */
+/* Writes a line in syslog style: priority, UTC time, program, process id. */
 static void log_to_stderr(void *ctx, enum log_prio prio, const char *line)
 {
 	char stamp[32];
--- a/src/log.h
+++ b/src/log.h
@@ -3,7 +3,7 @@
 
 #include "log_events.h"
 
-/* Severities as syslog numbers them. */
+/* Priorities with the numbers of syslog. */
 enum log_prio {
 	LOG_PRIO_ERR = 3,
 	LOG_PRIO_WARNING = 4,
@@ -12,9 +12,9 @@
 	LOG_PRIO_DEBUG = 7,
 };
 
-/* Where finished lines go; the default writes to standard error. */
+/* Writes a formatted line; the default writes to standard error. */
 typedef void (*log_sink_fn)(void *ctx, enum log_prio prio, const char *line);
-/* The same for programs with a format of their own: the fields as key=value. */
+/* Writes an event in the program's own format; fields are key=value. */
 typedef void (*log_fields_fn)(enum log_id id, const char *fields);
 
 void log_open(const char *program, enum log_prio threshold);
--- a/src/log_events.h
+++ b/src/log_events.h
@@ -2,9 +2,9 @@
 #define LOG_EVENTS_H
 
 /*
- * The numbered log events.  One range a module family; a number never gets
- * another meaning.  LOG_EVENT(id, number, name, priority); docs/EVENTS.md
- * holds the meaning of each and what an operator does.
+ * The log events: LOG_EVENT(id, number, name, priority).  Each group of modules
+ * has a range of numbers; a number is never reused for another event.
+ * docs/EVENTS.md describes each event and what the operator should do.
  */
 
 /* clang-format off */
@@ -23,7 +23,7 @@
 	LOG_EVENT(LOG_LDG_UP, 2002, "records-reachable", LOG_PRIO_NOTICE) \
 	LOG_EVENT(LOG_LDG_BAD_SEGMENT, 2003, "record-segment-unreadable", LOG_PRIO_ERR) \
 	\
-	/* 3000 core, req: the life of a request */ \
+	/* 3000 core, req: processing of a request */ \
 	LOG_EVENT(LOG_REQ_REFUSED, 3001, "request-refused", LOG_PRIO_INFO) \
 	LOG_EVENT(LOG_REQ_DISPATCHED, 3002, "request-dispatched", LOG_PRIO_INFO) \
 	LOG_EVENT(LOG_REQ_DONE, 3003, "request-done", LOG_PRIO_INFO) \
@@ -42,7 +42,7 @@
 	LOG_EVENT(LOG_QUAR_HELD, 5102, "request-quarantined", LOG_PRIO_WARNING) \
 	LOG_EVENT(LOG_QUAR_CLEARED, 5103, "request-cleared", LOG_PRIO_NOTICE) \
 	\
-	/* 6000 peer, lim, rpc: membership and what spreads over it */ \
+	/* 6000 peer, lim, rpc: membership and replication among peers */ \
 	LOG_EVENT(LOG_PEER_UP, 6001, "peer-up", LOG_PRIO_NOTICE) \
 	LOG_EVENT(LOG_PEER_DOWN, 6002, "peer-down", LOG_PRIO_WARNING) \
 	LOG_EVENT(LOG_PEER_ROLE, 6003, "peer-role", LOG_PRIO_NOTICE) \
@@ -55,13 +55,13 @@
 	LOG_EVENT(LOG_PLC_PLACED, 7004, "placement-reached", LOG_PRIO_NOTICE) \
 	LOG_EVENT(LOG_PLC_DOWN, 7005, "engine-unread", LOG_PRIO_WARNING) \
 	\
-	/* 8000 daemon, front, ep: the shells */ \
+	/* 8000 daemon, front, ep: start and stop of the process */ \
 	LOG_EVENT(LOG_STARTED, 8001, "started", LOG_PRIO_NOTICE) \
 	LOG_EVENT(LOG_STOPPING, 8002, "stopping", LOG_PRIO_NOTICE) \
 	LOG_EVENT(LOG_STOPPED, 8003, "stopped", LOG_PRIO_NOTICE) \
 	LOG_EVENT(LOG_START_FAILED, 8004, "start-failed", LOG_PRIO_ERR) \
 	\
-	/* 9000 pf: the platform's service */ \
+	/* 9000 pf: connection to the platform */ \
 	LOG_EVENT(LOG_PF_DOWN, 9001, "platform-unreachable", LOG_PRIO_WARNING) \
 	LOG_EVENT(LOG_PF_UP, 9002, "platform-reachable", LOG_PRIO_NOTICE) \
 	LOG_EVENT(LOG_PF_RETURNED, 9003, "store-returned", LOG_PRIO_WARNING) \
