--- a/src/mag.c
+++ b/src/mag.c
@@ -2,25 +2,25 @@
 
 #include "mag.h"
 
-static const char *const outcome_names[MAG_OUTCOME_COUNT] = {
+static const char *const mag_outcome_names[MAG_OUTCOME_COUNT] = {
 	[MAG_RAN] = "ran",
 	[MAG_NOT_RUN] = "not-run",
 	[MAG_UNKNOWN] = "unknown",
 };
 
 /*
- * Returns the word that stands for an outcome in the header Magnolia-Outcome
- * and in log lines.
+ * Returns the name of an outcome in the header field Magnolia-Outcome and in
+ * log lines.
  */
 const char *mag_outcome_name(enum mag_outcome outcome)
 {
-	return outcome_names[outcome];
+	return mag_outcome_names[outcome];
 }
 
 /*
  * Copies a string of at most size - 1 bytes.  Returns 0, or -1 if the string
- * is longer, in which case dst holds the empty string: a name that is cut
- * short could be taken for another object's.
+ * is longer; dst is then empty, because a truncated name could be that of
+ * another object.
  */
 int mag_copy_name(char *dst, size_t size, const char *src)
 {
@@ -34,10 +34,11 @@
 }
 
 /*
- * Returns where a name stands in a table of entries that begin with theirs,
- * -1 if it doesn't.  The search goes outward from where it stood before (-1
- * for not known): a change of a set moves few entries, and none far, but to
- * search from the start for each of thousands takes longer than all else.
+ * Returns the index of a name in a table of entries that start with their
+ * names, or -1.  The search proceeds in both directions from hint, the previous
+ * index of the name (-1: unknown).  A change of a set moves few entries, and
+ * none far; scanning from the start for each of thousands of names would take
+ * most of the time of the change.
  */
 int mag_find_name(const char *names, size_t stride, size_t count,
 		  const char *name, int hint)
@@ -61,9 +62,9 @@
 }
 
 /*
- * Returns the next number of a seeded sequence (xorshift), for choices and
- * spreads, not for secrets.  A state of zero counts as one: the sequence would
- * stand still.
+ * Returns the next number of a seeded pseudo-random sequence (xorshift), for
+ * random choices and jitter, not for secrets.  A state of zero is replaced by
+ * one, because the sequence would remain zero.
  */
 uint64_t mag_random(uint64_t *state)
 {
@@ -76,13 +77,16 @@
 	return x;
 }
 
-/* Returns a wait that doubles with each failure before, up to a bound. */
+/*
+ * Returns the wait before the next retry: first_us, doubled for each of times
+ * previous failures, at most doublings_max times.
+ */
 int64_t mag_backoff(int64_t first_us, int times, int doublings_max)
 {
 	return first_us << (times < doublings_max ? times : doublings_max);
 }
 
-/* Returns the next number of a seeded sequence in 0 .. 1. */
+/* Returns the next number of a seeded pseudo-random sequence in [0, 1). */
 double mag_random_unit(uint64_t *state)
 {
 	return (double)(mag_random(state) >> 11) / (double)(UINT64_C(1) << 53);
