--- a/src/met.c
+++ b/src/met.c
@@ -3,10 +3,11 @@
 #include "mag.h"
 #include "met.h"
 
-/* Upper bounds of the buckets in milliseconds. */
-static const int met_bounds[MET_BUCKETS] = { 5,	   10,	 20,	40,   80,  120,
-					     160,  250,	 350,	500,  750, 1000,
-					     2000, 5000, 10000, 20000 };
+/* Upper bounds of the histogram buckets (milliseconds). */
+static const int met_bounds_ms[MET_BUCKETS] = { 5,    10,   20,	   40,
+						80,   120,  160,   250,
+						350,  500,  750,   1000,
+						2000, 5000, 10000, 20000 };
 
 struct met_name {
 	const char *name;
@@ -32,14 +33,14 @@
 	met->counters[id]++;
 }
 
-/* Notes a span of time in a histogram. */
+/* Adds a duration to a histogram. */
 void met_observe(struct met *met, enum met_histogram id, int64_t us)
 {
 	struct met_hist *hist = &met->hists[id];
 	int i;
 
 	for (i = 0; i < MET_BUCKETS; i++) {
-		if (us <= met_bounds[i] * MAG_US_PER_MS)
+		if (us <= met_bounds_ms[i] * MAG_US_PER_MS)
 			break;
 	}
 	hist->buckets[i]++;
@@ -61,7 +62,7 @@
 		sum += hist->buckets[i];
 		evbuffer_add_printf(
 			out, "magnolia_%s_bucket{le=\"%d\"} %" PRIu64 "\n",
-			name->name, met_bounds[i], sum);
+			name->name, met_bounds_ms[i], sum);
 	}
 	evbuffer_add_printf(out,
 			    "magnolia_%s_bucket{le=\"+Inf\"} %" PRIu64 "\n"
@@ -72,7 +73,7 @@
 			    hist->count);
 }
 
-/* Writes all figures in the text format of the metrics page. */
+/* Writes all metrics in the Prometheus text format. */
 void met_write(const struct met *met, struct evbuffer *out)
 {
 	int i;
--- a/src/met.h
+++ b/src/met.h
@@ -1,7 +1,7 @@
 #ifndef MET_H
 #define MET_H
 
-/* Counters and latency histograms of one router, shown as text. */
+/* Counters and latency histograms of one router. */
 
 #include <stdint.h>
 
@@ -39,15 +39,15 @@
 
 enum met_histogram {
 	MET_FIRST_EVENT, /* from arrival to the first event of a stream */
-	MET_ANSWER,	 /* from arrival to the answer of a plain service */
-	MET_GAP,	 /* longest pause between two events of a stream */
+	MET_ANSWER,	 /* from arrival to the response of a plain service */
+	MET_GAP,	 /* longest interval between two events of a stream */
 	MET_WAIT,	 /* from arrival to the first send */
 	MET_RECOVERY,	 /* from the store's return until all is read again */
 	MET_HISTOGRAM_COUNT
 };
 
 struct met_hist {
-	uint64_t buckets[MET_BUCKETS + 1];
+	uint64_t buckets[MET_BUCKETS + 1]; /* the last one has no bound */
 	uint64_t count;
 	uint64_t sum_us;
 };
