--- a/regress/eng.h
+++ b/regress/eng.h
@@ -1,7 +1,7 @@
 #ifndef ENG_H
 #define ENG_H
 
-/* What a stage of the stand-in engine does with a token. */
+/* A stage of the stand-in engine and the tokens that pass it. */
 
 #include <pthread.h>
 #include <stdatomic.h>
@@ -16,11 +16,11 @@
 #define ENG_WHY_MAX    128
 #define ENG_ANSWER_MAX 4096
 
-/* A request as a stage knows it. */
+/* The attempts of a request that a stage has received. */
 struct eng_attempt {
 	struct cds_list_head node;
 	char request[FK_ID_MAX];
-	long newest;
+	long newest;	/* highest attempt received */
 	long cancelled; /* highest attempt that was cancelled */
 };
 
@@ -36,14 +36,14 @@
 	long long link_bytes_per_s;
 	bool checks_fencing;
 	long fence;
-	atomic_long running;  /* streams that began here */
-	atomic_long in_steps; /* tokens being worked on now */
+	atomic_long running;  /* streams started at this endpoint */
+	atomic_long in_steps; /* tokens in computation */
 	pthread_mutex_t lock;
 	struct cds_list_head attempts;
 	struct fk *fk;
 };
 
-/* A token on its way through the stages. */
+/* A token that is computed stage by stage. */
 struct eng_step {
 	const char *request;
 	long attempt;
@@ -51,7 +51,7 @@
 	uint64_t state;
 	size_t stage;
 	json_t *chain;
-	uint32_t hops_us[MAG_CHAIN_MAX]; /* from this stage on */
+	uint32_t hops_us[MAG_CHAIN_MAX]; /* this stage and the following ones */
 	size_t hop_count;
 	char token[FK_TOKEN_MAX];
 	size_t failed_stage;
@@ -63,7 +63,7 @@
 	size_t len;
 };
 
-extern double eng_speed; /* times faster than rated */
+extern double eng_speed; /* factor on the rated speed */
 
 bool eng_register_attempt(struct eng_endpoint *ep, const char *request,
 			  long attempt, bool cancel);
--- a/regress/eng_stage.c
+++ b/regress/eng_stage.c
@@ -7,13 +7,14 @@
 #include "eng.h"
 
 #define ENG_STEP_WAIT_MS 5000L
-#define ENG_BATCH_SHARE	 4 /* a quarter of the limit reaches the rated speed */
+/* The rated speed is reached at a quarter of the concurrency limit. */
+#define ENG_BATCH_SHARE 4
 
 double eng_speed = 1;
 
-static int eng_pass_on(struct eng_step *step, CURL *curl);
+static int eng_call_next(struct eng_step *step, CURL *curl);
 
-/* Notes an attempt; false if a newer one is known, or it was cancelled. */
+/* Registers an attempt; false if there is a newer one or it was cancelled. */
 bool eng_register_attempt(struct eng_endpoint *ep, const char *request,
 			  long attempt, bool cancel)
 {
@@ -44,14 +45,16 @@
 }
 
 /*
- * Takes the time of one token: with few tokens at once each takes a fixed
- * time, with more the endpoint stays at its rated speed.
+ * Sleeps for the computation time of a token: constant while few tokens are in
+ * computation; with more, the endpoint as a whole stays at its rated speed.
  */
-static void eng_work(struct eng_endpoint *ep, uint32_t first, uint32_t last)
+static void eng_simulate_compute(struct eng_endpoint *ep, uint32_t first,
+				 uint32_t last)
 {
 	long batch = ep->concurrency / ENG_BATCH_SHARE;
 	long now = atomic_fetch_add(&ep->in_steps, 1) + 1;
-	double part = (double)(last - first + 1) / (ep->last - ep->first + 1);
+	double fraction =
+		(double)(last - first + 1) / (ep->last - ep->first + 1);
 	double seconds;
 	long extra = 0;
 
@@ -59,14 +62,14 @@
 		now = batch;
 	if (now < 1)
 		now = 1;
-	seconds = (double)now / (double)ep->tokens_per_s * part;
+	seconds = (double)now / (double)ep->tokens_per_s * fraction;
 	fk_fault(ep->fk, "delay_us", &extra);
 	fk_sleep_us((int64_t)(seconds * MAG_US_PER_S / eng_speed) + extra);
 	atomic_fetch_sub(&ep->in_steps, 1);
 }
 
-/* The time that the activation takes over this endpoint's link. */
-static void eng_link(struct eng_endpoint *ep)
+/* Sleeps for the transfer time of an activation over this endpoint's link. */
+static void eng_simulate_transfer(struct eng_endpoint *ep)
 {
 	double seconds = 0;
 	long extra = 0;
@@ -85,7 +88,7 @@
 	return -1;
 }
 
-/* Runs this stage's layers for a token, then the stages after it. */
+/* Runs this stage's layers for a token, then the following stages. */
 int eng_run(struct eng_endpoint *ep, struct eng_step *step, CURL *curl)
 {
 	json_t *stage = json_array_get(step->chain, step->stage);
@@ -93,7 +96,7 @@
 		(uint32_t)json_integer_value(json_object_get(stage, "first"));
 	uint32_t last =
 		(uint32_t)json_integer_value(json_object_get(stage, "last"));
-	int64_t began = clk_now_us();
+	int64_t start_us = clk_now_us();
 	long value = 0;
 
 	if (first < ep->first || last > ep->last || first > last)
@@ -106,17 +109,17 @@
 	    step->index >= (uint32_t)value)
 		_exit(ENG_EXIT_DIED);
 	if (step->stage > 0)
-		eng_link(ep);
-	eng_work(ep, first, last);
+		eng_simulate_transfer(ep);
+	eng_simulate_compute(ep, first, last);
 	step->state = fk_apply_layers(step->state, first, last);
 	fk_record("step endpoint=%s request=%s attempt=%ld index=%u first=%u "
 		  "last=%u",
 		  ep->name, step->request, step->attempt, step->index, first,
 		  last);
-	step->hops_us[0] = (uint32_t)(clk_now_us() - began);
+	step->hops_us[0] = (uint32_t)(clk_now_us() - start_us);
 	step->hop_count = 1;
 	if (step->stage + 1 < json_array_size(step->chain))
-		return eng_pass_on(step, curl);
+		return eng_call_next(step, curl);
 	fk_format_token(step->token, step->state);
 	return 0;
 }
@@ -133,7 +136,7 @@
 	return len;
 }
 
-/* Posts a body; returns the status, or 0 if no whole answer came. */
+/* Posts a body; returns the status, or 0 without a complete response. */
 long eng_post(CURL *curl, const char *url, const char *body,
 	      struct eng_answer *answer)
 {
@@ -152,9 +155,9 @@
 	return status;
 }
 
-/* Takes the token and the hop times from the next stage's answer. */
-static int eng_take(struct eng_step *step, long status,
-		    const struct eng_answer *answer)
+/* Reads the token and the hop times from the next stage's response. */
+static int eng_read_response(struct eng_step *step, long status,
+			     const struct eng_answer *answer)
 {
 	json_t *body = json_loadb(answer->text, answer->len, 0, NULL);
 	json_t *hops = json_object_get(body, "hops_us");
@@ -182,7 +185,7 @@
 	return err;
 }
 
-static int eng_pass_on(struct eng_step *step, CURL *curl)
+static int eng_call_next(struct eng_step *step, CURL *curl)
 {
 	json_t *next = json_array_get(step->chain, step->stage + 1);
 	const char *address =
@@ -203,12 +206,13 @@
 	text = json_dumps(body, JSON_COMPACT);
 	json_decref(body);
 	snprintf(url, sizeof(url), "http://%s/v1/step", address ? address : "");
-	err = eng_take(step, eng_post(curl, url, text, &answer), &answer);
+	err = eng_read_response(step, eng_post(curl, url, text, &answer),
+				&answer);
 	free(text);
 	return err;
 }
 
-/* The times of the stages from this one on, as a list. */
+/* Returns the times of this stage and the following ones as a list. */
 json_t *eng_hops_json(const struct eng_step *step)
 {
 	json_t *list = json_array();
--- a/regress/fake_engine.c
+++ b/regress/fake_engine.c
@@ -1,10 +1,10 @@
 /*
- * Stand-in of model engines: each port is an endpoint that holds a range of
- * layers.  The first stage of a chain takes the request and hands each token
- * on; every stage runs its layers and passes the token to the next.
+ * Stand-in for model engines: each port is an endpoint that holds a range of
+ * layers.  The first stage of a chain receives the request; for each token,
+ * every stage runs its layers and calls the next stage.
  *
- * Faults: refuse, die, die_at (token), hang_ms, delay_us and link_us (a token
- * each), wrong_id, duplicate.
+ * Faults: refuse, die, die_at (token index), hang_ms, delay_us and link_us (per
+ * token), wrong_id, duplicate.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -25,15 +25,16 @@
 static const char *eng_poison;
 static const char *eng_platform;
 
-/* Frees the handle that a connection's steps used. */
+/* Frees the curl handle of a closed connection. */
 static void eng_closed(const struct mg_connection *conn)
 {
 	curl_easy_cleanup(mg_get_user_connection_data(conn));
 }
 
 /*
- * The handle towards the next stage lives as long as the connection from the
- * stage before, so an ended stream closes its connections all along.
+ * Returns the curl handle for calls to the next stage.  It lives as long as the
+ * connection from the previous stage, so the end of a stream closes its
+ * connections along the whole chain.
  */
 static CURL *eng_conn_curl(struct mg_connection *conn)
 {
@@ -46,7 +47,7 @@
 	return curl;
 }
 
-/* POST /v1/step: a token from the stage before. */
+/* POST /v1/step: a token from the previous stage. */
 static void eng_on_step(struct fk_request *req, json_t *body)
 {
 	struct eng_endpoint *ep = fk_ctx(req->fk);
@@ -79,7 +80,7 @@
 					 "hops_us", eng_hops_json(&step)));
 }
 
-/* Sends one event; false if the caller has gone. */
+/* Sends one event; false if the client has disconnected. */
 static bool eng_event(struct fk_request *req, const char *name, json_t *data)
 {
 	char *text = json_dumps(data, JSON_COMPACT);
@@ -99,7 +100,7 @@
 	return sent;
 }
 
-/* Sends a token, as the faults say: of another request, or twice. */
+/* Sends a token; faults make it one of another request or send it twice. */
 static bool eng_send_token(struct fk_request *req, const struct eng_step *step)
 {
 	struct eng_endpoint *ep = fk_ctx(req->fk);
@@ -121,22 +122,22 @@
 	return true;
 }
 
-/* Makes the tokens from..max-1; true if all were sent. */
-static bool eng_tokens(struct fk_request *req, struct eng_step *step,
-		       const char *prompt, uint32_t max)
+/* Generates the tokens up to index max - 1; true if all were sent. */
+static bool eng_generate(struct fk_request *req, struct eng_step *step,
+			 const char *prompt, uint32_t max)
 {
 	struct eng_endpoint *ep = fk_ctx(req->fk);
 	CURL *curl = curl_easy_init();
-	bool going = true;
+	bool ok = true;
 
-	for (; going && step->index < max; step->index++) {
+	for (; ok && step->index < max; step->index++) {
 		step->state = fk_initial_state(prompt, step->index);
 		step->stage = 0;
 		if (!eng_register_attempt(ep, step->request, step->attempt,
 					  false)) {
-			going = false;
+			ok = false;
 		} else if (eng_run(ep, step, curl) == 0) {
-			going = eng_send_token(req, step);
+			ok = eng_send_token(req, step);
 		} else {
 			eng_event(req, "failed",
 				  json_pack("{s:s, s:I, s:I, s:s}", "request",
@@ -144,20 +145,21 @@
 					    (json_int_t)step->attempt, "stage",
 					    (json_int_t)step->failed_stage,
 					    "why", step->why));
-			going = false;
+			ok = false;
 		}
 	}
 	curl_easy_cleanup(curl);
-	return going;
+	return ok;
 }
 
-/* Checks what the router says was delivered so far; NULL if it is right. */
-static const char *eng_check(json_t *body, const char *prompt, uint32_t from)
+/* Checks the tokens that the router reports as delivered; NULL if correct. */
+static const char *eng_check_given(json_t *body, const char *prompt,
+				   uint32_t from)
 {
 	json_t *given = json_object_get(body, "given");
 	uint32_t layers =
 		(uint32_t)json_integer_value(json_object_get(body, "layers"));
-	char right[FK_TOKEN_MAX];
+	char expected[FK_TOKEN_MAX];
 	json_t *token;
 	size_t i;
 
@@ -166,15 +168,15 @@
 	if (json_array_size(given) != from)
 		return "given tokens and from differ";
 	json_array_foreach (given, i, token) {
-		fk_expected_token(right, prompt, (uint32_t)i, layers);
+		fk_expected_token(expected, prompt, (uint32_t)i, layers);
 		if (!json_is_string(token) ||
-		    strcmp(json_string_value(token), right) != 0)
+		    strcmp(json_string_value(token), expected) != 0)
 			return "a given token is wrong";
 	}
 	return NULL;
 }
 
-/* POST /v1/generate: this is the first stage. */
+/* POST /v1/generate: a request; this endpoint is its first stage. */
 static void eng_on_generate(struct fk_request *req, json_t *body)
 {
 	struct eng_endpoint *ep = fk_ctx(req->fk);
@@ -188,7 +190,7 @@
 	step.attempt = json_integer_value(json_object_get(body, "attempt"));
 	step.index =
 		(uint32_t)json_integer_value(json_object_get(body, "from"));
-	why = prompt && step.request ? eng_check(body, prompt, step.index)
+	why = prompt && step.request ? eng_check_given(body, prompt, step.index)
 				     : "no prompt or no request";
 	if (why) {
 		fk_answer(req, 400, "", why, strlen(why));
@@ -208,7 +210,7 @@
 	atomic_fetch_add(&ep->running, 1);
 	mg_printf(req->conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
 			     "Content-Type: text/event-stream\r\n\r\n");
-	if (eng_tokens(req, &step, prompt, max))
+	if (eng_generate(req, &step, prompt, max))
 		eng_event(req, "done",
 			  json_pack("{s:s, s:I, s:I}", "request", step.request,
 				    "attempt", (json_int_t)step.attempt,
@@ -230,13 +232,13 @@
 	fk_answer(req, request ? 200 : 400, "", "", 0);
 }
 
-/* POST /v1/order: what the endpoint is to hold. */
+/* POST /v1/order: sets the model and the layers that the endpoint holds. */
 static void eng_on_order(struct fk_request *req, json_t *body)
 {
 	struct eng_endpoint *ep = fk_ctx(req->fk);
 	long fence = json_integer_value(json_object_get(body, "fence"));
 	const char *model = json_string_value(json_object_get(body, "model"));
-	bool taken = false;
+	bool accepted = false;
 
 	pthread_mutex_lock(&ep->lock);
 	if (!ep->checks_fencing || fence >= ep->fence) {
@@ -247,12 +249,12 @@
 			json_object_get(body, "last"));
 		if (model)
 			snprintf(ep->model, sizeof(ep->model), "%s", model);
-		taken = true;
+		accepted = true;
 	}
 	pthread_mutex_unlock(&ep->lock);
 	fk_record("order endpoint=%s fence=%ld taken=%d first=%u last=%u",
-		  ep->name, fence, taken, ep->first, ep->last);
-	fk_answer(req, taken ? 200 : 409, "", "", 0);
+		  ep->name, fence, accepted, ep->first, ep->last);
+	fk_answer(req, accepted ? 200 : 409, "", "", 0);
 }
 
 static void eng_on_state(struct fk_request *req, json_t *body)
@@ -296,8 +298,7 @@
 	json_decref(body);
 }
 
-/* Hands the load reports of all endpoints of this process in, again and again.
- */
+/* Posts load reports of all endpoints of this process periodically. */
 static void *eng_report(void *arg)
 {
 	CURL *curl = curl_easy_init();
@@ -330,14 +331,14 @@
 	return arg;
 }
 
-/* Reads an endpoint object; false if it isn't one of an engine here. */
-static bool eng_read(json_t *objects, json_t *object, int port, int count,
-		     struct eng_endpoint *ep, int *at)
+/* Reads an endpoint object; false unless it is an engine on our ports. */
+static bool eng_read_endpoint(json_t *objects, json_t *object, int port,
+			      int count, struct eng_endpoint *ep, int *at)
 {
 	const char *name = "";
 	const char *service = "";
 	const char *address = "";
-	int64_t link = 125000000; /* as magnolia.conf(5) says */
+	int64_t link = 125000000; /* the default in magnolia.conf(5) */
 	int first = 0;
 	int last = -1;
 	int rate = 0;
@@ -372,7 +373,7 @@
 	return true;
 }
 
-/* Starts one server for each endpoint object within the range of ports. */
+/* Starts a server for each endpoint object within the range of ports. */
 static void eng_start(const char *path, int port, int count)
 {
 	json_t *objects = fk_load_set(path);
@@ -386,7 +387,7 @@
 		struct eng_endpoint *ep = &eng_endpoints[eng_count];
 
 		if (!kind || strcmp(kind, "endpoint") != 0 ||
-		    !eng_read(objects, object, port, count, ep, &at))
+		    !eng_read_endpoint(objects, object, port, count, ep, &at))
 			continue;
 		pthread_mutex_init(&ep->lock, NULL);
 		CDS_INIT_LIST_HEAD(&ep->attempts);
--- a/regress/fake_service.c
+++ b/regress/fake_service.c
@@ -1,9 +1,9 @@
 /*
- * Stand-in of a plain service.  POST has an effect, one line each in the
- * record file; GET has none.  Both answer with what they were asked.
+ * Stand-in for a plain service.  Each POST has an effect, which is one line in
+ * the record file; GET has none.  The reply to both repeats the request.
  *
  * Faults: refuse, die_before, delay_ms (before the effect), hang_ms (after
- * it), die_after, lose_answer, wrong_id, swap (with the answer before it),
+ * it), die_after, lose_answer, wrong_id, swap (with the previous reply),
  * duplicate.
  */
 #include <pthread.h>
@@ -23,43 +23,43 @@
 #define SVC_EXIT_DIED  9
 #define SVC_HEADER_MAX 256
 
-/* An answer under a downstream key. */
-struct svc_kept {
+/* A reply stored under a downstream key. */
+struct svc_stored {
 	struct cds_list_head node;
 	char key[FK_ID_MAX];
 	char *body;
 };
 
-static CDS_LIST_HEAD(svc_kept_list);
+static CDS_LIST_HEAD(svc_stored_list);
 static pthread_mutex_t svc_lock = PTHREAD_MUTEX_INITIALIZER;
-static bool svc_keys; /* honours Idempotency-Key */
+static bool svc_honour_keys; /* honours Idempotency-Key */
 static long svc_effects;
-static char svc_last_ids[SVC_HEADER_MAX];
-static char *svc_last_body;
+static char svc_previous_ids[SVC_HEADER_MAX];
+static char *svc_previous_body;
 
-/* Finds the answer kept under a key, NULL if there is none. */
+/* Returns the reply stored under a key, NULL if there is none. */
 static char *svc_find(const char *key)
 {
-	struct svc_kept *kept;
+	struct svc_stored *stored;
 
-	cds_list_for_each_entry (kept, &svc_kept_list, node) {
-		if (strcmp(kept->key, key) == 0)
-			return strdup(kept->body);
+	cds_list_for_each_entry (stored, &svc_stored_list, node) {
+		if (strcmp(stored->key, key) == 0)
+			return strdup(stored->body);
 	}
 	return NULL;
 }
 
-static void svc_keep(const char *key, const char *body)
+static void svc_store(const char *key, const char *body)
 {
-	struct svc_kept *kept = calloc(1, sizeof(*kept));
+	struct svc_stored *stored = calloc(1, sizeof(*stored));
 
-	if (!kept || mag_copy_name(kept->key, sizeof(kept->key), key) < 0)
+	if (!stored || mag_copy_name(stored->key, sizeof(stored->key), key) < 0)
 		abort();
-	kept->body = strdup(body);
-	cds_list_add(&kept->node, &svc_kept_list);
+	stored->body = strdup(body);
+	cds_list_add(&stored->node, &svc_stored_list);
 }
 
-/* Runs the request once and returns the answer's text. */
+/* Runs the request and returns the body of the reply. */
 static char *svc_run(struct fk_request *req)
 {
 	bool effect = strcmp(req->method, "POST") == 0;
@@ -85,7 +85,7 @@
 	return text;
 }
 
-/* Runs the request, or finds what it answered under the same key. */
+/* Runs the request, or returns the reply stored under its key. */
 static char *svc_run_once(struct fk_request *req)
 {
 	const char *key = fk_header(req, "Idempotency-Key");
@@ -94,35 +94,35 @@
 	pthread_mutex_lock(&svc_lock);
 	fk_record("asked port=%d method=%s key=%s", fk_port(req->fk),
 		  req->method, *key ? key : "-");
-	if (svc_keys && *key)
+	if (svc_honour_keys && *key)
 		text = svc_find(key);
 	if (!text) {
 		text = svc_run(req);
-		if (svc_keys && *key)
-			svc_keep(key, text);
+		if (svc_honour_keys && *key)
+			svc_store(key, text);
 	}
 	pthread_mutex_unlock(&svc_lock);
 	return text;
 }
 
-/* Exchanges an answer for the one before it, as a crossed answer would. */
-static void svc_cross(char *ids, char **body)
+/* Swaps a reply with the previous one, as if two replies were mixed up. */
+static void svc_swap_reply(char *ids, char **body)
 {
-	char ids_before[SVC_HEADER_MAX];
-	char *body_before;
+	char old_ids[SVC_HEADER_MAX];
+	char *old_body;
 
 	pthread_mutex_lock(&svc_lock);
-	memcpy(ids_before, svc_last_ids, sizeof(ids_before));
-	body_before = svc_last_body ? svc_last_body : strdup("{}");
-	memcpy(svc_last_ids, ids, SVC_HEADER_MAX);
-	svc_last_body = strdup(*body);
+	memcpy(old_ids, svc_previous_ids, sizeof(old_ids));
+	old_body = svc_previous_body ? svc_previous_body : strdup("{}");
+	memcpy(svc_previous_ids, ids, SVC_HEADER_MAX);
+	svc_previous_body = strdup(*body);
 	pthread_mutex_unlock(&svc_lock);
-	if (*ids_before == '\0')
-		snprintf(ids_before, sizeof(ids_before),
+	if (*old_ids == '\0')
+		snprintf(old_ids, sizeof(old_ids),
 			 "Magnolia-Request: none\r\nMagnolia-Attempt: 1\r\n");
-	memcpy(ids, ids_before, SVC_HEADER_MAX);
+	memcpy(ids, old_ids, SVC_HEADER_MAX);
 	free(*body);
-	*body = body_before;
+	*body = old_body;
 }
 
 static void svc_handle(struct fk_request *req)
@@ -160,7 +160,7 @@
 			 "X-Told: %.60s %s\r\n", fk_header(req, "X-Ask"),
 			 *fk_header(req, "Authorization") ? "key" : "no-key");
 	if (fk_fault(req->fk, "swap", NULL))
-		svc_cross(ids, &text);
+		svc_swap_reply(ids, &text);
 	fk_answer(req, 200, ids, text, strlen(text));
 	if (fk_fault(req->fk, "duplicate", NULL))
 		fk_answer(req, 200, ids, text, strlen(text));
@@ -184,7 +184,7 @@
 		return 2;
 	}
 	ports = count->count ? count->ival[0] : 1;
-	svc_keys = keys->count > 0;
+	svc_honour_keys = keys->count > 0;
 	if (record->count && fk_record_open(record->filename[0]) < 0)
 		return 1;
 	fk_block_signals();
--- a/regress/fk.c
+++ b/regress/fk.c
@@ -13,13 +13,13 @@
 
 #define FK_FAULTS_MAX 16
 #define FK_BODY_MAX   (4U << 20)
-#define FK_HEAD_MAX   1024
+#define FK_HEADER_MAX 1024
 #define FK_LINE_MAX   512
 
 struct fk_fault {
 	char name[32];
 	long value;
-	long left; /* uses left; negative: no bound */
+	long left; /* remaining uses; negative: unlimited */
 };
 
 struct fk {
@@ -38,8 +38,8 @@
 static int fk_record_fd = -1;
 
 /*
- * Listens on a port of the loopback; ends the process if it can't.  If closed
- * isn't NULL it hears of each connection that has ended.
+ * Starts a server on a loopback port; exits if that fails.  closed, if not
+ * NULL, is called for each connection that has closed.
  */
 struct fk *fk_start(int port, int threads, fk_handler_fn handler,
 		    fk_closed_fn closed, void *ctx)
@@ -89,7 +89,10 @@
 	return fk->port;
 }
 
-/* To be called before the first thread, so that only the main one stops. */
+/*
+ * Blocks SIGTERM and SIGINT and ignores SIGPIPE.  Must be called before the
+ * first thread starts, so that only fk_wait_signal() receives them.
+ */
 void fk_block_signals(void)
 {
 	sigset_t set;
@@ -101,19 +104,19 @@
 	pthread_sigmask(SIG_BLOCK, &set, NULL);
 }
 
-/* Waits until the process is asked to stop. */
+/* Waits for SIGTERM or SIGINT. */
 void fk_wait_signal(void)
 {
 	sigset_t set;
-	int got;
+	int received;
 
 	sigemptyset(&set);
 	sigaddset(&set, SIGTERM);
 	sigaddset(&set, SIGINT);
-	sigwait(&set, &got);
+	sigwait(&set, &received);
 }
 
-/* Reads a request and hands it on; /control sets a fault. */
+/* Reads a request and passes it to the handler; /control sets a fault. */
 static int fk_begin(struct mg_connection *conn)
 {
 	const struct mg_request_info *info = mg_get_request_info(conn);
@@ -134,20 +137,21 @@
 static void fk_read_body(struct fk_request *req, long long length)
 {
 	size_t size = 0;
-	int got;
+	int received;
 
 	if (length > 0 && length < FK_BODY_MAX)
 		size = (size_t)length;
 	req->body = calloc(1, size + 1);
 	while (req->body && req->len < size) {
-		got = mg_read(req->conn, req->body + req->len, size - req->len);
-		if (got <= 0)
+		received = mg_read(req->conn, req->body + req->len,
+				   size - req->len);
+		if (received <= 0)
 			break;
-		req->len += (size_t)got;
+		req->len += (size_t)received;
 	}
 }
 
-/* POST /control {"fault", "value", "count"}: count 0 takes a fault away. */
+/* POST /control {"fault", "value", "count"}: count 0 clears a fault. */
 static void fk_control(struct fk_request *req)
 {
 	json_t *body = json_loadb(req->body, req->len, 0, NULL);
@@ -162,31 +166,31 @@
 	fk_answer(req, name ? 200 : 400, "", "", 0);
 }
 
-/* Answers with a status, header lines (each ended by CRLF) and a body. */
+/* Replies with a status, header lines (each ended by CRLF) and a body. */
 void fk_answer(struct fk_request *req, int status, const char *headers,
 	       const char *body, size_t len)
 {
-	char *text = malloc(FK_HEAD_MAX + len);
+	char *text = malloc(FK_HEADER_MAX + len);
 	int used;
 
 	if (!text)
 		return;
-	used = snprintf(text, FK_HEAD_MAX,
+	used = snprintf(text, FK_HEADER_MAX,
 			"HTTP/1.1 %d Answer\r\nContent-Length: %zu\r\n%s\r\n",
 			status, len, headers);
-	if (used < 0 || used >= FK_HEAD_MAX)
+	if (used < 0 || used >= FK_HEADER_MAX)
 		abort();
 	memcpy(text + used, body, len);
 	mg_write(req->conn, text, (size_t)used + len);
 	free(text);
 }
 
-/* Answers with JSON, whose reference it takes. */
+/* Replies with JSON; releases the caller's reference to body. */
 void fk_answer_json(struct fk_request *req, int status, const char *headers,
 		    json_t *body)
 {
 	char *text = json_dumps(body, JSON_COMPACT);
-	char lines[FK_HEAD_MAX / 2];
+	char lines[FK_HEADER_MAX / 2];
 
 	json_decref(body);
 	if (!text)
@@ -197,13 +201,13 @@
 	free(text);
 }
 
-/* Closes the connection without an answer, or in the middle of one. */
+/* Closes the connection without a reply, or in the middle of one. */
 void fk_abort(struct fk_request *req)
 {
 	mg_disable_connection_keep_alive(req->conn);
 }
 
-/* Returns a header's value, "" if it wasn't sent. */
+/* Returns the value of a header field, "" if there is none. */
 const char *fk_header(const struct fk_request *req, const char *name)
 {
 	const char *value = mg_get_header(req->conn, name);
@@ -211,7 +215,7 @@
 	return value ? value : "";
 }
 
-/* Returns a number of the query string, 0 if it isn't there. */
+/* Returns a number in the query string, 0 if there is none. */
 long fk_query_number(const struct fk_request *req, const char *name)
 {
 	char value[32];
@@ -242,7 +246,7 @@
 	pthread_mutex_unlock(&fk->lock);
 }
 
-/* Tells whether a fault is set, and uses it once. */
+/* Returns whether a fault is set, and consumes one of its uses. */
 bool fk_fault(struct fk *fk, const char *name, long *value)
 {
 	bool set = false;
@@ -264,14 +268,17 @@
 	return set;
 }
 
-/* Opens the record file, which several processes may append to. */
+/* Opens the record file, to which several processes may append. */
 int fk_record_open(const char *path)
 {
 	fk_record_fd = open(path, O_WRONLY | O_CREAT | O_APPEND, 0644);
 	return fk_record_fd < 0 ? -1 : 0;
 }
 
-/* Appends one line in one write, so that lines of processes don't mix. */
+/*
+ * Appends a line with a single write(), so that lines of several processes do
+ * not interleave.
+ */
 void fk_record(const char *fmt, ...)
 {
 	char line[FK_LINE_MAX];
@@ -290,7 +297,7 @@
 		abort();
 }
 
-/* The state that enters layer 0 for a token (FNV-1a of the prompt). */
+/* Returns the input of layer 0 for a token (FNV-1a of the prompt). */
 uint64_t fk_initial_state(const char *prompt, uint32_t index)
 {
 	uint64_t state = UINT64_C(14695981039346656037);
@@ -301,7 +308,7 @@
 	return state ^ index;
 }
 
-/* Runs layers first..last; another order gives another state. */
+/* Runs layers first..last; the result depends on their order. */
 uint64_t fk_apply_layers(uint64_t state, uint32_t first, uint32_t last)
 {
 	uint32_t layer;
@@ -314,13 +321,13 @@
 	return state;
 }
 
-/* The text of a token. */
+/* Formats the final state as the text of a token. */
 void fk_format_token(char token[FK_TOKEN_MAX], uint64_t state)
 {
 	snprintf(token, FK_TOKEN_MAX, "w%08x", (unsigned int)(state >> 32));
 }
 
-/* The right token of a prompt at an index. */
+/* Computes the correct token of a prompt at an index. */
 void fk_expected_token(char token[FK_TOKEN_MAX], const char *prompt,
 		       uint32_t index, uint32_t layers)
 {
@@ -328,7 +335,7 @@
 					       0, layers - 1));
 }
 
-/* Reads the objects of a set file; ends the process if it can't. */
+/* Reads the objects of a set file; exits if that fails. */
 json_t *fk_load_set(const char *path)
 {
 	json_error_t error;
--- a/regress/fk.h
+++ b/regress/fk.h
@@ -2,9 +2,9 @@
 #define FK_H
 
 /*
- * What the stand-ins and the test tools share: a small HTTP server, fault
- * switches that can be set while it runs, a record file, and the arithmetic
- * of the stand-in model.
+ * Shared by the stand-ins and the test tools: a small HTTP server, faults that
+ * can be injected while it runs, a record file, and the computation of the
+ * stand-in model.
  */
 
 #include <stdbool.h>
