--- a/regress/fake_worker.c
+++ b/regress/fake_worker.c
@@ -1,7 +1,7 @@
 /*
- * Stand-in for a worker: an engine that holds layers, takes orders and runs
- * chains with other engines, or a plain service.  It registers in the store's
- * stand-in and prints a line for each request that it begins and for each
+ * Stand-in for a worker: an engine that holds layers, executes orders and runs
+ * chains with other engines, or a plain service.  It registers in the stand-in
+ * of the store and prints a line for each request that it receives and for each
  * token that passes its layers.
  */
 
@@ -20,30 +20,30 @@
 #include "mag.h"
 #include "wire.h"
 
-#define TICK_MS	    10
-#define BEAT_US	    (300 * MAG_US_PER_MS)
-#define BEAT_TTL_MS 900
-#define STALL_US    (3 * MAG_US_PER_S)
-#define EVENTS	    20
+#define TICK_MS		 10
+#define HEARTBEAT_US	 (300 * MAG_US_PER_MS)
+#define HEARTBEAT_TTL_MS 900
+#define STALL_US	 (3 * MAG_US_PER_S)
+#define EVENT_COUNT	 20
 
-/* A request that this worker runs as the first one. */
+/* A request for which this worker is the first of the chain. */
 struct job {
 	struct cds_list_head node;
 	struct hs_conn *conn;
 	char id[WIRE_ID_MAX];
 	struct wire_hop hops[WIRE_HOPS_MAX];
 	int hop_count;
-	int hop; /* the hop that the present token is at */
-	int event;
-	int run;  /* number of this run at this worker */
-	int path; /* how often it was given another chain */
+	int hop;   /* index of the hop that runs the current token */
+	int event; /* number of events sent */
+	int run;   /* number of this request at this worker */
+	int path;  /* number of repath orders so far */
 	int64_t due_us;
-	int64_t waits_since_us; /* for another worker, 0: it does not */
+	int64_t waits_since_us; /* for another worker; 0: not waiting */
 	struct hc_call *call;
-	bool began;
+	bool started; /* the response header was sent */
 };
 
-/* Another worker that this one hands tokens on to. */
+/* Another worker to which this one passes tokens. */
 struct peer {
 	struct cds_list_head node;
 	char address[MAG_ADDR_MAX];
@@ -61,21 +61,21 @@
 static int orders;
 static int runs;
 static int64_t born_ms;
-static int64_t beat_us;
+static int64_t next_heartbeat_us;
 static int64_t event_us = 20 * MAG_US_PER_MS;
-static double pace = 1; /* over 1: slow, which only its report says */
+static double pace = 1; /* over 1: slow; appears only in the report */
 static int slots = 64;
 static bool draining;
-static bool lose_answers;  /* run a request and close without an answer */
-static bool break_all;	   /* cut each request off, but answer questions */
-static const char *limit;  /* requests a second, named in all answers */
-static bool drop_question; /* reset the connection of the next question */
+static bool lose_answers;      /* run a request and close without a reply */
+static bool abort_requests;    /* abort all requests, but reply to reports */
+static const char *limit;      /* requests per second, sent in all replies */
+static bool reset_next_report; /* reset the connection of the next one */
 static CDS_LIST_HEAD(jobs);
 static CDS_LIST_HEAD(peers);
 
 static void end_job(struct job *job);
 static void next_hop(struct job *job);
-static void begin_token(struct job *job, int64_t now);
+static void start_token(struct job *job, int64_t now);
 static int parse_hops(const char *text, struct wire_hop *hops);
 
 static bool ignore_headers(void *user, const struct hc_response *answer)
@@ -98,7 +98,7 @@
 	(void)end;
 }
 
-/* Returns the header field that names this worker's limit, or "". */
+/* Returns the header field with this worker's rate limit, or "". */
 static const char *limit_field(void)
 {
 	static char field[64];
@@ -109,7 +109,7 @@
 	return field;
 }
 
-/* Sets the limit to what follows in a target; nothing ends it. */
+/* Sets the rate limit to the rest of a target; an empty rest removes it. */
 static void set_limit(struct hs_conn *conn, const char *text)
 {
 	static char value[32];
@@ -121,19 +121,19 @@
 	hs_reply(conn, 200, NULL, NULL, 0);
 }
 
-/* Writes this worker's entry into the list of workers. */
-static void beat(int64_t now)
+/* Writes this worker's entry to the list of workers. */
+static void heartbeat(int64_t now)
 {
 	static const struct hc_ops ops = { ignore_headers, ignore_body,
 					   ignore_end };
 	struct hc_send send = { .ops = &ops,
-				.connect_by_us = now + BEAT_US,
-				.deadline_us = now + BEAT_US };
+				.connect_by_us = now + HEARTBEAT_US,
+				.deadline_us = now + HEARTBEAT_US };
 	struct hc_call *call;
 	char body[1024];
 	int len;
 
-	beat_us = now + BEAT_US;
+	next_heartbeat_us = now + HEARTBEAT_US;
 	len = snprintf(body, sizeof(body),
 		       "{\"Service\":\"%s\",\"Address\":\"%s\",\"Zone\":\"%s\","
 		       "\"Version\":\"v1\",\"Slots\":%d,\"State\":\"%s\","
@@ -154,11 +154,11 @@
 			    "POST /stand-in/put?Key=servers/%s&Ttl=%d "
 			    "HTTP/1.1\r\nHost: store\r\n"
 			    "Content-Length: %zu\r\n\r\n%s",
-			    id, BEAT_TTL_MS, strlen(body), body);
+			    id, HEARTBEAT_TTL_MS, strlen(body), body);
 	hc_start(store, &send, &call);
 }
 
-static void answer_json(struct hs_conn *conn, json_t *json)
+static void reply_json(struct hs_conn *conn, json_t *json)
 {
 	char *text = json_dumps(json, JSON_COMPACT);
 	char fields[128];
@@ -170,7 +170,7 @@
 	json_decref(json);
 }
 
-static void report(struct hs_conn *conn)
+static void send_report(struct hs_conn *conn)
 {
 	json_t *stalled = json_array();
 	struct job *job;
@@ -191,10 +191,10 @@
 		json_object_set_new(json, "Layers",
 				    json_pack("{s:i,s:i}", "From", layers.from,
 					      "Target", layers.to));
-	answer_json(conn, json);
+	reply_json(conn, json);
 }
 
-static struct job *job_named(const char *job_id)
+static struct job *find_job(const char *job_id)
 {
 	struct job *job;
 
@@ -206,15 +206,15 @@
 }
 
 /*
- * Goes on with a request through other workers: the token that stands still
- * begins anew on the new chain.  What a worker of the old one does with it
- * later, when it wakes, is not waited for any more and bears another number.
+ * Continues a request on other workers: the stalled token restarts on the new
+ * chain.  If a worker of the old chain resumes and processes the token later,
+ * its result is ignored and its TOKEN line has another path number.
  */
-static void take_repath(struct hs_conn *conn, const json_t *json)
+static void handle_repath(struct hs_conn *conn, const json_t *json)
 {
 	const char *job_id = json_string_value(json_object_get(json, "Id"));
 	const char *path = json_string_value(json_object_get(json, "Path"));
-	struct job *job = job_named(job_id);
+	struct job *job = find_job(job_id);
 	struct wire_hop hops[WIRE_HOPS_MAX];
 	int count = parse_hops(path, hops);
 	int hop = 0;
@@ -238,10 +238,10 @@
 		return;
 	hc_cancel(job->call);
 	job->call = NULL;
-	begin_token(job, clk_boot_us());
+	start_token(job, clk_boot_us());
 }
 
-static void take_order(struct hs_conn *conn)
+static void handle_order(struct hs_conn *conn)
 {
 	struct evbuffer *body = hs_body(conn);
 	size_t len = evbuffer_get_length(body);
@@ -251,7 +251,7 @@
 	const char *op = json_string_value(json_object_get(json, "Op"));
 
 	if (op && strcmp(op, "repath") == 0) {
-		take_repath(conn, json);
+		handle_repath(conn, json);
 	} else if (expected && json_integer_value(expected) != orders) {
 		hs_reply(conn, 409, NULL, NULL, 0);
 	} else {
@@ -262,13 +262,13 @@
 		orders++;
 		printf("ORDER %s %d-%d\n", id, layers.from, layers.to);
 		hs_reply(conn, 202, NULL, NULL, 0);
-		beat(clk_boot_us());
+		heartbeat(clk_boot_us());
 	}
 	json_decref(json);
 }
 
-/* A token passes this worker's part of a chain. */
-static void step(struct hs_conn *conn)
+/* Runs this worker's layers for a token of another worker's request. */
+static void handle_step(struct hs_conn *conn)
 {
 	char job_id[WIRE_ID_MAX];
 	char run[WIRE_ID_MAX];
@@ -287,7 +287,7 @@
 	hs_reply(conn, 200, NULL, NULL, 0);
 }
 
-/* "IP:PORT=FROM-TO,..."; returns the number of hops. */
+/* Parses "IP:PORT=FROM-TO,..."; returns the number of hops. */
 static int parse_hops(const char *text, struct wire_hop *hops)
 {
 	int count = 0;
@@ -313,7 +313,7 @@
 	hs_reply(conn, status, fields, NULL, 0);
 }
 
-static void begin_job(struct hs_conn *conn)
+static void start_job(struct hs_conn *conn)
 {
 	const char *hops = hdr_get(hs_headers(conn), "Hop-Count");
 	const char *target = hdr_get(hs_headers(conn), "Target-Instance");
@@ -331,7 +331,7 @@
 		refuse(conn, 503, kind ? address : NULL);
 		return;
 	}
-	if (break_all) {
+	if (abort_requests) {
 		printf("BROKE %s %s\n", attempt, id);
 		hs_abort(conn);
 		return;
@@ -362,14 +362,14 @@
 	const char *target = hs_target(conn);
 
 	(void)ctx;
-	if (strcmp(target, "/api/report") == 0 && kind && drop_question)
-		drop_question = false, hs_abort(conn);
+	if (strcmp(target, "/api/report") == 0 && kind && reset_next_report)
+		reset_next_report = false, hs_abort(conn);
 	else if (strcmp(target, "/api/report") == 0 && kind)
-		report(conn);
+		send_report(conn);
 	else if (strcmp(target, "/api/order") == 0 && kind)
-		take_order(conn);
+		handle_order(conn);
 	else if (strncmp(target, "/stand-in/step/", 15) == 0)
-		step(conn);
+		handle_step(conn);
 	else if (strcmp(target, "/stand-in/drain") == 0)
 		draining = true, hs_reply(conn, 200, NULL, NULL, 0);
 	else if (strcmp(target, "/stand-in/slow") == 0)
@@ -377,9 +377,9 @@
 	else if (strcmp(target, "/stand-in/lose") == 0)
 		lose_answers = true, hs_reply(conn, 200, NULL, NULL, 0);
 	else if (strcmp(target, "/stand-in/break") == 0)
-		break_all = true, hs_reply(conn, 200, NULL, NULL, 0);
+		abort_requests = true, hs_reply(conn, 200, NULL, NULL, 0);
 	else if (strcmp(target, "/stand-in/drop") == 0)
-		drop_question = true, hs_reply(conn, 200, NULL, NULL, 0);
+		reset_next_report = true, hs_reply(conn, 200, NULL, NULL, 0);
 	else if (strcmp(target, "/stand-in/keep") == 0)
 		lose_answers = false, hs_reply(conn, 200, NULL, NULL, 0);
 	else if (strncmp(target, "/stand-in/limit/", 16) == 0)
@@ -387,10 +387,10 @@
 	else if (strcmp(target, "/healthz") == 0)
 		hs_reply(conn, draining ? 503 : 200, limit_field(), NULL, 0);
 	else
-		begin_job(conn);
+		start_job(conn);
 }
 
-static void on_gone(void *ctx, struct hs_conn *conn, void *user)
+static void on_disconnected(void *ctx, struct hs_conn *conn, void *user)
 {
 	struct job *job = user;
 
@@ -426,16 +426,16 @@
 	return peer->host;
 }
 
-/* All layers have run: the event goes to the caller. */
-static void emit(struct job *job)
+/* All layers have run: sends the event to the client. */
+static void send_event(struct job *job)
 {
 	char event[128];
 	char fields[256];
 	int len;
 
 	job->event++;
-	if (!job->began) {
-		job->began = true;
+	if (!job->started) {
+		job->started = true;
 		snprintf(fields, sizeof(fields),
 			 "Attempt-Id: %s\r\nResponse-Seal: %s\r\n"
 			 "Content-Type: text/event-stream\r\n%s",
@@ -446,7 +446,7 @@
 		       job->event, job->event);
 	hs_stream_data(job->conn, event, (size_t)len);
 	job->due_us = clk_boot_us() + event_us;
-	if (job->event < EVENTS)
+	if (job->event < EVENT_COUNT)
 		return;
 	hs_stream_end(job->conn);
 	job->conn = NULL;
@@ -457,8 +457,8 @@
 {
 	struct job *job = user;
 
-	if (answer->status != 200 && !job->began) {
-		/* The chain does not stand: say who is at fault. */
+	if (answer->status != 200 && !job->started) {
+		/* The chain is broken: names the worker at fault. */
 		refuse(job->conn, answer->status, job->hops[job->hop].address);
 		job->conn = NULL;
 	}
@@ -475,13 +475,13 @@
 		return;
 	}
 	if (end != HC_COMPLETE)
-		return; /* it stalls; the tick cuts it */
+		return; /* stalled; the tick ends the job */
 	job->waits_since_us = 0;
 	job->hop++;
 	next_hop(job);
 }
 
-/* Hands the present token to the next worker of the chain. */
+/* Passes the current token to the next worker of the chain. */
 static void next_hop(struct job *job)
 {
 	static const struct hc_ops ops = { step_headers, ignore_body,
@@ -494,7 +494,7 @@
 				.deadline_us = now + STALL_US };
 
 	if (job->hop == job->hop_count) {
-		emit(job);
+		send_event(job);
 		return;
 	}
 	send.request = evbuffer_new();
@@ -509,8 +509,8 @@
 		job->call = NULL;
 }
 
-/* The next token passes this worker's own part of the chain. */
-static void begin_token(struct job *job, int64_t now)
+/* Starts the next token with this worker's own layers. */
+static void start_token(struct job *job, int64_t now)
 {
 	printf("TOKEN %s %s.%d-%d %d %d %d %" PRId64 "\n", job->id, id,
 	       job->run, job->path, job->event + 1, job->hops[0].from,
@@ -519,7 +519,7 @@
 	next_hop(job);
 }
 
-/* Goes on with a job that is due; false if it has ended. */
+/* Runs a job that is due, or ends it if it stalled; false if it may be gone. */
 static bool run_job(struct job *job, int64_t now)
 {
 	char fields[256];
@@ -527,7 +527,7 @@
 	if (job->waits_since_us) {
 		if (now - job->waits_since_us < STALL_US)
 			return true;
-		if (job->began)
+		if (job->started)
 			hs_abort(job->conn);
 		else
 			refuse(job->conn, 503, job->hops[job->hop].address);
@@ -538,7 +538,7 @@
 	if (job->call || now < job->due_us)
 		return true;
 	if (kind) {
-		begin_token(job, now);
+		start_token(job, now);
 		return false;
 	}
 	if (lose_answers) {
@@ -564,24 +564,24 @@
 	(void)what;
 	hc_tick(hc, now);
 	hs_tick(arg, now);
-	if (now >= beat_us)
-		beat(now);
+	if (now >= next_heartbeat_us)
+		heartbeat(now);
 	cds_list_for_each_entry_safe (job, next, &jobs, node)
 		run_job(job, now);
 }
 
-/* Reads a number that a test sets in the environment. */
-static int setting(const char *name, int otherwise)
+/* Returns a number that a test sets in the environment. */
+static int env_number(const char *name, int fallback)
 {
 	const char *text = getenv(name);
 
-	return text ? atoi(text) : otherwise;
+	return text ? atoi(text) : fallback;
 }
 
 int main(int argc, char **argv)
 {
-	static const struct hs_ops ops = { on_request, on_gone };
-	struct timeval every = { 0, TICK_MS * 1000 };
+	static const struct hs_ops ops = { on_request, on_disconnected };
+	struct timeval interval = { 0, TICK_MS * 1000 };
 	struct event_base *base = event_base_new();
 	struct hs *hs;
 
@@ -598,12 +598,12 @@
 	service = argv[4];
 	zone = argv[5];
 	kind = argc > 6 ? argv[6] : NULL;
-	slots = setting("FAKE_SLOTS", slots);
-	event_us = setting("FAKE_EVENT_MS", 20) * MAG_US_PER_MS;
+	slots = env_number("FAKE_SLOTS", slots);
+	event_us = env_number("FAKE_EVENT_MS", 20) * MAG_US_PER_MS;
 	if (hc_host_new(hc, argv[1], 8, &store) ||
 	    hs_new(base, address, &ops, NULL, &hs))
 		return 1;
-	event_add(event_new(base, -1, EV_PERSIST, on_tick, hs), &every);
+	event_add(event_new(base, -1, EV_PERSIST, on_tick, hs), &interval);
 	event_base_dispatch(base);
 	return 0;
 }
