--- a/regress/fuzz_cfg.c
+++ b/regress/fuzz_cfg.c
@@ -5,9 +5,10 @@
 #include "pub.h"
 
 /*
- * Any bytes as a set of objects.  A set that passes has to be found its way
- * in, and to mean the same when it is written in canonical form; a fault has
- * to be one line of printable text that ends with its number.
+ * Feeds arbitrary bytes as a set of objects.  In a set that is accepted, every
+ * object must be found by its name or path, and the canonical form must have
+ * the same meaning.  An error must be one line of printable text that ends
+ * with its number in parentheses.
  */
 
 static void check_set(const struct cfg_set *set);
@@ -37,7 +38,7 @@
 	return 0;
 }
 
-/* Every object is found under its name, every route under its own path. */
+/* Checks that objects are found by name, routes by host and path. */
 static void check_set(const struct cfg_set *set)
 {
 	size_t i;
@@ -62,7 +63,7 @@
 	}
 }
 
-/* What is published is the canonical form, which has to pass as well. */
+/* Checks that the canonical form, which is published, is accepted, too. */
 static void check_canonical(const char *text, size_t len)
 {
 	char digest[2][PUB_DIGEST_HEX];
--- a/regress/fuzz_pub.c
+++ b/regress/fuzz_pub.c
@@ -4,9 +4,9 @@
 #include "pub_int.h"
 
 /*
- * Any bytes as a head record, and as a delta that a peer passes on.  A head
- * that is read has to be written and read again as the same; a delta that is
- * taken has to lead to the digest that it names.
+ * Feeds arbitrary bytes as a head record and as a delta from a peer.  A head
+ * that is parsed must be unchanged after it is written and parsed reparsed; a
+ * delta that is applied must produce the digest that it contains.
  */
 
 static const char old_set[] =
@@ -28,22 +28,22 @@
 static void check_head(const char *text, size_t len)
 {
 	struct pub_head head;
-	struct pub_head again;
+	struct pub_head reparsed;
 	char *first;
 	char *second;
 
 	if (pub_head_parse(&head, text, len) != PUB_OK)
 		return;
 	first = pub_head_text(&head);
-	if (!first || pub_head_parse(&again, first, strlen(first)) != PUB_OK)
+	if (!first || pub_head_parse(&reparsed, first, strlen(first)) != PUB_OK)
 		abort();
-	second = pub_head_text(&again);
+	second = pub_head_text(&reparsed);
 	if (strcmp(first, second) != 0)
 		abort();
 	free(first);
 	free(second);
 	pub_head_free(&head);
-	pub_head_free(&again);
+	pub_head_free(&reparsed);
 }
 
 static void check_delta(const char *text, size_t len)
--- a/regress/fuzz_rev.c
+++ b/regress/fuzz_rev.c
@@ -6,12 +6,13 @@
 #include "rev.h"
 
 /*
- * Any bytes as the text of the next revision, and as edits that a peer passes
- * on.  A text is taken just when a whole parse takes it, and makes the same
- * set; edits without the right digest are never taken.
+ * Feeds arbitrary bytes as the text of the next revision and as edits from a
+ * peer.  The incremental parser must accept a text exactly if a full parse
+ * does, with the same set as the result; edits without the correct digest must
+ * be refused.
  */
 
-static const char held[] =
+static const char base_text[] =
 	"{\"revision\":1,\"objects\":[\n"
 	"{\"kind\":\"account\",\"name\":\"a\",\"key_hash\":\""
 	"1111111111111111111111111111111111111111111111111111111111111111\","
@@ -33,7 +34,7 @@
 	struct rev *rev = rev_new();
 	struct cfg_set *base;
 
-	if (rev_offer(rev, NULL, held, 1, &base) != PUB_OK)
+	if (rev_offer(rev, NULL, base_text, 1, &base) != PUB_OK)
 		abort();
 	check_edits(rev, base, text);
 	check_text(rev, base, text);
@@ -74,7 +75,7 @@
 	if (asprintf(&edits, "2 %040d\n%s", 0, text) < 0)
 		abort();
 	if (rev_offer_edits(rev, base, 1, edits, &set) == PUB_OK ||
-	    rev_revision(rev) != 1 || strcmp(rev_text(rev), held) != 0)
+	    rev_revision(rev) != 1 || strcmp(rev_text(rev), base_text) != 0)
 		abort();
 	free(edits);
 }
--- a/regress/fuzz_set.c
+++ b/regress/fuzz_set.c
@@ -4,7 +4,10 @@
 
 #include "set_int.h"
 
-/* Any bytes as a settings file. */
+/*
+ * Feeds arbitrary bytes as a settings file.  Settings without errors must be
+ * within their bounds, and errors must be printable text that ends with ')'.
+ */
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
--- a/regress/fuzz_sse.c
+++ b/regress/fuzz_sse.c
@@ -6,9 +6,9 @@
 #include "ep_sse.h"
 
 /*
- * Any bytes as an engine's stream.  It comes over a connection in pieces of
- * any size, so the events must not depend on where it is cut.  The first byte
- * says how large the pieces are.
+ * Feeds arbitrary bytes as an engine's stream.  It arrives in pieces of any
+ * size, so the events must not depend on where it is split.  The first byte
+ * selects the size of the pieces.
  */
 
 #define EVENTS_MAX 65536
@@ -18,7 +18,7 @@
 	size_t len;
 };
 
-static int note(void *ctx, const char *name, const char *data);
+static int record_event(void *ctx, const char *name, const char *data);
 static int feed(const uint8_t *data, size_t size, size_t piece,
 		struct events *events);
 
@@ -40,14 +40,14 @@
 	return 0;
 }
 
-static int note(void *ctx, const char *name, const char *data)
+static int record_event(void *ctx, const char *name, const char *data)
 {
 	struct events *events = ctx;
-	size_t room = EVENTS_MAX - events->len;
-	int used = snprintf(events->text + events->len, room, "%s=%s\n", name,
+	size_t space = EVENTS_MAX - events->len;
+	int used = snprintf(events->text + events->len, space, "%s=%s\n", name,
 			    data);
 
-	if (used < 0 || (size_t)used >= room)
+	if (used < 0 || (size_t)used >= space)
 		return 1;
 	events->len += (size_t)used;
 	return 0;
@@ -61,7 +61,7 @@
 	size_t at;
 
 	events->len = 0;
-	ep_sse_init(&sse, note, events);
+	ep_sse_init(&sse, record_event, events);
 	for (at = 0; at < size && err == EP_SSE_OK; at += piece) {
 		size_t len = size - at < piece ? size - at : piece;
 		char *copy = malloc(len);
