--- a/regress/eng.h
+++ b/regress/eng.h
@@ -58,7 +58,7 @@
 	char why[ENG_WHY_MAX];
 };
 
-struct eng_answer {
+struct eng_response {
 	char text[ENG_ANSWER_MAX];
 	size_t len;
 };
@@ -69,7 +69,7 @@
 			  long attempt, bool cancel);
 int eng_run(struct eng_endpoint *ep, struct eng_step *step, CURL *curl);
 long eng_post(CURL *curl, const char *url, const char *body,
-	      struct eng_answer *answer);
+	      struct eng_response *answer);
 json_t *eng_hops_json(const struct eng_step *step);
 
 #endif /* ENG_H */
--- a/regress/eng_stage.c
+++ b/regress/eng_stage.c
@@ -126,7 +126,7 @@
 
 static size_t eng_on_body(char *data, size_t size, size_t count, void *ctx)
 {
-	struct eng_answer *answer = ctx;
+	struct eng_response *answer = ctx;
 	size_t len = size * count;
 
 	if (answer->len + len >= sizeof(answer->text))
@@ -138,7 +138,7 @@
 
 /* Posts a body; returns the status, or 0 without a complete response. */
 long eng_post(CURL *curl, const char *url, const char *body,
-	      struct eng_answer *answer)
+	      struct eng_response *answer)
 {
 	long status = 0;
 
@@ -157,7 +157,7 @@
 
 /* Reads the token and the hop times from the next stage's response. */
 static int eng_read_response(struct eng_step *step, long status,
-			     const struct eng_answer *answer)
+			     const struct eng_response *answer)
 {
 	json_t *body = json_loadb(answer->text, answer->len, 0, NULL);
 	json_t *hops = json_object_get(body, "hops_us");
@@ -190,7 +190,7 @@
 	json_t *next = json_array_get(step->chain, step->stage + 1);
 	const char *address =
 		json_string_value(json_object_get(next, "address"));
-	struct eng_answer answer;
+	struct eng_response answer;
 	char url[128];
 	char state[24];
 	json_t *body;
--- a/regress/fake_engine.c
+++ b/regress/fake_engine.c
@@ -60,24 +60,24 @@
 		(uint32_t)json_integer_value(json_object_get(body, "index"));
 	step.stage = (size_t)json_integer_value(json_object_get(body, "stage"));
 	if (!step.request || !state) {
-		fk_answer(req, 400, "", "", 0);
+		fk_reply(req, 400, "", "", 0);
 		return;
 	}
 	step.state = strtoull(state, NULL, 16);
 	if (!eng_register_attempt(ep, step.request, step.attempt, false))
-		fk_answer_json(req, 409, "",
-			       json_pack("{s:I, s:s}", "stage",
-					 (json_int_t)step.stage, "why",
-					 "old attempt"));
+		fk_reply_json(req, 409, "",
+			      json_pack("{s:I, s:s}", "stage",
+					(json_int_t)step.stage, "why",
+					"old attempt"));
 	else if (eng_run(ep, &step, eng_conn_curl(req->conn)) < 0)
-		fk_answer_json(req, 502, "",
-			       json_pack("{s:I, s:s}", "stage",
-					 (json_int_t)step.failed_stage, "why",
-					 step.why));
+		fk_reply_json(req, 502, "",
+			      json_pack("{s:I, s:s}", "stage",
+					(json_int_t)step.failed_stage, "why",
+					step.why));
 	else
-		fk_answer_json(req, 200, "",
-			       json_pack("{s:s, s:o}", "token", step.token,
-					 "hops_us", eng_hops_json(&step)));
+		fk_reply_json(req, 200, "",
+			      json_pack("{s:s, s:o}", "token", step.token,
+					"hops_us", eng_hops_json(&step)));
 }
 
 /* Sends one event; false if the client has disconnected. */
@@ -193,16 +193,16 @@
 	why = prompt && step.request ? eng_check_given(body, prompt, step.index)
 				     : "no prompt or no request";
 	if (why) {
-		fk_answer(req, 400, "", why, strlen(why));
+		fk_reply(req, 400, "", why, strlen(why));
 		return;
 	}
 	if (atomic_load(&ep->running) >= ep->concurrency ||
 	    fk_fault(ep->fk, "refuse", NULL)) {
-		fk_answer(req, 503, "X-Not-Begun: 1\r\n", "", 0);
+		fk_reply(req, 503, "X-Not-Begun: 1\r\n", "", 0);
 		return;
 	}
 	if (!eng_register_attempt(ep, step.request, step.attempt, false)) {
-		fk_answer(req, 409, "", "", 0);
+		fk_reply(req, 409, "", "", 0);
 		return;
 	}
 	if (eng_poison && strstr(prompt, eng_poison))
@@ -229,7 +229,7 @@
 			fk_ctx(req->fk), request,
 			json_integer_value(json_object_get(body, "attempt")),
 			true);
-	fk_answer(req, request ? 200 : 400, "", "", 0);
+	fk_reply(req, request ? 200 : 400, "", "", 0);
 }
 
 /* POST /v1/order: sets the model and the layers that the endpoint holds. */
@@ -254,7 +254,7 @@
 	pthread_mutex_unlock(&ep->lock);
 	fk_record("order endpoint=%s fence=%ld taken=%d first=%u last=%u",
 		  ep->name, fence, accepted, ep->first, ep->last);
-	fk_answer(req, accepted ? 200 : 409, "", "", 0);
+	fk_reply(req, accepted ? 200 : 409, "", "", 0);
 }
 
 static void eng_on_state(struct fk_request *req, json_t *body)
@@ -262,14 +262,14 @@
 	struct eng_endpoint *ep = fk_ctx(req->fk);
 
 	(void)body;
-	fk_answer_json(req, 200, "",
-		       json_pack("{s:s, s:s, s:I, s:I, s:I, s:I, s:I}",
-				 "endpoint", ep->name, "model", ep->model,
-				 "first", (json_int_t)ep->first, "last",
-				 (json_int_t)ep->last, "running",
-				 (json_int_t)atomic_load(&ep->running),
-				 "tokens_per_s", (json_int_t)ep->tokens_per_s,
-				 "fence", (json_int_t)ep->fence));
+	fk_reply_json(req, 200, "",
+		      json_pack("{s:s, s:s, s:I, s:I, s:I, s:I, s:I}",
+				"endpoint", ep->name, "model", ep->model,
+				"first", (json_int_t)ep->first, "last",
+				(json_int_t)ep->last, "running",
+				(json_int_t)atomic_load(&ep->running),
+				"tokens_per_s", (json_int_t)ep->tokens_per_s,
+				"fence", (json_int_t)ep->fence));
 }
 
 static void eng_handle(struct fk_request *req)
@@ -294,7 +294,7 @@
 	if (i < MAG_ARRAY_SIZE(calls))
 		calls[i].handle(req, body);
 	else
-		fk_answer(req, 404, "", "", 0);
+		fk_reply(req, 404, "", "", 0);
 	json_decref(body);
 }
 
@@ -302,7 +302,7 @@
 static void *eng_report(void *arg)
 {
 	CURL *curl = curl_easy_init();
-	struct eng_answer answer;
+	struct eng_response answer;
 	char url[128];
 	json_t *list;
 	char *text;
--- a/regress/fake_platform.c
+++ b/regress/fake_platform.c
@@ -127,7 +127,7 @@
 	char header[64];
 
 	snprintf(header, sizeof(header), "X-Version: %" PRIu64 "\r\n", version);
-	fk_answer(req, status, header, value, len);
+	fk_reply(req, status, header, value, len);
 }
 
 /* Waits for a change until a deadline; returns false once it is over. */
@@ -166,7 +166,7 @@
 	}
 	pthread_mutex_unlock(&plat_lock);
 	if (absent)
-		fk_answer(req, 404, "", "", 0);
+		fk_reply(req, 404, "", "", 0);
 	else if (watch && version == known)
 		plat_answer(req, 304, version, "", 0);
 	else
@@ -217,7 +217,7 @@
 static void plat_put(struct fk_request *req, const char *name)
 {
 	if (req->len > PLAT_VALUE_MAX)
-		fk_answer(req, 413, "", "", 0);
+		fk_reply(req, 413, "", "", 0);
 	else
 		plat_write(req, name, req->body, req->len);
 }
@@ -253,10 +253,10 @@
 	if (fk_fault(req->fk, "lose_after_write", NULL))
 		fk_abort(req);
 	else if (fence)
-		fk_answer_json(req, 200, "",
-			       json_pack("{s:I}", "fence", (json_int_t)fence));
+		fk_reply_json(req, 200, "",
+			      json_pack("{s:I}", "fence", (json_int_t)fence));
 	else
-		fk_answer(req, 409, "", "", 0);
+		fk_reply(req, 409, "", "", 0);
 }
 
 static void plat_lease_drop(struct fk_request *req, const char *name)
@@ -273,7 +273,7 @@
 	if (held)
 		lease->until_us = 0;
 	pthread_mutex_unlock(&plat_lock);
-	fk_answer(req, held ? 200 : 409, "", "", 0);
+	fk_reply(req, held ? 200 : 409, "", "", 0);
 }
 
 /* Shows the list of instances as it was a lag ago. */
@@ -290,7 +290,7 @@
 	}
 	list = json_deep_copy(plat_instance_list);
 	pthread_mutex_unlock(&plat_lock);
-	fk_answer_json(req, 200, "", list);
+	fk_reply_json(req, 200, "", list);
 }
 
 /* PUT /instances: what the list will show after the lag. */
@@ -306,7 +306,7 @@
 		plat_pending_us = clk_now_us() + plat_lag_us;
 	}
 	pthread_mutex_unlock(&plat_lock);
-	fk_answer(req, list ? 200 : 400, "", "", 0);
+	fk_reply(req, list ? 200 : 400, "", "", 0);
 }
 
 static void plat_loads(struct fk_request *req, const char *name)
@@ -330,7 +330,7 @@
 		json_array_append_new(list, shown);
 	}
 	pthread_mutex_unlock(&plat_lock);
-	fk_answer_json(req, 200, "", json_pack("{s:o}", "loads", list));
+	fk_reply_json(req, 200, "", json_pack("{s:o}", "loads", list));
 }
 
 /* POST /loads: endpoints hand their reports in. */
@@ -353,7 +353,7 @@
 	}
 	pthread_mutex_unlock(&plat_lock);
 	json_decref(body);
-	fk_answer(req, 200, "", "", 0);
+	fk_reply(req, 200, "", "", 0);
 }
 
 /* Hands out bytes of weights at the store's rate, one after the other. */
@@ -371,8 +371,8 @@
 	ready = plat_weights_free_us;
 	pthread_mutex_unlock(&plat_lock);
 	fk_sleep_us(ready - now);
-	fk_answer_json(req, 200, "",
-		       json_pack("{s:I}", "bytes", (json_int_t)bytes));
+	fk_reply_json(req, 200, "",
+		      json_pack("{s:I}", "bytes", (json_int_t)bytes));
 }
 
 /* GET /stats: calls by kind since the start. */
@@ -384,7 +384,7 @@
 	pthread_mutex_lock(&plat_lock);
 	counts = json_deep_copy(plat_counts);
 	pthread_mutex_unlock(&plat_lock);
-	fk_answer_json(req, 200, "", counts);
+	fk_reply_json(req, 200, "", counts);
 }
 
 /* Counts a call; false if it is over the rate. */
@@ -468,10 +468,10 @@
 		if (plat_count(req, call))
 			call->handle(req, req->path + len);
 		else
-			fk_answer(req, 429, "Retry-After: 1\r\n", "", 0);
+			fk_reply(req, 429, "Retry-After: 1\r\n", "", 0);
 		return;
 	}
-	fk_answer(req, 404, "", "", 0);
+	fk_reply(req, 404, "", "", 0);
 }
 
 /* Writes the keys to a file, for a stand-in that starts again later. */
--- a/regress/fake_service.c
+++ b/regress/fake_service.c
@@ -132,7 +132,7 @@
 	char *text;
 
 	if (fk_fault(req->fk, "refuse", NULL)) {
-		fk_answer(req, 503, "X-Not-Begun: 1\r\n", "", 0);
+		fk_reply(req, 503, "X-Not-Begun: 1\r\n", "", 0);
 		return;
 	}
 	if (fk_fault(req->fk, "die_before", NULL))
@@ -161,9 +161,9 @@
 			 *fk_header(req, "Authorization") ? "key" : "no-key");
 	if (fk_fault(req->fk, "swap", NULL))
 		svc_swap_reply(ids, &text);
-	fk_answer(req, 200, ids, text, strlen(text));
+	fk_reply(req, 200, ids, text, strlen(text));
 	if (fk_fault(req->fk, "duplicate", NULL))
-		fk_answer(req, 200, ids, text, strlen(text));
+		fk_reply(req, 200, ids, text, strlen(text));
 	free(text);
 }
 
--- a/regress/fk.c
+++ b/regress/fk.c
@@ -163,12 +163,12 @@
 			     json_integer_value(json_object_get(body, "value")),
 			     count ? json_integer_value(count) : -1);
 	json_decref(body);
-	fk_answer(req, name ? 200 : 400, "", "", 0);
+	fk_reply(req, name ? 200 : 400, "", "", 0);
 }
 
 /* Replies with a status, header lines (each ended by CRLF) and a body. */
-void fk_answer(struct fk_request *req, int status, const char *headers,
-	       const char *body, size_t len)
+void fk_reply(struct fk_request *req, int status, const char *headers,
+	      const char *body, size_t len)
 {
 	char *text = malloc(FK_HEADER_MAX + len);
 	int used;
@@ -186,8 +186,8 @@
 }
 
 /* Replies with JSON; releases the caller's reference to body. */
-void fk_answer_json(struct fk_request *req, int status, const char *headers,
-		    json_t *body)
+void fk_reply_json(struct fk_request *req, int status, const char *headers,
+		   json_t *body)
 {
 	char *text = json_dumps(body, JSON_COMPACT);
 	char lines[FK_HEADER_MAX / 2];
@@ -197,7 +197,7 @@
 		abort();
 	snprintf(lines, sizeof(lines), "Content-Type: application/json\r\n%s",
 		 headers);
-	fk_answer(req, status, lines, text, strlen(text));
+	fk_reply(req, status, lines, text, strlen(text));
 	free(text);
 }
 
--- a/regress/fk.h
+++ b/regress/fk.h
@@ -42,10 +42,10 @@
 void fk_block_signals(void);
 void fk_wait_signal(void);
 
-void fk_answer(struct fk_request *req, int status, const char *headers,
-	       const char *body, size_t len);
-void fk_answer_json(struct fk_request *req, int status, const char *headers,
-		    json_t *body);
+void fk_reply(struct fk_request *req, int status, const char *headers,
+	      const char *body, size_t len);
+void fk_reply_json(struct fk_request *req, int status, const char *headers,
+		   json_t *body);
 void fk_abort(struct fk_request *req);
 const char *fk_header(const struct fk_request *req, const char *name);
 long fk_query_number(const struct fk_request *req, const char *name);
