--- a/regress/eng.h
+++ b/regress/eng.h
@@ -12,9 +12,9 @@
 #include "fk.h"
 #include "mag.h"
 
-#define ENG_EXIT_DIED  9
-#define ENG_WHY_MAX    128
-#define ENG_ANSWER_MAX 4096
+#define ENG_EXIT_DIED	 9
+#define ENG_WHY_MAX	 128
+#define ENG_RESPONSE_MAX 4096
 
 /* The attempts of a request that a stage has received. */
 struct eng_attempt {
@@ -59,7 +59,7 @@
 };
 
 struct eng_response {
-	char text[ENG_ANSWER_MAX];
+	char text[ENG_RESPONSE_MAX];
 	size_t len;
 };
 
@@ -69,7 +69,7 @@
 			  long attempt, bool cancel);
 int eng_run(struct eng_endpoint *ep, struct eng_step *step, CURL *curl);
 long eng_post(CURL *curl, const char *url, const char *body,
-	      struct eng_response *answer);
+	      struct eng_response *response);
 json_t *eng_hops_json(const struct eng_step *step);
 
 #endif /* ENG_H */
--- a/regress/eng_stage.c
+++ b/regress/eng_stage.c
@@ -126,28 +126,28 @@
 
 static size_t eng_on_body(char *data, size_t size, size_t count, void *ctx)
 {
-	struct eng_response *answer = ctx;
+	struct eng_response *response = ctx;
 	size_t len = size * count;
 
-	if (answer->len + len >= sizeof(answer->text))
+	if (response->len + len >= sizeof(response->text))
 		return 0;
-	memcpy(answer->text + answer->len, data, len);
-	answer->len += len;
+	memcpy(response->text + response->len, data, len);
+	response->len += len;
 	return len;
 }
 
 /* Posts a body; returns the status, or 0 without a complete response. */
 long eng_post(CURL *curl, const char *url, const char *body,
-	      struct eng_response *answer)
+	      struct eng_response *response)
 {
 	long status = 0;
 
-	answer->len = 0;
+	response->len = 0;
 	curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(curl, CURLOPT_URL, url);
 	curl_easy_setopt(curl, CURLOPT_POSTFIELDS, body);
 	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, eng_on_body);
-	curl_easy_setopt(curl, CURLOPT_WRITEDATA, answer);
+	curl_easy_setopt(curl, CURLOPT_WRITEDATA, response);
 	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, ENG_STEP_WAIT_MS);
 	if (curl_easy_perform(curl) != CURLE_OK)
 		return 0;
@@ -157,9 +157,9 @@
 
 /* Reads the token and the hop times from the next stage's response. */
 static int eng_read_response(struct eng_step *step, long status,
-			     const struct eng_response *answer)
+			     const struct eng_response *response)
 {
-	json_t *body = json_loadb(answer->text, answer->len, 0, NULL);
+	json_t *body = json_loadb(response->text, response->len, 0, NULL);
 	json_t *hops = json_object_get(body, "hops_us");
 	const char *token = json_string_value(json_object_get(body, "token"));
 	json_t *failed = json_object_get(body, "stage");
@@ -190,7 +190,7 @@
 	json_t *next = json_array_get(step->chain, step->stage + 1);
 	const char *address =
 		json_string_value(json_object_get(next, "address"));
-	struct eng_response answer;
+	struct eng_response response;
 	char url[128];
 	char state[24];
 	json_t *body;
@@ -206,8 +206,8 @@
 	text = json_dumps(body, JSON_COMPACT);
 	json_decref(body);
 	snprintf(url, sizeof(url), "http://%s/v1/step", address ? address : "");
-	err = eng_read_response(step, eng_post(curl, url, text, &answer),
-				&answer);
+	err = eng_read_response(step, eng_post(curl, url, text, &response),
+				&response);
 	free(text);
 	return err;
 }
--- a/regress/fake_engine.c
+++ b/regress/fake_engine.c
@@ -184,16 +184,17 @@
 	const char *prompt = json_string_value(json_object_get(body, "prompt"));
 	uint32_t max = (uint32_t)json_integer_value(
 		json_object_get(body, "max_tokens"));
-	const char *why;
+	const char *error;
 
 	step.request = json_string_value(json_object_get(body, "request"));
 	step.attempt = json_integer_value(json_object_get(body, "attempt"));
 	step.index =
 		(uint32_t)json_integer_value(json_object_get(body, "from"));
-	why = prompt && step.request ? eng_check_given(body, prompt, step.index)
-				     : "no prompt or no request";
-	if (why) {
-		fk_reply(req, 400, "", why, strlen(why));
+	error = prompt && step.request
+			? eng_check_given(body, prompt, step.index)
+			: "no prompt or no request";
+	if (error) {
+		fk_reply(req, 400, "", error, strlen(error));
 		return;
 	}
 	if (atomic_load(&ep->running) >= ep->concurrency ||
@@ -302,7 +303,7 @@
 static void *eng_report(void *arg)
 {
 	CURL *curl = curl_easy_init();
-	struct eng_response answer;
+	struct eng_response response;
 	char url[128];
 	json_t *list;
 	char *text;
@@ -324,7 +325,7 @@
 		list = json_pack("{s:o}", "loads", list);
 		text = json_dumps(list, JSON_COMPACT);
 		json_decref(list);
-		eng_post(curl, url, text, &answer);
+		eng_post(curl, url, text, &response);
 		free(text);
 		fk_sleep_us(ENG_REPORT_US);
 	}
--- a/regress/fake_service.c
+++ b/regress/fake_service.c
@@ -66,7 +66,7 @@
 	json_t *asked = json_loadb(req->body, req->len, JSON_DECODE_ANY, NULL);
 	const char *intent =
 		json_string_value(json_object_get(asked, "intent"));
-	json_t *answer;
+	json_t *reply;
 	char *text;
 
 	if (effect) {
@@ -76,11 +76,11 @@
 			  fk_header(req, "Magnolia-Attempt"),
 			  intent ? intent : "-");
 	}
-	answer = json_pack("{s:s, s:s, s:s, s:I}", "path", req->path, "query",
-			   req->query, "intent", intent ? intent : "", "effect",
-			   (json_int_t)(effect ? svc_effects : 0));
-	text = json_dumps(answer, JSON_COMPACT);
-	json_decref(answer);
+	reply = json_pack("{s:s, s:s, s:s, s:I}", "path", req->path, "query",
+			  req->query, "intent", intent ? intent : "", "effect",
+			  (json_int_t)(effect ? svc_effects : 0));
+	text = json_dumps(reply, JSON_COMPACT);
+	json_decref(reply);
 	json_decref(asked);
 	return text;
 }
--- a/regress/fake_worker.c
+++ b/regress/fake_worker.c
@@ -60,13 +60,13 @@
 static struct wire_range layers;
 static int orders;
 static int runs;
-static int64_t born_ms;
+static int64_t started_ms;
 static int64_t next_heartbeat_us;
 static int64_t event_us = 20 * MAG_US_PER_MS;
 static double pace = 1; /* over 1: slow; appears only in the report */
 static int slots = 64;
 static bool draining;
-static bool lose_answers;      /* run a request and close without a reply */
+static bool drop_replies;      /* run a request and close without a reply */
 static bool abort_requests;    /* abort all requests, but reply to reports */
 static const char *limit;      /* requests per second, sent in all replies */
 static bool reset_next_report; /* reset the connection of the next one */
@@ -78,10 +78,10 @@
 static void start_token(struct job *job, int64_t now);
 static int parse_hops(const char *text, struct wire_hop *hops);
 
-static bool ignore_headers(void *user, const struct hc_response *answer)
+static bool ignore_headers(void *user, const struct hc_response *response)
 {
 	(void)user;
-	(void)answer;
+	(void)response;
 	return true;
 }
 
@@ -139,7 +139,7 @@
 		       "\"Version\":\"v1\",\"Slots\":%d,\"State\":\"%s\","
 		       "\"born\":%" PRId64 ",\"Sequence\":1",
 		       service, address, zone, slots,
-		       draining ? "draining" : "ready", born_ms);
+		       draining ? "draining" : "ready", started_ms);
 	if (kind)
 		len += snprintf(body + len, sizeof(body) - (size_t)len,
 				",\"Kind\":\"%s\"", kind);
@@ -185,8 +185,8 @@
 					  job->hops[job->hop].address));
 	}
 	json = json_pack("{s:b,s:i,s:I,s:f,s:o}", "Busy", 0, "Sequence", orders,
-			 "born", (json_int_t)born_ms, "pace", pace, "Stalled",
-			 stalled);
+			 "born", (json_int_t)started_ms, "pace", pace,
+			 "Stalled", stalled);
 	if (layers.to > layers.from)
 		json_object_set_new(json, "Layers",
 				    json_pack("{s:i,s:i}", "From", layers.from,
@@ -375,13 +375,13 @@
 	else if (strcmp(target, "/stand-in/slow") == 0)
 		pace = 10, event_us *= 10, hs_reply(conn, 200, NULL, NULL, 0);
 	else if (strcmp(target, "/stand-in/lose") == 0)
-		lose_answers = true, hs_reply(conn, 200, NULL, NULL, 0);
+		drop_replies = true, hs_reply(conn, 200, NULL, NULL, 0);
 	else if (strcmp(target, "/stand-in/break") == 0)
 		abort_requests = true, hs_reply(conn, 200, NULL, NULL, 0);
 	else if (strcmp(target, "/stand-in/drop") == 0)
 		reset_next_report = true, hs_reply(conn, 200, NULL, NULL, 0);
 	else if (strcmp(target, "/stand-in/keep") == 0)
-		lose_answers = false, hs_reply(conn, 200, NULL, NULL, 0);
+		drop_replies = false, hs_reply(conn, 200, NULL, NULL, 0);
 	else if (strncmp(target, "/stand-in/limit/", 16) == 0)
 		set_limit(conn, target + 16);
 	else if (strcmp(target, "/healthz") == 0)
@@ -453,13 +453,14 @@
 	end_job(job);
 }
 
-static bool step_headers(void *user, const struct hc_response *answer)
+static bool step_headers(void *user, const struct hc_response *response)
 {
 	struct job *job = user;
 
-	if (answer->status != 200 && !job->started) {
+	if (response->status != 200 && !job->started) {
 		/* The chain is broken: names the worker at fault. */
-		refuse(job->conn, answer->status, job->hops[job->hop].address);
+		refuse(job->conn, response->status,
+		       job->hops[job->hop].address);
 		job->conn = NULL;
 	}
 	return true;
@@ -541,7 +542,7 @@
 		start_token(job, now);
 		return false;
 	}
-	if (lose_answers) {
+	if (drop_replies) {
 		hs_abort(job->conn);
 	} else {
 		snprintf(fields, sizeof(fields),
--- a/regress/fk.c
+++ b/regress/fk.c
@@ -31,7 +31,7 @@
 	struct fk_fault faults[FK_FAULTS_MAX];
 };
 
-static int fk_begin(struct mg_connection *conn);
+static int fk_on_request(struct mg_connection *conn);
 static void fk_read_body(struct fk_request *req, long long length);
 static void fk_control(struct fk_request *req);
 
@@ -44,7 +44,7 @@
 struct fk *fk_start(int port, int threads, fk_handler_fn handler,
 		    fk_closed_fn closed, void *ctx)
 {
-	struct mg_callbacks callbacks = { .begin_request = fk_begin,
+	struct mg_callbacks callbacks = { .begin_request = fk_on_request,
 					  .connection_close = closed };
 	struct fk *fk = calloc(1, sizeof(*fk));
 	char listen_on[32];
@@ -117,7 +117,7 @@
 }
 
 /* Reads a request and passes it to the handler; /control sets a fault. */
-static int fk_begin(struct mg_connection *conn)
+static int fk_on_request(struct mg_connection *conn)
 {
 	const struct mg_request_info *info = mg_get_request_info(conn);
 	struct fk_request req = { .fk = info->user_data, .conn = conn };
--- a/regress/fuzz_rev.c
+++ b/regress/fuzz_rev.c
@@ -48,19 +48,19 @@
 		       const char *text)
 {
 	struct cfg_faults *faults;
-	struct cfg_set *whole;
+	struct cfg_set *full;
 	struct cfg_set *set;
-	int err = cfg_parse(text, strlen(text), &whole, &faults);
+	int err = cfg_parse(text, strlen(text), &full, &faults);
 
 	cfg_faults_free(faults);
 	if ((rev_offer(rev, base, text, 2, &set) == PUB_OK) != (err == CFG_OK))
 		abort();
-	if (set && (set->account_count != whole->account_count ||
-		    set->limit_count != whole->limit_count ||
-		    memcmp(set->limits, whole->limits,
+	if (set && (set->account_count != full->account_count ||
+		    set->limit_count != full->limit_count ||
+		    memcmp(set->limits, full->limits,
 			   set->limit_count * sizeof(*set->limits)) != 0))
 		abort();
-	cfg_free(whole);
+	cfg_free(full);
 	cfg_free(set);
 }
 
