--- a/regress/eng_stage.c
+++ b/regress/eng_stage.c
@@ -63,7 +63,7 @@
 	if (now < 1)
 		now = 1;
 	seconds = (double)now / (double)ep->tokens_per_s * fraction;
-	fk_fault(ep->fk, "delay_us", &extra);
+	fk_use_fault(ep->fk, "delay_us", &extra);
 	fk_sleep_us((int64_t)(seconds * MAG_US_PER_S / eng_speed) + extra);
 	atomic_fetch_sub(&ep->in_steps, 1);
 }
@@ -77,7 +77,7 @@
 	if (ep->link_bytes_per_s)
 		seconds = (double)ep->activation_bytes /
 			  (double)ep->link_bytes_per_s;
-	fk_fault(ep->fk, "link_us", &extra);
+	fk_use_fault(ep->fk, "link_us", &extra);
 	fk_sleep_us((int64_t)(seconds * MAG_US_PER_S / eng_speed) + extra);
 }
 
@@ -101,11 +101,11 @@
 
 	if (first < ep->first || last > ep->last || first > last)
 		return eng_fail(step, step->stage, "layers not held");
-	if (fk_fault(ep->fk, "hang_ms", &value))
+	if (fk_use_fault(ep->fk, "hang_ms", &value))
 		fk_sleep_us(value * MAG_US_PER_MS);
-	if (fk_fault(ep->fk, "die", NULL))
+	if (fk_use_fault(ep->fk, "die", NULL))
 		_exit(ENG_EXIT_DIED);
-	if (fk_fault(ep->fk, "die_at", &value) &&
+	if (fk_use_fault(ep->fk, "die_at", &value) &&
 	    step->index >= (uint32_t)value)
 		_exit(ENG_EXIT_DIED);
 	if (step->stage > 0)
--- a/regress/fake_engine.c
+++ b/regress/fake_engine.c
@@ -105,9 +105,9 @@
 {
 	struct eng_endpoint *ep = fk_ctx(req->fk);
 	const char *id = step->request;
-	int times = fk_fault(ep->fk, "duplicate", NULL) ? 2 : 1;
+	int times = fk_use_fault(ep->fk, "duplicate", NULL) ? 2 : 1;
 
-	if (fk_fault(ep->fk, "wrong_id", NULL))
+	if (fk_use_fault(ep->fk, "wrong_id", NULL))
 		id = "another";
 	while (times-- > 0) {
 		if (!eng_event(req, NULL,
@@ -198,7 +198,7 @@
 		return;
 	}
 	if (atomic_load(&ep->running) >= ep->concurrency ||
-	    fk_fault(ep->fk, "refuse", NULL)) {
+	    fk_use_fault(ep->fk, "refuse", NULL)) {
 		fk_reply(req, 503, "X-Not-Begun: 1\r\n", "", 0);
 		return;
 	}
--- a/regress/fake_platform.c
+++ b/regress/fake_platform.c
@@ -208,7 +208,7 @@
 	done = plat_swap(entry, expected, value, len);
 	version = entry->value ? entry->version : 0;
 	pthread_mutex_unlock(&plat_lock);
-	if (fk_fault(req->fk, "lose_after_write", NULL))
+	if (fk_use_fault(req->fk, "lose_after_write", NULL))
 		fk_abort(req);
 	else
 		plat_answer(req, done ? 200 : 409, version, "", 0);
@@ -250,7 +250,7 @@
 	}
 	pthread_mutex_unlock(&plat_lock);
 	json_decref(body);
-	if (fk_fault(req->fk, "lose_after_write", NULL))
+	if (fk_use_fault(req->fk, "lose_after_write", NULL))
 		fk_abort(req);
 	else if (fence)
 		fk_reply_json(req, 200, "",
@@ -407,7 +407,7 @@
 	json_object_set_new(plat_counts, as,
 			    json_integer(1 + json_integer_value(json_object_get(
 						     plat_counts, as))));
-	over = fk_fault(req->fk, "limit_per_s", &limit) &&
+	over = fk_use_fault(req->fk, "limit_per_s", &limit) &&
 	       plat_this_second > limit;
 	pthread_mutex_unlock(&plat_lock);
 	return !over;
@@ -448,13 +448,13 @@
 	long value = 0;
 	size_t i;
 
-	if (fk_fault(req->fk, "snapshot", NULL))
+	if (fk_use_fault(req->fk, "snapshot", NULL))
 		plat_rewind(false);
-	if (fk_fault(req->fk, "rewind", NULL))
+	if (fk_use_fault(req->fk, "rewind", NULL))
 		plat_rewind(true);
-	if (fk_fault(req->fk, "delay_ms", &value))
+	if (fk_use_fault(req->fk, "delay_ms", &value))
 		fk_sleep_us(value * MAG_US_PER_MS);
-	if (fk_fault(req->fk, "refuse", NULL)) {
+	if (fk_use_fault(req->fk, "refuse", NULL)) {
 		fk_abort(req);
 		return;
 	}
--- a/regress/fake_service.c
+++ b/regress/fake_service.c
@@ -131,27 +131,27 @@
 	long value = 0;
 	char *text;
 
-	if (fk_fault(req->fk, "refuse", NULL)) {
+	if (fk_use_fault(req->fk, "refuse", NULL)) {
 		fk_reply(req, 503, "X-Not-Begun: 1\r\n", "", 0);
 		return;
 	}
-	if (fk_fault(req->fk, "die_before", NULL))
+	if (fk_use_fault(req->fk, "die_before", NULL))
 		_exit(SVC_EXIT_DIED);
-	if (fk_fault(req->fk, "delay_ms", &value))
+	if (fk_use_fault(req->fk, "delay_ms", &value))
 		fk_sleep_us(value * MAG_US_PER_MS);
 	text = svc_run_once(req);
-	if (fk_fault(req->fk, "hang_ms", &value))
+	if (fk_use_fault(req->fk, "hang_ms", &value))
 		fk_sleep_us(value * MAG_US_PER_MS);
-	if (fk_fault(req->fk, "die_after", NULL))
+	if (fk_use_fault(req->fk, "die_after", NULL))
 		_exit(SVC_EXIT_DIED);
-	if (fk_fault(req->fk, "lose_answer", NULL)) {
+	if (fk_use_fault(req->fk, "lose_answer", NULL)) {
 		fk_abort(req);
 		free(text);
 		return;
 	}
 	snprintf(ids, sizeof(ids),
 		 "Magnolia-Request: %.80s\r\nMagnolia-Attempt: %.20s\r\n",
-		 fk_fault(req->fk, "wrong_id", NULL)
+		 fk_use_fault(req->fk, "wrong_id", NULL)
 			 ? "another"
 			 : fk_header(req, "Magnolia-Request"),
 		 fk_header(req, "Magnolia-Attempt"));
@@ -159,10 +159,10 @@
 		snprintf(ids + strlen(ids), sizeof(ids) - strlen(ids),
 			 "X-Told: %.60s %s\r\n", fk_header(req, "X-Ask"),
 			 *fk_header(req, "Authorization") ? "key" : "no-key");
-	if (fk_fault(req->fk, "swap", NULL))
+	if (fk_use_fault(req->fk, "swap", NULL))
 		svc_swap_reply(ids, &text);
 	fk_reply(req, 200, ids, text, strlen(text));
-	if (fk_fault(req->fk, "duplicate", NULL))
+	if (fk_use_fault(req->fk, "duplicate", NULL))
 		fk_reply(req, 200, ids, text, strlen(text));
 	free(text);
 }
--- a/regress/fk.c
+++ b/regress/fk.c
@@ -16,7 +16,7 @@
 #define FK_HEADER_MAX 1024
 #define FK_LINE_MAX   512
 
-struct fk_fault {
+struct fk_fault_entry {
 	char name[32];
 	long value;
 	long left; /* remaining uses; negative: unlimited */
@@ -28,7 +28,7 @@
 	void *ctx;
 	int port;
 	pthread_mutex_t lock;
-	struct fk_fault faults[FK_FAULTS_MAX];
+	struct fk_fault_entry faults[FK_FAULTS_MAX];
 };
 
 static int fk_on_request(struct mg_connection *conn);
@@ -229,7 +229,7 @@
 /* Sets a fault for the next count uses (negative: all), or clears it. */
 void fk_set_fault(struct fk *fk, const char *name, long value, long count)
 {
-	struct fk_fault *fault = NULL;
+	struct fk_fault_entry *fault = NULL;
 	int i;
 
 	pthread_mutex_lock(&fk->lock);
@@ -247,14 +247,14 @@
 }
 
 /* Returns whether a fault is set, and consumes one of its uses. */
-bool fk_fault(struct fk *fk, const char *name, long *value)
+bool fk_use_fault(struct fk *fk, const char *name, long *value)
 {
 	bool set = false;
 	int i;
 
 	pthread_mutex_lock(&fk->lock);
 	for (i = 0; i < FK_FAULTS_MAX && !set; i++) {
-		struct fk_fault *fault = &fk->faults[i];
+		struct fk_fault_entry *fault = &fk->faults[i];
 
 		if (strcmp(fault->name, name) != 0 || fault->left == 0)
 			continue;
--- a/regress/fk.h
+++ b/regress/fk.h
@@ -51,7 +51,7 @@
 long fk_query_number(const struct fk_request *req, const char *name);
 
 void fk_set_fault(struct fk *fk, const char *name, long value, long count);
-bool fk_fault(struct fk *fk, const char *name, long *value);
+bool fk_use_fault(struct fk *fk, const char *name, long *value);
 
 int fk_record_open(const char *path);
 void fk_record(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
