--- a/src/clk.c
+++ b/src/clk.c
@@ -30,7 +30,7 @@
 	return now.tv_sec * MAG_US_PER_S + now.tv_nsec / CLK_NS_PER_US;
 }
 
-/* Returns Unix time in milliseconds, which UUIDv7 keys contain. */
+/* Returns milliseconds since 1970 (Unix time), which UUIDv7 keys contain. */
 int64_t clk_wall_ms(void)
 {
 	struct timespec now;
