--- a/regress/check_thr.c
+++ b/regress/check_thr.c
@@ -124,7 +124,7 @@
 static void receive_answer(int64_t sent_us, int r)
 {
 	struct wire_limit stated = { limit < 0 ? WIRE_LIMIT_NONE
-					       : WIRE_LIMIT_NAMED,
+					       : WIRE_LIMIT_VALID,
 				     limit };
 
 	if (wk_apply_limit(&routers[r].wk, &stated, WK_ANSWER_SUCCESS, sent_us,
--- a/regress/fk.h
+++ b/regress/fk.h
@@ -2,9 +2,9 @@
 #define FK_H
 
 /*
- * What the stand-ins and the test tools share: a small HTTP server, fault
- * switches that can be set while it runs, a record file, and the arithmetic
- * of the stand-in model.
+ * Shared by the stand-ins and the test tools: a small HTTP server, faults that
+ * can be injected while it runs, a record file, and the computation of the
+ * stand-in model.
  */
 
 #include <stdbool.h>
@@ -42,25 +42,25 @@
 void fk_block_signals(void);
 void fk_wait_signal(void);
 
-void fk_answer(struct fk_request *req, int status, const char *headers,
-	       const char *body, size_t len);
-void fk_answer_json(struct fk_request *req, int status, const char *headers,
-		    json_t *body);
-void fk_cut(struct fk_request *req);
+void fk_reply(struct fk_request *req, int status, const char *headers,
+	      const char *body, size_t len);
+void fk_reply_json(struct fk_request *req, int status, const char *headers,
+		   json_t *body);
+void fk_abort(struct fk_request *req);
 const char *fk_header(const struct fk_request *req, const char *name);
 long fk_query_number(const struct fk_request *req, const char *name);
 
 void fk_set_fault(struct fk *fk, const char *name, long value, long count);
-bool fk_fault(struct fk *fk, const char *name, long *value);
+bool fk_use_fault(struct fk *fk, const char *name, long *value);
 
 int fk_record_open(const char *path);
 void fk_record(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
 
-uint64_t fk_fold_start(const char *prompt, uint32_t index);
-uint64_t fk_fold(uint64_t state, uint32_t first, uint32_t last);
-void fk_token(char token[FK_TOKEN_MAX], uint64_t state);
-void fk_whole_token(char token[FK_TOKEN_MAX], const char *prompt,
-		    uint32_t index, uint32_t layers);
+uint64_t fk_initial_state(const char *prompt, uint32_t index);
+uint64_t fk_apply_layers(uint64_t state, uint32_t first, uint32_t last);
+void fk_format_token(char token[FK_TOKEN_MAX], uint64_t state);
+void fk_expected_token(char token[FK_TOKEN_MAX], const char *prompt,
+		       uint32_t index, uint32_t layers);
 
 json_t *fk_load_set(const char *path);
 void fk_sleep_us(int64_t us);
--- a/src/adm_config.c
+++ b/src/adm_config.c
@@ -102,7 +102,7 @@
 	service->mean_cost = ADM_INITIAL_COST;
 	service->answer_ratio = 1;
 	if (old)
-		old_index = mag_name_near(old->name, sizeof(*old),
+		old_index = mag_find_name(old->name, sizeof(*old),
 					  (size_t)old_count, cfg->name, hint);
 	if (old_index < 0)
 		return;
@@ -213,10 +213,10 @@
 		const struct adm_queue *from = &old->queues[i];
 		const char *service = old->services[from->service].name;
 		const char *account = old->accounts[from->account].name;
-		int s = mag_name_near(
+		int s = mag_find_name(
 			adm->services->name, sizeof(*adm->services),
 			(size_t)adm->service_count, service, from->service);
-		int a = mag_name_near(
+		int a = mag_find_name(
 			adm->accounts->name, sizeof(*adm->accounts),
 			(size_t)adm->account_count, account, from->account);
 
@@ -246,7 +246,7 @@
 		int old_index = -1;
 
 		if (old->limits)
-			old_index = mag_name_near(
+			old_index = mag_find_name(
 				old->limits->name, sizeof(*old->limits),
 				(size_t)old->limit_count, to->name, next);
 		if (old_index < 0)
@@ -268,7 +268,7 @@
 		int old_index = -1;
 
 		if (old->endpoints)
-			old_index = mag_name_near(
+			old_index = mag_find_name(
 				old->endpoints->name, sizeof(*old->endpoints),
 				(size_t)old->endpoint_count, to->name, next);
 		if (old_index < 0)
@@ -287,11 +287,11 @@
 	int account = -1;
 
 	if (request->service >= 0) {
-		service = mag_name_near(
+		service = mag_find_name(
 			adm->services->name, sizeof(*adm->services),
 			(size_t)adm->service_count,
 			old->services[request->service].name, request->service);
-		account = mag_name_near(
+		account = mag_find_name(
 			adm->accounts->name, sizeof(*adm->accounts),
 			(size_t)adm->account_count,
 			old->accounts[request->account].name, request->account);
--- a/src/edge_follow.c
+++ b/src/edge_follow.c
@@ -110,7 +110,8 @@
 
 	if (strcmp(item->key, PL_CONFIG_KEY) == 0)
 		edge_apply_config(edge, item);
-	else if (strncmp(item->key, PL_WORKERS, strlen(PL_WORKERS)) == 0)
+	else if (strncmp(item->key, PL_WORKERS_PREFIX,
+			 strlen(PL_WORKERS_PREFIX)) == 0)
 		edge_apply_worker(edge, item);
 	else if (strncmp(item->key, PRES_PREFIX, strlen(PRES_PREFIX)) == 0)
 		pres_item(edge->pres, item);
@@ -160,7 +161,7 @@
 	if (pl_config_decode(item->value, item->len, &fresh, why,
 			     sizeof(why))) {
 		jlog(LOG_RT_BAD, "\"why\":\"%s\"",
-		     jlog_text(text, sizeof(text), why));
+		     jlog_sanitize(text, sizeof(text), why));
 		return;
 	}
 	edge->store_version = fresh->version;
@@ -210,14 +211,14 @@
 	int service;
 
 	if (item->deleted) {
-		wk_remove(&edge->workers, item->key + strlen(PL_WORKERS),
+		wk_remove(&edge->workers, item->key + strlen(PL_WORKERS_PREFIX),
 			  edge_gone_us(edge, now), now);
 		return;
 	}
 	if (pl_worker_decode(item->key, item->value, item->len, &worker, why,
 			     sizeof(why))) {
 		jlog(LOG_WK_UNREAD, "\"why\":\"%s\"",
-		     jlog_text(text, sizeof(text), why));
+		     jlog_sanitize(text, sizeof(text), why));
 		return;
 	}
 	if (wk_list_put(&edge->workers, &worker, now, &wk))
@@ -238,7 +239,7 @@
 	struct edge *edge = user;
 	int64_t now = clk_boot_us();
 
-	met_add(&edge->met, MET_RETURNS);
+	met_increment(&edge->met, MET_RETURNS);
 	era_store_restored(&edge->era, now);
 	wk_store_restored(&edge->workers, now);
 	pres_store_restored(edge->pres, now);
@@ -261,7 +262,7 @@
  */
 static void edge_log_recovery(struct edge *edge, int64_t now)
 {
-	met_time(&edge->met, MET_RECOVERY, now - edge->era.restored_us);
+	met_observe(&edge->met, MET_RECOVERY, now - edge->era.restored_us);
 	jlog(LOG_PF_SETTLED,
 	     "\"era\":%lld,\"took_ms\":%d,\"workers_gone\":%d,"
 	     "\"peers_gone\":%d,\"config\":%lld,\"config_in_store\":%lld",
--- a/src/eq.c
+++ b/src/eq.c
@@ -56,7 +56,7 @@
 	int64_t now = clk_boot_us();
 	struct eq *eq;
 
-	met_add(&edge->met, MET_REQUESTS);
+	met_increment(&edge->met, MET_REQUESTS);
 	if (!edge_has_config(edge, now)) {
 		/* Without a configuration no route is known. */
 		eq_refuse_early(edge, conn);
@@ -84,7 +84,7 @@
 	struct eq *eq = user;
 
 	(void)conn;
-	met_add(&edge->met, MET_GONE);
+	met_increment(&edge->met, MET_GONE);
 	eq_log_end(eq, 0, "caller left");
 	eq->caller = NULL;
 	eq_free(eq);
@@ -136,10 +136,10 @@
 		return;
 	}
 	eq_write_retry_after(eq, retry, fields, sizeof(fields));
-	met_add(&eq->edge->met, MET_REFUSED);
+	met_increment(&eq->edge->met, MET_REFUSED);
 	eq_log_end(eq, status, why);
 	if (retry == EQ_RETRY_ELSEWHERE)
-		hs_close_after(eq->caller);
+		hs_close_after_reply(eq->caller);
 	hs_reply(eq->caller, status, fields, NULL, 0);
 	eq->caller = NULL;
 	eq_free(eq);
@@ -154,7 +154,7 @@
 static void eq_write_retry_after(const struct eq *eq, enum eq_retry retry,
 				 char *fields, size_t size)
 {
-	int64_t wait = eq->request.wait_ms;
+	int64_t wait = eq->request.timeout_ms;
 	double spread = (double)(edge_random(eq->edge) % 1000) / 1000;
 	double left;
 
@@ -184,8 +184,8 @@
 /* Ends a request that may have run or that has run out of time. */
 void eq_fail(struct eq *eq, int status, const char *why)
 {
-	met_add(&eq->edge->met,
-		eq->state == EQ_STREAMING ? MET_CUT : MET_FAILED);
+	met_increment(&eq->edge->met,
+		      eq->state == EQ_STREAMING ? MET_CUT : MET_FAILED);
 	eq_log_end(eq, status, why);
 	if (eq->state == EQ_STREAMING)
 		hs_abort(eq->caller);
@@ -200,13 +200,13 @@
 {
 	int64_t now = clk_boot_us();
 
-	met_add(&eq->edge->met, MET_ANSWERED);
+	met_increment(&eq->edge->met, MET_ANSWERED);
 	if (eq->first_event_us) {
-		met_time(&eq->edge->met, MET_FIRST_EVENT,
-			 eq->first_event_us - eq->arrived_us);
-		met_time(&eq->edge->met, MET_GAP, eq->max_gap_us);
+		met_observe(&eq->edge->met, MET_FIRST_EVENT,
+			    eq->first_event_us - eq->arrived_us);
+		met_observe(&eq->edge->met, MET_GAP, eq->max_gap_us);
 	} else {
-		met_time(&eq->edge->met, MET_ANSWER, now - eq->arrived_us);
+		met_observe(&eq->edge->met, MET_ANSWER, now - eq->arrived_us);
 	}
 	eq_log_end(eq, eq->status, "answered");
 	eq->caller = NULL;
@@ -231,7 +231,7 @@
 
 static void eq_refuse_early(struct edge *edge, struct hs_conn *conn)
 {
-	met_add(&edge->met, MET_REFUSED);
+	met_increment(&edge->met, MET_REFUSED);
 	jlog(LOG_EQ_END, "\"status\":503,\"why\":\"no configuration yet\"");
 	hs_reply(conn, 503, "Retry-After: 0.5\r\n", NULL, 0);
 }
@@ -277,7 +277,7 @@
 		eq->route = rt_find_route(eq->rt, eq->request.host,
 					  hs_target(eq->caller));
 	if (!eq->route) {
-		met_add(&eq->edge->met, MET_NO_ROUTE);
+		met_increment(&eq->edge->met, MET_NO_ROUTE);
 		eq_refuse(eq, 404, EQ_RETRY_NEVER, "no route");
 		return false;
 	}
@@ -291,7 +291,7 @@
 	account = eq->request.key ? rt_account_by_key(eq->rt, eq->request.key)
 				  : -1;
 	if (account < 0) {
-		met_add(&eq->edge->met, MET_NO_KEY);
+		met_increment(&eq->edge->met, MET_NO_KEY);
 		eq_refuse(eq, 401, EQ_RETRY_NEVER, "unknown key");
 		return false;
 	}
@@ -316,7 +316,7 @@
 	}
 	eq_set_fingerprint(eq);
 	if (quar_check(edge->quar, eq->fingerprint, now) == QUAR_QUARANTINED) {
-		met_add(&eq->edge->met, MET_POISON);
+		met_increment(&eq->edge->met, MET_POISON);
 		eq_refuse(eq, 503, EQ_RETRY_NEVER, "crashes workers");
 		return false;
 	}
@@ -364,7 +364,7 @@
 static void eq_set_deadlines(struct eq *eq)
 {
 	int64_t limit = eq->route->timeout_us;
-	int64_t wait = eq->request.wait_ms * MAG_US_PER_MS;
+	int64_t wait = eq->request.timeout_ms * MAG_US_PER_MS;
 
 	if (wait > 0 && wait < limit)
 		limit = wait;
@@ -408,7 +408,7 @@
 	     "\"target_ms\":%d,\"gap_aim_ms\":%d,\"sends\":%d,"
 	     "\"may_have_run\":%s,\"config\":%lld,\"config_age_ms\":%d,"
 	     "\"worker\":\"%s\"",
-	     jlog_text(id, sizeof(id), eq->request.attempt_id),
+	     jlog_sanitize(id, sizeof(id), eq->request.attempt_id),
 	     eq->route ? eq->route->name : "", eq->account ? eq->account : "",
 	     status, why, (int)((now - eq->arrived_us) / MAG_US_PER_MS),
 	     eq->first_event_us ? (int)((eq->first_event_us - eq->arrived_us) /
--- a/src/eq.h
+++ b/src/eq.h
@@ -71,7 +71,7 @@
 
 	/* The answer of the current attempt. */
 	int status;
-	struct pl_answer answer;
+	struct pl_response answer;
 	char at_fault[MAG_ADDR_MAX];
 	bool answered; /* its header has been received */
 	bool garbled;
--- a/src/eq_answer.c
+++ b/src/eq_answer.c
@@ -12,15 +12,16 @@
  */
 #define EQ_INTERVAL_WEIGHT 8
 
-static bool eq_on_headers(void *user, const struct hc_answer *answer);
-static void eq_apply_limit(const struct eq *eq, const struct hc_answer *answer);
+static bool eq_on_headers(void *user, const struct hc_response *answer);
+static void eq_apply_limit(const struct eq *eq,
+			   const struct hc_response *answer);
 static void eq_on_body(void *user, const void *bytes, size_t len);
-static void eq_on_end(void *user, enum hc_end end);
+static void eq_on_end(void *user, enum hc_result end);
 static void eq_forward_events(struct eq *eq, const void *bytes, size_t len);
 static void eq_note_started(struct eq *eq);
 static void eq_update_interval(struct eq *eq, int64_t interval_us);
 static void eq_on_complete(struct eq *eq, struct wk *wk, int64_t now);
-static void eq_on_broken(struct eq *eq, struct wk *wk, enum hc_end end,
+static void eq_on_broken(struct eq *eq, struct wk *wk, enum hc_result end,
 			 int64_t now);
 static void eq_on_not_run(struct eq *eq, struct wk *wk, int64_t now);
 static void eq_relay(struct eq *eq);
@@ -46,8 +47,8 @@
 	     "\"request\":\"%s\",\"why\":\"%s\",\"sends\":%d,\"runs\":%d,"
 	     "\"may_have_run\":%s,\"last_event\":%lld,\"answer\":%d,"
 	     "\"at_fault\":\"%s\"",
-	     jlog_text(id, sizeof(id), eq->request.attempt_id), why, eq->sends,
-	     eq->runs, eq->may_have_run ? "true" : "false",
+	     jlog_sanitize(id, sizeof(id), eq->request.attempt_id), why,
+	     eq->sends, eq->runs, eq->may_have_run ? "true" : "false",
 	     (long long)eq->last_event, eq->answered ? eq->status : 0,
 	     eq->at_fault);
 	eq_release(eq);
@@ -62,18 +63,18 @@
 	if (eq->state == EQ_SENT)
 		eq->state = EQ_WAITING;
 	if (eq->state == EQ_STREAMING)
-		met_add(&eq->edge->met, MET_RESUMES);
+		met_increment(&eq->edge->met, MET_RESUMES);
 	eq_dispatch(eq, clk_boot_us());
 }
 
 /*
  * Skips an answer that names another request: this request's answer may follow.
  */
-static bool eq_on_headers(void *user, const struct hc_answer *answer)
+static bool eq_on_headers(void *user, const struct hc_response *answer)
 {
 	struct eq *eq = user;
 
-	pl_answer_decode(answer->status, answer->headers, &eq->answer);
+	pl_response_decode(answer->status, answer->headers, &eq->answer);
 	if (eq->answer.attempt_id && eq->request.attempt_id &&
 	    strcmp(eq->answer.attempt_id, eq->request.attempt_id) != 0)
 		return false;
@@ -89,7 +90,7 @@
 		eq->garbled = true;
 	if (eq->state != EQ_STREAMING) {
 		evbuffer_drain(eq->fields, evbuffer_get_length(eq->fields));
-		pl_answer_fields(answer->headers, eq->fields);
+		pl_response_fields(answer->headers, eq->fields);
 		evbuffer_add(eq->fields, "", 1);
 	}
 	return true;
@@ -99,7 +100,8 @@
  * Applies the rate limit that the first worker's answer states, or the absence
  * of one.
  */
-static void eq_apply_limit(const struct eq *eq, const struct hc_answer *answer)
+static void eq_apply_limit(const struct eq *eq,
+			   const struct hc_response *answer)
 {
 	bool sound = answer->status / 100 == 2 && eq->answer.sealed;
 
@@ -145,7 +147,7 @@
 			}
 			eq->last_event = event.id;
 		}
-		met_add(&eq->edge->met, MET_EVENTS);
+		met_increment(&eq->edge->met, MET_EVENTS);
 		evbuffer_add(out, event.bytes, event.len);
 	}
 	ready = evbuffer_get_length(out);
@@ -188,14 +190,14 @@
 }
 
 /* Called at the end of an attempt; the call has been released. */
-static void eq_on_end(void *user, enum hc_end end)
+static void eq_on_end(void *user, enum hc_result end)
 {
 	struct eq *eq = user;
 	struct wk *wk = eq->hops[0].worker;
 	int64_t now = clk_boot_us();
 
 	eq->call = NULL;
-	if (end == HC_WHOLE && !eq->garbled && eq->answered)
+	if (end == HC_COMPLETE && !eq->garbled && eq->answered)
 		eq_on_complete(eq, wk, now);
 	else
 		eq_on_broken(eq, wk, end, now);
@@ -286,7 +288,7 @@
 }
 
 /* Handles an attempt that ended without a complete answer. */
-static void eq_on_broken(struct eq *eq, struct wk *wk, enum hc_end end,
+static void eq_on_broken(struct eq *eq, struct wk *wk, enum hc_result end,
 			 int64_t now)
 {
 	struct edge *edge = eq->edge;
@@ -303,11 +305,11 @@
 	wk_add_result(wk, false, 0);
 	if (!eq->answered)
 		wk_on_break(wk, now);
-	if (end == HC_BROKEN) {
+	if (end == HC_CONN_LOST) {
 		eq_add_crash_candidate(eq, wk, now);
 		wkp_probe(edge, wk, now);
 	}
-	eq_retry_or_fail(eq, eq->garbled || end == HC_GARBLED
+	eq_retry_or_fail(eq, eq->garbled || end == HC_PROTOCOL_ERROR
 				     ? "malformed answer"
 				     : "connection broke");
 }
--- a/src/eq_repair.c
+++ b/src/eq_repair.c
@@ -39,9 +39,9 @@
 	struct evbuffer *body;
 };
 
-static bool eq_repair_headers(void *user, const struct hc_answer *answer);
+static bool eq_repair_headers(void *user, const struct hc_response *answer);
 static void eq_repair_body(void *user, const void *bytes, size_t len);
-static void eq_repair_end(void *user, enum hc_end end);
+static void eq_repair_end(void *user, enum hc_result end);
 static bool eq_is_first_alive(const struct wk *wk, int64_t now);
 static struct evbuffer *eq_repair_encode(const struct eq *eq);
 static void eq_repair_refused(struct eq *eq, const char *address, int64_t now);
@@ -125,14 +125,14 @@
 	char body[PL_ORDER_MAX];
 	int count = eq_wire_hops(eq, hops);
 
-	if (pl_order_repath(body, sizeof(body), eq->request.attempt_id, hops,
-			    count))
+	if (pl_order_repath_encode(body, sizeof(body), eq->request.attempt_id,
+				   hops, count))
 		return NULL;
 	return pl_call_encode("POST", PL_ORDER_PATH,
 			      eq->hops[0].worker->entry.address, body);
 }
 
-static bool eq_repair_headers(void *user, const struct hc_answer *answer)
+static bool eq_repair_headers(void *user, const struct hc_response *answer)
 {
 	struct eq_repair *repair = user;
 
@@ -149,7 +149,7 @@
 	evbuffer_add(repair->body, bytes, len);
 }
 
-static void eq_repair_end(void *user, enum hc_end end)
+static void eq_repair_end(void *user, enum hc_result end)
 {
 	struct eq_repair *repair = user;
 	struct eq *eq = repair->eq;
@@ -157,25 +157,26 @@
 	char chain[EQ_CHAIN_TEXT];
 	char id[WIRE_ID_MAX];
 	int64_t now = clk_boot_us();
-	int status = end == HC_WHOLE ? repair->status : 0;
+	int status = end == HC_COMPLETE ? repair->status : 0;
 
 	repair->call = NULL;
 	if (status == 409)
-		pl_order_fault((char *)evbuffer_pullup(repair->body, -1),
-			       evbuffer_get_length(repair->body), address,
-			       sizeof(address));
+		pl_order_refused_worker(
+			(char *)evbuffer_pullup(repair->body, -1),
+			evbuffer_get_length(repair->body), address,
+			sizeof(address));
 	jlog(LOG_EQ_REPAIRED,
 	     "\"request\":\"%s\",\"worker\":\"%s\",\"hops\":%d,"
 	     "\"chain\":\"%s\",\"repair\":%d,\"status\":%d,\"at_fault\":\"%s\","
 	     "\"silent_ms\":%d",
-	     jlog_text(id, sizeof(id), eq->request.attempt_id),
+	     jlog_sanitize(id, sizeof(id), eq->request.attempt_id),
 	     eq->hops[0].worker->entry.id, eq->hop_count,
 	     eq_chain_text(eq, chain, sizeof(chain)), eq->repairs, status,
 	     address, (int)((now - eq->progress_us) / MAG_US_PER_MS));
 	eq->repair = NULL;
 	eq_repair_free(repair);
 	if (status / 100 == 2) {
-		met_add(&eq->edge->met, MET_REPAIRS);
+		met_increment(&eq->edge->met, MET_REPAIRS);
 		return;
 	}
 	eq_repair_refused(eq, address, now);
--- a/src/eq_send.c
+++ b/src/eq_send.c
@@ -203,7 +203,7 @@
 
 	if (eq->sends == 0) {
 		bud_add_request(bud, now);
-		met_time(&eq->edge->met, MET_WAIT, now - eq->arrived_us);
+		met_observe(&eq->edge->met, MET_WAIT, now - eq->arrived_us);
 	} else if (!bud_take_retry(bud, now)) {
 		eq_release(eq);
 		if (eq->state == EQ_STREAMING)
@@ -212,10 +212,10 @@
 			eq_refuse(eq, 503, EQ_RETRY_SOON, "retry budget spent");
 		return;
 	} else {
-		met_add(&eq->edge->met, MET_REPEATS);
+		met_increment(&eq->edge->met, MET_REPEATS);
 	}
 	eq->sends++;
-	met_add(&eq->edge->met, MET_SENDS);
+	met_increment(&eq->edge->met, MET_SENDS);
 	eq->sent_us = now;
 	eq->progress_us = eq->state == EQ_STREAMING ? eq->progress_us : now;
 	eq->probed_us = now;
@@ -235,15 +235,16 @@
 	 * A worker may close an idle connection while a request is in transit;
 	 * it would then be unknown whether the request ran.
 	 */
-	send.fresh = eq->route->kind == RT_NON_IDEMPOTENT;
-	send.head = strcmp(hs_method(eq->caller), "HEAD") == 0;
+	send.new_connection = eq->route->kind == RT_NON_IDEMPOTENT;
+	send.head_request = strcmp(hs_method(eq->caller), "HEAD") == 0;
 	jlog(LOG_EQ_SENT,
 	     "\"request\":\"%s\",\"worker\":\"%s\",\"hops\":%d,"
 	     "\"chain\":\"%s\",\"send\":%d,\"from_event\":%lld,"
 	     "\"requests_there\":%d,"
 	     "\"left_ms\":%d",
-	     jlog_text(id, sizeof(id), eq->request.attempt_id), wk->entry.id,
-	     eq->hop_count, eq_chain_text(eq, chain, sizeof(chain)), eq->sends,
+	     jlog_sanitize(id, sizeof(id), eq->request.attempt_id),
+	     wk->entry.id, eq->hop_count,
+	     eq_chain_text(eq, chain, sizeof(chain)), eq->sends,
 	     (long long)eq->last_event, wk->first_hops,
 	     (int)((eq->deadline_us - now) / MAG_US_PER_MS));
 	if (!send.request || hc_start(wk->host, &send, &eq->call)) {
@@ -261,7 +262,7 @@
 /* Encodes the message to the first worker. */
 static struct evbuffer *eq_encode(struct eq *eq, int64_t now)
 {
-	struct pl_outgoing out = { 0 };
+	struct pl_worker_request out = { 0 };
 	struct wire_hop hops[CHN_HOPS_MAX];
 
 	out.method = hs_method(eq->caller);
@@ -269,7 +270,7 @@
 	out.headers = hs_headers(eq->caller);
 	out.worker_id = eq->hops[0].worker->entry.id;
 	out.account = eq->account;
-	out.left_ms = (eq->deadline_us - now) / MAG_US_PER_MS;
+	out.remaining_ms = (eq->deadline_us - now) / MAG_US_PER_MS;
 	out.last_event = -1;
 	if (eq->state == EQ_STREAMING)
 		out.last_event = eq->last_event;
@@ -279,5 +280,5 @@
 		out.hops = hops;
 		out.hop_count = eq_wire_hops(eq, hops);
 	}
-	return pl_outgoing_encode(&out);
+	return pl_worker_request_encode(&out);
 }
--- a/src/plr.c
+++ b/src/plr.c
@@ -67,9 +67,9 @@
 			  int64_t now);
 static void plr_send_order(struct edge *edge, struct wk *wk,
 			   const struct wire_range *range, int64_t now);
-static bool plr_on_headers(void *user, const struct hc_answer *answer);
+static bool plr_on_headers(void *user, const struct hc_response *answer);
 static void plr_on_body(void *user, const void *bytes, size_t len);
-static void plr_on_end(void *user, enum hc_end end);
+static void plr_on_end(void *user, enum hc_result end);
 
 static const struct hc_ops plr_ops = {
 	.headers = plr_on_headers,
@@ -254,7 +254,7 @@
 	call = calloc(1, sizeof(*call));
 	if (!call)
 		return;
-	pl_order_place(body, sizeof(body), range, wk->orders_taken);
+	pl_order_place_encode(body, sizeof(body), range, wk->orders_taken);
 	call->edge = edge;
 	call->wk = wk;
 	send.request =
@@ -270,7 +270,7 @@
 	}
 	wk_ref(wk);
 	thr_sent(&wk->thr, now);
-	met_add(&edge->met, MET_ORDERS);
+	met_increment(&edge->met, MET_ORDERS);
 	wk->ordered = true;
 	wk->ordered_us = now;
 	wk->order = *range;
@@ -281,7 +281,7 @@
 	     range->to, (long long)wk->orders_taken);
 }
 
-static bool plr_on_headers(void *user, const struct hc_answer *answer)
+static bool plr_on_headers(void *user, const struct hc_response *answer)
 {
 	struct plr_call *call = user;
 
@@ -298,19 +298,19 @@
 	(void)len;
 }
 
-static void plr_on_end(void *user, enum hc_end end)
+static void plr_on_end(void *user, enum hc_result end)
 {
 	struct plr_call *call = user;
 	struct wk *wk = call->wk;
 
-	if (end == HC_WHOLE && call->status / 100 != 2) {
+	if (end == HC_COMPLETE && call->status / 100 != 2) {
 		/* Refused: the state that the order relied on has changed. */
 		wk->ordered = false;
 		wk->orders_taken = -1;
 	}
-	if (end != HC_WHOLE || call->status / 100 != 2)
+	if (end != HC_COMPLETE || call->status / 100 != 2)
 		jlog(LOG_PLR_UNSURE, "\"worker\":\"%s\",\"status\":%d",
-		     wk->entry.id, end == HC_WHOLE ? call->status : 0);
+		     wk->entry.id, end == HC_COMPLETE ? call->status : 0);
 	wk_unref(wk);
 	free(call);
 }
--- a/src/sto.c
+++ b/src/sto.c
@@ -15,9 +15,9 @@
 /* Minimum interval between log lines about malformed eras. */
 #define STO_BAD_ERA_LOG_US MAG_US_PER_S
 
-static bool sto_on_headers(void *user, const struct hc_answer *answer);
+static bool sto_on_headers(void *user, const struct hc_response *answer);
 static void sto_on_body(void *user, const void *bytes, size_t len);
-static void sto_on_end(void *user, enum hc_end end);
+static void sto_on_end(void *user, enum hc_result end);
 static enum sto_result sto_result_from_status(int status);
 static bool sto_accept_era(struct sto *sto, const struct sto_call *call);
 
@@ -58,7 +58,7 @@
 	char path[PL_PATH_MAX];
 	char body[64];
 
-	pl_store_lease(path);
+	pl_store_lease_path(path);
 	pl_store_lease_body(body, sizeof(body), ttl_ms);
 	sto_send_call(sto, "POST", path, body, 0, done, user);
 }
@@ -68,7 +68,7 @@
 {
 	char path[PL_PATH_MAX];
 
-	pl_store_keep(path, lease);
+	pl_store_renew_path(path, lease);
 	sto_send_call(sto, "POST", path, NULL, 0, done, user);
 }
 
@@ -76,7 +76,7 @@
 {
 	char path[PL_PATH_MAX];
 
-	pl_store_end(path, lease);
+	pl_store_revoke_path(path, lease);
 	sto_send_call(sto, "DELETE", path, NULL, 0, done, user);
 }
 
@@ -87,7 +87,7 @@
 	char path[PL_PATH_MAX];
 	char *body = pl_store_swap_body(&swap);
 
-	pl_store_swap(path);
+	pl_store_swap_path(path);
 	sto_send_call(sto, "POST", path, body, 0, done, user);
 	free(body);
 }
@@ -140,7 +140,7 @@
 	free(call);
 }
 
-static bool sto_on_headers(void *user, const struct hc_answer *answer)
+static bool sto_on_headers(void *user, const struct hc_response *answer)
 {
 	struct sto_call *call = user;
 
@@ -156,7 +156,7 @@
 	evbuffer_add(call->body, bytes, len);
 }
 
-static void sto_on_end(void *user, enum hc_end end)
+static void sto_on_end(void *user, enum hc_result end)
 {
 	struct sto_call *call = user;
 	enum sto_result result = STO_LOST;
@@ -165,7 +165,7 @@
 	size_t len = evbuffer_get_length(call->body);
 	const char *body;
 
-	if (end == HC_WHOLE && sto_accept_era(sto, call))
+	if (end == HC_COMPLETE && sto_accept_era(sto, call))
 		result = sto_result_from_status(call->status);
 	else if (end == HC_UNSENT)
 		result = STO_REFUSED;
--- a/src/sto_follow.c
+++ b/src/sto_follow.c
@@ -132,7 +132,7 @@
 	follow->sent_us = clk_boot_us();
 	if (!follow->after[0])
 		follow->list_sent_us = follow->sent_us;
-	pl_store_range(path, follow->prefix, follow->after);
+	pl_store_range_path(path, follow->prefix, follow->after);
 	follow->call = sto_send_call(follow->sto, "GET", path, NULL, 0,
 				     sto_on_list, follow);
 }
@@ -152,7 +152,8 @@
 	follow->state = STO_WATCHING;
 	follow->lagging_since_us = 0;
 	follow->sent_us = clk_boot_us();
-	pl_store_watch(path, follow->prefix, follow->pos.revision, wait_ms);
+	pl_store_watch_path(path, follow->prefix, follow->pos.revision,
+			    wait_ms);
 	follow->call =
 		sto_send_call(follow->sto, "GET", path, NULL,
 			      wait_ms * MAG_US_PER_MS, sto_on_watch, follow);
@@ -181,7 +182,7 @@
 		follow->ops->list_begin(follow->user);
 	}
 	sto_report_items(follow, &items);
-	if (items.more && items.count > 0) {
+	if (items.has_more && items.count > 0) {
 		mag_copy_name(follow->after, sizeof(follow->after),
 			      items.items[items.count - 1].key);
 		pl_store_items_free(&items);
@@ -253,7 +254,7 @@
 		return;
 	query->follow = follow;
 	query->sent_us = clk_boot_us();
-	pl_store_range(path, PL_CONFIG_KEY, PL_CONFIG_KEY);
+	pl_store_range_path(path, PL_CONFIG_KEY, PL_CONFIG_KEY);
 	sto_send_call(follow->sto, "GET", path, NULL, 0, sto_on_query, query);
 }
 
--- a/src/wk.c
+++ b/src/wk.c
@@ -392,11 +392,11 @@
 {
 	struct wire_worker known = wk->entry;
 
-	if (worker->born_ms > known.born_ms) {
+	if (worker->started_ms > known.started_ms) {
 		wk_update(wk, worker, now);
 		return;
 	}
-	if (worker->born_ms == known.born_ms)
+	if (worker->started_ms == known.started_ms)
 		known.draining |= worker->draining;
 	wk_update(wk, &known, now);
 }
@@ -413,7 +413,7 @@
 	for (i = 0; i < WK_GONE_MAX; i++) {
 		gone = &table->gone[i];
 		if (gone->gone_us && gone->gone_us <= table->restored_us &&
-		    worker->born_ms <= gone->born_ms &&
+		    worker->started_ms <= gone->born_ms &&
 		    strcmp(gone->id, worker->id) == 0)
 			return true;
 	}
@@ -427,14 +427,14 @@
 
 	table->gone_next = (table->gone_next + 1) % WK_GONE_MAX;
 	mag_copy_name(gone->id, sizeof(gone->id), wk->entry.id);
-	gone->born_ms = wk->entry.born_ms;
+	gone->born_ms = wk->entry.started_ms;
 	gone->gone_us = now;
 }
 
 static void wk_update(struct wk *wk, const struct wire_worker *worker,
 		      int64_t now)
 {
-	bool restarted = worker->born_ms != wk->entry.born_ms;
+	bool restarted = worker->started_ms != wk->entry.started_ms;
 	bool leaving = wk->entry.draining && !restarted;
 	bool layers_changed = worker->layers.from != wk->entry.layers.from ||
 			      worker->layers.to != wk->entry.layers.to;
@@ -449,7 +449,7 @@
 	if (restarted) {
 		/* The new process has no layers, orders or faults. */
 		jlog(LOG_WK_RESTARTED, "\"worker\":\"%s\",\"born_ms\":%lld",
-		     worker->id, (long long)worker->born_ms);
+		     worker->id, (long long)worker->started_ms);
 		wk->orders_taken = -1;
 		wk->reported_us = 0;
 		wk->slowdown = 1;
@@ -490,11 +490,11 @@
 		if (other == wk || !other->listed ||
 		    strcmp(other->entry.address, wk->entry.address) != 0 ||
 		    strcmp(other->entry.service, wk->entry.service) != 0 ||
-		    !other->entry.born_ms || !wk->entry.born_ms)
+		    !other->entry.started_ms || !wk->entry.started_ms)
 			continue;
-		if (other->entry.born_ms < wk->entry.born_ms)
+		if (other->entry.started_ms < wk->entry.started_ms)
 			other->replaced = true;
-		else if (other->entry.born_ms > wk->entry.born_ms)
+		else if (other->entry.started_ms > wk->entry.started_ms)
 			wk->replaced = true;
 	}
 }
--- a/src/wk_limit.c
+++ b/src/wk_limit.c
@@ -27,11 +27,11 @@
 {
 	enum thr_change change = THR_UNCHANGED;
 
-	if (limit->word == WIRE_LIMIT_BAD) {
+	if (limit->status == WIRE_LIMIT_INVALID) {
 		wk_log_limit(wk, THR_UNCHANGED, wk_limit_sources[answer], now);
 		return THR_UNCHANGED;
 	}
-	if (limit->word == WIRE_LIMIT_NAMED)
+	if (limit->status == WIRE_LIMIT_VALID)
 		change = thr_limit_advertised(&wk->thr, limit->per_s, now, now);
 	else if (answer == WK_ANSWER_SUCCESS)
 		change = thr_limit_absent(&wk->thr, sent_us);
--- a/src/wkp.c
+++ b/src/wkp.c
@@ -49,14 +49,14 @@
 	struct evbuffer *body;
 };
 
-static bool wkp_on_headers(void *user, const struct hc_answer *answer);
+static bool wkp_on_headers(void *user, const struct hc_response *answer);
 static void wkp_on_body(void *user, const void *bytes, size_t len);
-static void wkp_on_end(void *user, enum hc_end end);
+static void wkp_on_end(void *user, enum hc_result end);
 static void wkp_send_probe(struct edge *edge, struct wk *wk, bool fresh,
 			   int64_t now);
 static void wkp_mark_unresponsive(struct wk *wk, int64_t now);
 static void wkp_on_probe_failure(struct edge *edge, struct wk *wk,
-				 enum hc_end end, int64_t now);
+				 enum hc_result end, int64_t now);
 static int wkp_count_recent_deaths(const struct edge *edge, int64_t now);
 static void wkp_on_death(struct edge *edge, struct wk *wk, int64_t now);
 static void wkp_apply_report(struct wkp_call *call, int64_t now);
@@ -69,7 +69,7 @@
 
 /* Applies the rate limit that an answer of a worker names, or omits. */
 void wkp_apply_limit(struct edge *edge, struct wk *wk,
-		     const struct hc_answer *answer, enum wk_answer kind,
+		     const struct hc_response *answer, enum wk_answer kind,
 		     int64_t sent_us)
 {
 	struct wire_limit limit = pl_limit_decode(answer->headers);
@@ -122,10 +122,10 @@
 		wk->entry.address, NULL);
 	send.ops = &wkp_ops;
 	send.user = call;
-	send.fresh = fresh;
+	send.new_connection = fresh;
 	send.connect_by_us = now + WKP_PROBE_TIMEOUT_US;
 	send.deadline_us = now + WKP_PROBE_TIMEOUT_US;
-	met_add(&edge->met, MET_PROBES);
+	met_increment(&edge->met, MET_PROBES);
 	if (!send.request || hc_start(wk->host, &send, &started)) {
 		evbuffer_free(call->body);
 		free(call);
@@ -170,7 +170,7 @@
 	     wk->entry.id, (int)((now - wk->probed_us) / MAG_US_PER_MS));
 }
 
-static bool wkp_on_headers(void *user, const struct hc_answer *answer)
+static bool wkp_on_headers(void *user, const struct hc_response *answer)
 {
 	struct wkp_call *call = user;
 
@@ -187,7 +187,7 @@
 	evbuffer_add(call->body, bytes, len);
 }
 
-static void wkp_on_end(void *user, enum hc_end end)
+static void wkp_on_end(void *user, enum hc_result end)
 {
 	struct wkp_call *call = user;
 	struct wk *wk = call->wk;
@@ -196,14 +196,14 @@
 
 	wk->probing = false;
 	wk_unref(wk);
-	if (end == HC_WHOLE)
+	if (end == HC_COMPLETE)
 		wk->unresponsive = false;
-	if (end == HC_WHOLE && call->engine) {
+	if (end == HC_COMPLETE && call->engine) {
 		wkp_apply_report(call, now);
-	} else if (end == HC_WHOLE) {
+	} else if (end == HC_COMPLETE) {
 		if (call->status == 200)
 			wk_clear_suspicion(wk);
-	} else if (end == HC_BROKEN && !call->fresh) {
+	} else if (end == HC_CONN_LOST && !call->fresh) {
 		/*
 		 * Workers close idle connections without notice, and links
 		 * reset them; that says nothing about the worker.
@@ -221,13 +221,13 @@
  * for it.
  */
 static void wkp_on_probe_failure(struct edge *edge, struct wk *wk,
-				 enum hc_end end, int64_t now)
+				 enum hc_result end, int64_t now)
 {
 	wk->suspect_until_us = 0;
 	wk_suspect(wk, now, "no answer to a probe");
 	eq_on_suspect(edge, wk, now);
 	/* Silence may be a freeze; a closed port means a dead process. */
-	if (end == HC_UNSENT || end == HC_BROKEN)
+	if (end == HC_UNSENT || end == HC_CONN_LOST)
 		wkp_on_death(edge, wk, now);
 }
 
