--- a/bench/sim_world.c
+++ b/bench/sim_world.c
@@ -184,12 +184,12 @@
 {
 	struct flow_stage stages[SIM_STAGES_MAX];
 	bool joined[SIM_CENTRES * SIM_CENTRES];
-	struct flow_net_in in = {
+	struct flow_net_input in = {
 		.layers = SIM_LAYERS,
 		.stages = stages,
-		.count = sim->stage_count,
-		.centres = SIM_CENTRES,
-		.joined = joined,
+		.stage_count = sim->stage_count,
+		.data_centre_count = SIM_CENTRES,
+		.reachable = joined,
 	};
 	int i;
 
@@ -198,14 +198,14 @@
 	for (i = 0; i < sim->stage_count; i++) {
 		const struct sim_stage *s = &sim->stages[i];
 
-		stages[i].first = s->first;
-		stages[i].end = s->end;
+		stages[i].first_layer = s->first;
+		stages[i].end_layer = s->end;
 		stages[i].rate = s->rate * s->slow;
-		stages[i].link = s->link * s->link_factor;
-		stages[i].centre = s->centre;
+		stages[i].link_rate = s->link * s->link_factor;
+		stages[i].data_centre = s->centre;
 		if (s->dead || s->hung || i == without ||
 		    (side >= 0 && sim->cut[s->centre] != side))
 			stages[i].rate = 0;
 	}
-	return flow_net_value(&in);
+	return flow_net_max_flow(&in);
 }
--- a/regress/check_flow.c
+++ b/regress/check_flow.c
@@ -10,23 +10,23 @@
 
 static struct flow_stage stages[STAGES_MAX];
 static bool joined[STAGES_MAX * STAGES_MAX];
-static struct flow_net_in in;
+static struct flow_net_input in;
 
 /* Prints what binds a network. */
 static void print_limits(FILE *out, const struct flow_net *net)
 {
 	static const char *const kinds[] = {
-		[FLOW_LIMIT_WORK] = "work",
-		[FLOW_LIMIT_LINK] = "link",
+		[FLOW_BOTTLENECK_WORK] = "work",
+		[FLOW_BOTTLENECK_LINK] = "link",
 	};
 	int i;
 
-	for (i = 0; i < net->limit_count; i++) {
-		const struct flow_limit *limit = &net->limits[i];
+	for (i = 0; i < net->bottleneck_count; i++) {
+		const struct flow_bottleneck *limit = &net->bottlenecks[i];
 
 		fprintf(out, "binds %s stage=%d layers=%u-%u at %.1f\n",
-			kinds[limit->kind], limit->stage, limit->first,
-			limit->end - 1, limit->tokens_per_s);
+			kinds[limit->kind], limit->stage, limit->first_layer,
+			limit->end_layer - 1, limit->tokens_per_s);
 	}
 }
 
@@ -39,31 +39,34 @@
 	int k;
 	int e;
 
-	for (k = 1; k + 1 < net->bounds; k++) {
+	for (k = 1; k + 1 < net->boundary_count; k++) {
 		double sum = 0;
 
-		for (e = 0; e < net->count; e++)
-			sum += net->enter[k * net->count + e] -
-			       net->leave[k * net->count + e];
+		for (e = 0; e < net->stage_count; e++)
+			sum += net->inflow[k * net->stage_count + e] -
+			       net->outflow[k * net->stage_count + e];
 		if (sum > 0.01 || sum < -0.01)
-			fprintf(out, "not conserved at %u\n", net->bound[k]);
+			fprintf(out, "not conserved at %u\n",
+				net->boundaries[k]);
 	}
-	for (e = 0; e < net->count; e++) {
+	for (e = 0; e < net->stage_count; e++) {
 		double work = 0;
 		double through = 0;
 		double link = 0;
 
-		for (k = 0; k + 1 < net->bounds; k++) {
-			through += net->enter[k * net->count + e] -
-				   net->leave[k * net->count + e];
-			work += through * (net->bound[k + 1] - net->bound[k]);
+		for (k = 0; k + 1 < net->boundary_count; k++) {
+			through += net->inflow[k * net->stage_count + e] -
+				   net->outflow[k * net->stage_count + e];
+			work += through *
+				(net->boundaries[k + 1] - net->boundaries[k]);
 			if (k > 0)
-				link += net->enter[k * net->count + e];
+				link += net->inflow[k * net->stage_count + e];
 		}
 		if (work >
-		    1.001 * stages[e].rate * (stages[e].end - stages[e].first))
+		    1.001 * stages[e].rate *
+			    (stages[e].end_layer - stages[e].first_layer))
 			fprintf(out, "stage %d works too much\n", e);
-		if (link > 1.001 * stages[e].link)
+		if (link > 1.001 * stages[e].link_rate)
 			fprintf(out, "stage %d takes too much\n", e);
 	}
 }
@@ -75,10 +78,11 @@
 	int e;
 	int k;
 
-	for (e = 0; e < net->count; e++) {
+	for (e = 0; e < net->stage_count; e++) {
 		fprintf(out, "stage %d carries", e);
-		for (k = 0; k + 1 < net->bounds; k++)
-			fprintf(out, " %.1f", net->through[k * net->count + e]);
+		for (k = 0; k + 1 < net->boundary_count; k++)
+			fprintf(out, " %.1f",
+				net->interval_flow[k * net->stage_count + e]);
 		fprintf(out, "\n");
 	}
 	flow_net_free(net);
@@ -89,7 +93,7 @@
 {
 	struct flow_net *net = flow_net_solve(&in);
 
-	fprintf(out, "value %.1f\n", net->value);
+	fprintf(out, "value %.1f\n", net->max_flow);
 	print_limits(out, net);
 	check_net(out, net);
 	flow_net_free(net);
@@ -113,7 +117,8 @@
 	}
 	fprintf(out, "flow %.1f\n", flow_solve(flow, 0, nodes - 1));
 	for (i = 0; i < edges; i++)
-		fprintf(out, "edge %d carries %.1f%s\n", i, flow_on(flow, i),
+		fprintf(out, "edge %d carries %.1f%s\n", i,
+			flow_edge_flow(flow, i),
 			flow_in_cut(flow, i) ? " binds" : "");
 	flow_free(flow);
 }
@@ -128,25 +133,26 @@
 	memset(&in, 0, sizeof(in));
 	memset(joined, true, sizeof(joined));
 	in.stages = stages;
-	in.joined = joined;
-	in.centres = 1;
+	in.reachable = joined;
+	in.data_centre_count = 1;
 	while (fgets(line, sizeof(line), in_file)) {
-		struct flow_stage *s = &stages[in.count];
+		struct flow_stage *s = &stages[in.stage_count];
 
 		if (line[0] == '#') {
 			fputs(line, out);
 		} else if (sscanf(line, "layers %u", &in.layers) == 1 ||
-			   sscanf(line, "centres %d", &in.centres) == 1) {
+			   sscanf(line, "centres %d", &in.data_centre_count) ==
+				   1) {
 			continue;
-		} else if (sscanf(line, "stage %u %u %lf %lf %d", &s->first,
-				  &s->end, &s->rate, &s->link,
-				  &s->centre) == 5) {
-			in.count++;
+		} else if (sscanf(line, "stage %u %u %lf %lf %d",
+				  &s->first_layer, &s->end_layer, &s->rate,
+				  &s->link_rate, &s->data_centre) == 5) {
+			in.stage_count++;
 		} else if (sscanf(line, "rate %d %d", &a, &b) == 2) {
 			stages[a].rate = b;
 		} else if (sscanf(line, "part %d %d", &a, &b) == 2) {
-			joined[a * in.centres + b] = false;
-			joined[b * in.centres + a] = false;
+			joined[a * in.data_centre_count + b] = false;
+			joined[b * in.data_centre_count + a] = false;
 		} else if (sscanf(line, "graph %d", &a) == 1) {
 			graph(in_file, out, a);
 		} else if (strcmp(line, "through\n") == 0) {
--- a/src/flow.c
+++ b/src/flow.c
@@ -123,19 +123,19 @@
 }
 
 /* Returns the flow over an edge. */
-double flow_on(const struct flow *flow, int edge)
+double flow_edge_flow(const struct flow *flow, int edge)
 {
 	return flow->arc[2 * edge + 1].residual;
 }
 
 /* Returns the capacity of an edge. */
-double flow_capacity(const struct flow *flow, int edge)
+double flow_edge_capacity(const struct flow *flow, int edge)
 {
 	return flow->arc[2 * edge].capacity;
 }
 
 /* Tells whether a node is on the source's side of the minimum cut. */
-bool flow_reached(const struct flow *flow, int node)
+bool flow_on_source_side(const struct flow *flow, int node)
 {
 	return flow->level[node] >= 0;
 }
--- a/src/flow.h
+++ b/src/flow.h
@@ -24,9 +24,9 @@
 void flow_set_capacity(struct flow *flow, int edge, double capacity);
 void flow_reset(struct flow *flow);
 double flow_solve(struct flow *flow, int source, int sink);
-double flow_on(const struct flow *flow, int edge);
-double flow_capacity(const struct flow *flow, int edge);
-bool flow_reached(const struct flow *flow, int node);
+double flow_edge_flow(const struct flow *flow, int edge);
+double flow_edge_capacity(const struct flow *flow, int edge);
+bool flow_on_source_side(const struct flow *flow, int node);
 bool flow_in_cut(const struct flow *flow, int edge);
 
 #endif /* FLOW_H */
--- a/src/flow_net.h
+++ b/src/flow_net.h
@@ -13,53 +13,54 @@
 
 /* An endpoint as the graph sees it. */
 struct flow_stage {
-	uint32_t first; /* boundary before its first layer */
-	uint32_t end;	/* boundary after its last layer */
-	double rate;	/* tokens a second over its whole range, 0 if closed */
-	double link;	/* tokens a second that its link takes, each way */
-	int centre;	/* number of its data centre */
+	uint32_t first_layer; /* boundary before its first layer */
+	uint32_t end_layer;   /* boundary after its last layer */
+	double rate; /* tokens a second over its whole range, 0 if closed */
+	double link_rate; /* tokens a second that its link takes, each way */
+	int data_centre;  /* number of its data centre */
 };
 
-struct flow_net_in {
+struct flow_net_input {
 	uint32_t layers;
 	const struct flow_stage *stages;
-	int count;
-	int centres;
+	int stage_count;
+	int data_centre_count;
 	/* centres x centres, symmetric: false where activations can't pass */
-	const bool *joined;
+	const bool *reachable;
 };
 
-enum flow_limit_kind {
-	FLOW_LIMIT_WORK,
-	FLOW_LIMIT_LINK,
+enum flow_bottleneck_kind {
+	FLOW_BOTTLENECK_WORK,
+	FLOW_BOTTLENECK_LINK,
 };
 
 /* An edge that binds the flow. */
-struct flow_limit {
-	enum flow_limit_kind kind;
+struct flow_bottleneck {
+	enum flow_bottleneck_kind kind;
 	int stage;
-	uint32_t first; /* the layers between which it binds */
-	uint32_t end;
+	uint32_t first_layer; /* the layers between which it binds */
+	uint32_t end_layer;
 	double tokens_per_s; /* through these layers */
 };
 
 struct flow_net {
-	double value; /* tokens a second */
-	int count;
-	int bounds; /* boundaries, layer 0 and the last included */
-	uint32_t *bound;
-	double *through; /* parts x count: flow through the part after a bound
-			  */
-	double *enter;	 /* bounds x count: flow that goes in at a boundary */
-	double *leave;	 /* bounds x count: flow that comes out */
-	double *cross;	 /* bounds x centres x centres */
-	struct flow_limit *limits;
-	int limit_count;
+	double max_flow; /* tokens a second */
+	int stage_count;
+	int boundary_count; /* boundaries, layer 0 and the last included */
+	uint32_t *boundaries;
+	double *interval_flow; /* parts x count: flow through the part after a
+				* bound
+				*/
+	double *inflow;	 /* bounds x count: flow that goes in at a boundary */
+	double *outflow; /* bounds x count: flow that comes out */
+	double *cross_flow; /* bounds x centres x centres */
+	struct flow_bottleneck *bottlenecks;
+	int bottleneck_count;
 };
 
-struct flow_net *flow_net_solve(const struct flow_net_in *in);
-double flow_net_value(const struct flow_net_in *in);
+struct flow_net *flow_net_solve(const struct flow_net_input *in);
+double flow_net_max_flow(const struct flow_net_input *in);
 void flow_net_free(struct flow_net *net);
-int flow_net_bound(const struct flow_net *net, uint32_t layer);
+int flow_net_find_boundary(const struct flow_net *net, uint32_t layer);
 
 #endif /* FLOW_NET_H */
--- a/src/pick_plan.c
+++ b/src/pick_plan.c
@@ -68,11 +68,11 @@
  */
 int pick_net_solve(struct pick *pick, struct pick_net *net, int64_t now)
 {
-	struct flow_net_in in = {
+	struct flow_net_input in = {
 		.layers = pick_layers(pick, net->service),
-		.count = net->count,
-		.centres = pick->centre_count,
-		.joined = pick->joined,
+		.stage_count = net->count,
+		.data_centre_count = pick->centre_count,
+		.reachable = pick->joined,
 	};
 	struct flow_stage *stages;
 
@@ -88,7 +88,7 @@
 	free(stages);
 	if (!net->flow)
 		return PICK_E_MEMORY;
-	net->value = net->flow->value;
+	net->value = net->flow->max_flow;
 	net->dirty = false;
 	net->urgent = false;
 	net->solved_us = now;
@@ -102,11 +102,11 @@
 double pick_net_value(const struct pick *pick, const struct pick_net *net,
 		      int without)
 {
-	struct flow_net_in in = {
+	struct flow_net_input in = {
 		.layers = pick_layers(pick, net->service),
-		.count = net->count,
-		.centres = pick->centre_count,
-		.joined = pick->joined,
+		.stage_count = net->count,
+		.data_centre_count = pick->centre_count,
+		.reachable = pick->joined,
 	};
 	struct flow_stage *stages = pick_stages(pick, net, without);
 	double value;
@@ -114,7 +114,7 @@
 	if (!stages)
 		return 0;
 	in.stages = stages;
-	value = flow_net_value(&in);
+	value = flow_net_max_flow(&in);
 	free(stages);
 	return value;
 }
@@ -224,12 +224,12 @@
 	const struct cfg_service *s = &pick->services[ep->cfg.service];
 	bool model = s->kind == CFG_MODEL;
 
-	stage->first = ep->first;
-	stage->end = ep->end;
-	stage->centre = ep->centre;
-	stage->link = PICK_NO_LINK;
+	stage->first_layer = ep->first;
+	stage->end_layer = ep->end;
+	stage->data_centre = ep->centre;
+	stage->link_rate = PICK_NO_LINK;
 	if (model && ep->cfg.link_bytes_per_s > 0 && s->activation_bytes > 0)
-		stage->link =
+		stage->link_rate =
 			(double)ep->cfg.link_bytes_per_s / s->activation_bytes;
 	if (ep->cfg.state == CFG_ACTIVE && !ep->leaving &&
 	    ep->health == PICK_HEALTHY)
@@ -239,7 +239,7 @@
 /* Lists, for each boundary and data centre, who may take over a stream. */
 static int pick_net_options(struct pick *pick, struct pick_net *net)
 {
-	int bounds = net->flow->bounds;
+	int bounds = net->flow->boundary_count;
 	int centres = pick->centre_count;
 	int k;
 	int c;
@@ -295,13 +295,13 @@
 {
 	const struct flow_net *flow = net->flow;
 	int centres = pick->centre_count;
-	const double *cross = &flow->cross[k * centres * centres];
+	const double *cross = &flow->cross_flow[k * centres * centres];
 	int there;
 	int m;
 
 	for (m = 0; m < net->count; m++) {
 		there = pick->eps[net->members[m].ep].centre;
-		factor[there] += flow->enter[k * flow->count + m];
+		factor[there] += flow->inflow[k * flow->stage_count + m];
 	}
 	for (there = 0; there < centres; there++) {
 		double local = factor[there];
@@ -330,7 +330,7 @@
 	const struct pick_ep *ep = &pick->eps[net->members[m].ep];
 
 	if (pick->policy == PICK_FLOW)
-		return net->flow->enter[k * net->count + m] *
+		return net->flow->inflow[k * net->count + m] *
 		       factor[ep->centre];
 	if (!pick_covers(net, ep, k))
 		return 0;
@@ -341,7 +341,7 @@
 static bool pick_covers(const struct pick_net *net, const struct pick_ep *ep,
 			int k)
 {
-	uint32_t layer = net->flow->bound[k];
+	uint32_t layer = net->flow->boundaries[k];
 
 	if (ep->cfg.state != CFG_ACTIVE || ep->leaving ||
 	    ep->health != PICK_HEALTHY)
@@ -359,11 +359,11 @@
 	for (m = 0; m < net->count; m++) {
 		struct pick_member *member = &net->members[m];
 
-		member->exits =
-			calloc((size_t)flow->bounds, sizeof(*member->exits));
+		member->exits = calloc((size_t)flow->boundary_count,
+				       sizeof(*member->exits));
 		if (!member->exits)
 			return PICK_E_MEMORY;
-		for (k = 1; k < flow->bounds; k++) {
+		for (k = 1; k < flow->boundary_count; k++) {
 			double weight = pick_exit_weight(pick, net, k, m);
 
 			if (weight <= 0)
@@ -382,8 +382,8 @@
 	const struct pick_ep *ep = &pick->eps[net->members[m].ep];
 
 	if (pick->policy == PICK_FLOW)
-		return net->flow->leave[k * net->count + m];
-	return net->flow->bound[k] == ep->end;
+		return net->flow->outflow[k * net->count + m];
+	return net->flow->boundaries[k] == ep->end;
 }
 
 /* Frees the solved part of a network. */
--- a/src/pick_seek.c
+++ b/src/pick_seek.c
@@ -179,8 +179,8 @@
 	const struct pick_chain *keep = seek->want->keep;
 	int i;
 
-	for (i = 0; i < seek->net->flow->bounds; i++)
-		seek->mark[seek->net->flow->bound[i]] = true;
+	for (i = 0; i < seek->net->flow->boundary_count; i++)
+		seek->mark[seek->net->flow->boundaries[i]] = true;
 	for (i = 0; keep && i < keep->count; i++) {
 		if (keep->stages[i].last_layer < seek->layers) {
 			seek->mark[keep->stages[i].first_layer] = true;
--- a/src/pick_show.c
+++ b/src/pick_show.c
@@ -112,8 +112,8 @@
 	double flow = 0;
 	int k;
 
-	for (k = 0; k < net->flow->bounds; k++)
-		flow += net->flow->enter[k * net->count + m];
+	for (k = 0; k < net->flow->boundary_count; k++)
+		flow += net->flow->inflow[k * net->count + m];
 	fprintf(out,
 		"%s\n{\"endpoint\":\"%s\",\"first_layer\":%u,"
 		"\"last_layer\":%u,\"state\":\"%s\",\"in_flight\":%u,"
@@ -163,8 +163,8 @@
 int pick_bound_write(struct pick *pick, int service, int64_t now, FILE *out)
 {
 	static const char *const kinds[] = {
-		[FLOW_LIMIT_WORK] = "work",
-		[FLOW_LIMIT_LINK] = "link",
+		[FLOW_BOTTLENECK_WORK] = "work",
+		[FLOW_BOTTLENECK_LINK] = "link",
 	};
 	struct pick_net *net;
 	int err;
@@ -180,8 +180,9 @@
 		return err;
 	fprintf(out, "{\"service\":\"%s\",\"tokens_per_s\":%.1f,\"binds\":[",
 		pick->services[service].name, net->value);
-	for (i = 0; i < net->flow->limit_count; i++) {
-		const struct flow_limit *limit = &net->flow->limits[i];
+	for (i = 0; i < net->flow->bottleneck_count; i++) {
+		const struct flow_bottleneck *limit =
+			&net->flow->bottlenecks[i];
 
 		fprintf(out,
 			"%s\n{\"endpoint\":\"%s\",\"what\":\"%s\","
@@ -189,8 +190,8 @@
 			"\"tokens_per_s\":%.1f}",
 			i ? "," : "",
 			pick->eps[net->members[limit->stage].ep].cfg.name,
-			kinds[limit->kind], limit->first, limit->end - 1,
-			limit->tokens_per_s);
+			kinds[limit->kind], limit->first_layer,
+			limit->end_layer - 1, limit->tokens_per_s);
 	}
 	fprintf(out, "],\"without\":[");
 	for (i = 0; i < net->count; i++)
--- a/src/pick_walk.c
+++ b/src/pick_walk.c
@@ -72,8 +72,8 @@
 		struct pick_stage *stage = &chain->stages[i];
 
 		stage->endpoint = walk.node[i]->options[walk.option[i]].ep;
-		stage->first_layer = net->flow->bound[walk.from[i]];
-		stage->last_layer = net->flow->bound[walk.to[i]] - 1;
+		stage->first_layer = net->flow->boundaries[walk.from[i]];
+		stage->last_layer = net->flow->boundaries[walk.to[i]] - 1;
 	}
 	return PICK_OK;
 }
@@ -85,7 +85,7 @@
 	int two[2] = { -1, -1 };
 	int i;
 
-	if (k + 1 == net->flow->bounds)
+	if (k + 1 == net->flow->boundary_count)
 		return true;
 	if (walk->count == MAG_CHAIN_MAX)
 		return false;
--- a/src/plc_want.c
+++ b/src/plc_want.c
@@ -176,17 +176,18 @@
 	struct flow_stage *stage = &scene->stages[i];
 	uint32_t declared = engine->declared.last - engine->declared.first + 1;
 
-	stage->centre = engine->centre;
-	stage->link = engine->link;
+	stage->data_centre = engine->centre;
+	stage->link_rate = engine->link;
 	if (!range) {
 		stage->rate = 0;
-		stage->first = 0;
-		stage->end = 1;
+		stage->first_layer = 0;
+		stage->end_layer = 1;
 		return;
 	}
-	stage->first = range->first;
-	stage->end = range->last + 1;
-	stage->rate = engine->rate * declared / (stage->end - stage->first);
+	stage->first_layer = range->first;
+	stage->end_layer = range->last + 1;
+	stage->rate = engine->rate * declared /
+		      (stage->end_layer - stage->first_layer);
 }
 
 /* Counts the layers that no stage holds; first and last are the first gap. */
@@ -204,8 +205,8 @@
 
 		for (i = 0; i < scene->count && !covered; i++)
 			covered = scene->stages[i].rate > 0 &&
-				  scene->stages[i].first <= layer &&
-				  scene->stages[i].end > layer;
+				  scene->stages[i].first_layer <= layer &&
+				  scene->stages[i].end_layer > layer;
 		if (covered)
 			continue;
 		if (count == 0)
@@ -219,13 +220,13 @@
 
 static double plc_flow(const struct plc_scene *scene)
 {
-	struct flow_net_in in = { .layers = scene->layers,
-				  .stages = scene->stages,
-				  .count = scene->count,
-				  .centres = scene->centres,
-				  .joined = scene->joined };
+	struct flow_net_input in = { .layers = scene->layers,
+				     .stages = scene->stages,
+				     .stage_count = scene->count,
+				     .data_centre_count = scene->centres,
+				     .reachable = scene->joined };
 
-	return flow_net_value(&in);
+	return flow_net_max_flow(&in);
 }
 
 /* Weighs one order and keeps it if it is the best so far. */
