--- a/src/flow.c
+++ b/src/flow.c
@@ -3,36 +3,36 @@
 
 #include "flow.h"
 
-/* Residual capacities below this count as none, against rounding. */
-#define FLOW_EPSILON	1e-7
-#define FLOW_FIRST_ROOM 64
+/* Residual capacities up to this value count as 0, against rounding errors. */
+#define FLOW_EPSILON	  1e-7
+#define FLOW_INITIAL_ARCS 64
 
-/* One direction of an edge; its reverse is at the index with bit 0 flipped. */
+/* One direction of an edge; the reverse arc's index differs in bit 0. */
 struct flow_arc {
 	int to;
-	int next; /* next arc out of the same node, -1 ends the list */
+	int next; /* next arc from the same node, -1 at the end of the list */
 	double residual;
 	double capacity;
 };
 
 struct flow {
-	int nodes;
-	int arcs;
-	int room;
-	struct flow_arc *arc;
-	int *first;   /* node: first arc out of it */
-	int *current; /* node: arc to try next, within one phase */
-	int *level;   /* node: hops from the source, -1 if unreached */
-	int *queue;
+	int node_count;
+	int arc_count;
+	int arcs_allocated;
+	struct flow_arc *arcs;
+	int *first_arc;	  /* by node: first arc from it, -1 if none */
+	int *current_arc; /* by node: arc to try next in the current phase */
+	int *level;	  /* by node: arcs from the source, -1 if unreached */
+	int *queue;	  /* of the breadth-first search */
 };
 
-static int flow_grow(struct flow *flow);
-static void flow_push_arc(struct flow *flow, int from, int to, double capacity);
-static bool flow_levels(struct flow *flow, int source, int sink);
+static int flow_grow_arcs(struct flow *flow);
+static void flow_add_arc(struct flow *flow, int from, int to, double capacity);
+static bool flow_assign_levels(struct flow *flow, int source, int sink);
 static double flow_augment(struct flow *flow, int node, int sink,
-			   double wanted);
+			   double max_amount);
 
-/* Makes a graph without edges; NULL if memory is short. */
+/* Creates a graph without edges; returns NULL if out of memory. */
 struct flow *flow_new(int nodes)
 {
 	struct flow *flow = calloc(1, sizeof(*flow));
@@ -40,16 +40,17 @@
 
 	if (!flow)
 		return NULL;
-	flow->nodes = nodes;
-	flow->first = malloc(size);
-	flow->current = malloc(size);
+	flow->node_count = nodes;
+	flow->first_arc = malloc(size);
+	flow->current_arc = malloc(size);
 	flow->level = malloc(size);
 	flow->queue = malloc(size);
-	if (!flow->first || !flow->current || !flow->level || !flow->queue) {
+	if (!flow->first_arc || !flow->current_arc || !flow->level ||
+	    !flow->queue) {
 		flow_free(flow);
 		return NULL;
 	}
-	memset(flow->first, -1, size);
+	memset(flow->first_arc, -1, size);
 	memset(flow->level, -1, size);
 	return flow;
 }
@@ -59,60 +60,62 @@
 {
 	if (!flow)
 		return;
-	free(flow->arc);
-	free(flow->first);
-	free(flow->current);
+	free(flow->arcs);
+	free(flow->first_arc);
+	free(flow->current_arc);
 	free(flow->level);
 	free(flow->queue);
 	free(flow);
 }
 
 /*
- * Adds an edge and returns its number, or FLOW_E_MEMORY.  Flow that has been
- * solved already stays, so that a later solve only adds to it.
+ * Adds an edge and returns its number, or FLOW_E_MEMORY.  Flow that was found
+ * before is retained, so that a later solve only adds to it.
  */
 int flow_add_edge(struct flow *flow, int from, int to, double capacity)
 {
-	if (flow->arcs + 2 > flow->room && flow_grow(flow) < 0)
+	if (flow->arc_count + 2 > flow->arcs_allocated &&
+	    flow_grow_arcs(flow) < 0)
 		return FLOW_E_MEMORY;
-	flow_push_arc(flow, from, to, capacity);
-	flow_push_arc(flow, to, from, 0);
-	return flow->arcs / 2 - 1;
+	flow_add_arc(flow, from, to, capacity);
+	flow_add_arc(flow, to, from, 0);
+	return flow->arc_count / 2 - 1;
 }
 
 /*
- * Changes a capacity.  A raise takes effect with the next solve, which keeps
- * the flow so far; a cut asks for flow_reset first.
+ * Changes the capacity of an edge.  An increase takes effect with the next
+ * solve, which retains the existing flow.  A decrease requires a flow_reset
+ * before the next solve.
  */
 void flow_set_capacity(struct flow *flow, int edge, double capacity)
 {
-	struct flow_arc *arc = &flow->arc[2 * edge];
+	struct flow_arc *arc = &flow->arcs[2 * edge];
 
 	arc->residual += capacity - arc->capacity;
 	arc->capacity = capacity;
 }
 
-/* Takes all flow out of the graph. */
+/* Sets the flow over all edges to 0. */
 void flow_reset(struct flow *flow)
 {
 	int i;
 
-	for (i = 0; i < flow->arcs; i++)
-		flow->arc[i].residual = flow->arc[i].capacity;
+	for (i = 0; i < flow->arc_count; i++)
+		flow->arcs[i].residual = flow->arcs[i].capacity;
 }
 
 /*
- * Raises the flow from source to sink to its maximum.  Returns what it added
- * to the flow that the graph held before.
+ * Increases the flow from source to sink to its maximum.  Returns the
+ * increase, without the flow that existed before.
  */
 double flow_solve(struct flow *flow, int source, int sink)
 {
 	double total = 0;
 	double added;
 
-	while (flow_levels(flow, source, sink)) {
-		memcpy(flow->current, flow->first,
-		       (size_t)flow->nodes * sizeof(int));
+	while (flow_assign_levels(flow, source, sink)) {
+		memcpy(flow->current_arc, flow->first_arc,
+		       (size_t)flow->node_count * sizeof(int));
 		do {
 			added = flow_augment(flow, source, sink,
 					     FLOW_UNBOUNDED);
@@ -125,76 +128,84 @@
 /* Returns the flow over an edge. */
 double flow_edge_flow(const struct flow *flow, int edge)
 {
-	return flow->arc[2 * edge + 1].residual;
+	return flow->arcs[2 * edge + 1].residual;
 }
 
 /* Returns the capacity of an edge. */
 double flow_edge_capacity(const struct flow *flow, int edge)
 {
-	return flow->arc[2 * edge].capacity;
+	return flow->arcs[2 * edge].capacity;
 }
 
-/* Tells whether a node is on the source's side of the minimum cut. */
+/*
+ * Returns whether a node is on the source's side of the minimum cut that the
+ * last solve found.
+ */
 bool flow_on_source_side(const struct flow *flow, int node)
 {
 	return flow->level[node] >= 0;
 }
 
 /*
- * Tells whether an edge crosses the minimum cut that the last solve found:
- * these are the edges that bind the flow.
+ * Returns whether an edge crosses the minimum cut that the last solve found.
+ * The edges of the cut limit the flow.
  */
 bool flow_in_cut(const struct flow *flow, int edge)
 {
-	int from = flow->arc[2 * edge + 1].to;
-	int to = flow->arc[2 * edge].to;
+	int from = flow->arcs[2 * edge + 1].to;
+	int to = flow->arcs[2 * edge].to;
 
 	return flow->level[from] >= 0 && flow->level[to] < 0;
 }
 
-/* Doubles the room for arcs. */
-static int flow_grow(struct flow *flow)
+/* Doubles the array of arcs. */
+static int flow_grow_arcs(struct flow *flow)
 {
-	int room = flow->room ? 2 * flow->room : FLOW_FIRST_ROOM;
-	struct flow_arc *arc;
+	int count = flow->arcs_allocated ? 2 * flow->arcs_allocated
+					 : FLOW_INITIAL_ARCS;
+	struct flow_arc *arcs;
 
-	arc = realloc(flow->arc, (size_t)room * sizeof(*arc));
-	if (!arc)
+	arcs = realloc(flow->arcs, (size_t)count * sizeof(*arcs));
+	if (!arcs)
 		return FLOW_E_MEMORY;
-	flow->arc = arc;
-	flow->room = room;
+	flow->arcs = arcs;
+	flow->arcs_allocated = count;
 	return FLOW_OK;
 }
 
-/* Puts one arc in front of its node's list. */
-static void flow_push_arc(struct flow *flow, int from, int to, double capacity)
+/* Adds an arc at the head of its node's list. */
+static void flow_add_arc(struct flow *flow, int from, int to, double capacity)
 {
-	struct flow_arc *arc = &flow->arc[flow->arcs];
+	struct flow_arc *arc = &flow->arcs[flow->arc_count];
 
 	arc->to = to;
-	arc->next = flow->first[from];
+	arc->next = flow->first_arc[from];
 	arc->residual = capacity;
 	arc->capacity = capacity;
-	flow->first[from] = flow->arcs++;
+	flow->first_arc[from] = flow->arc_count++;
 }
 
-/* Numbers the nodes by hops from the source; false if it can't reach sink. */
-static bool flow_levels(struct flow *flow, int source, int sink)
+/*
+ * Sets each node's level to its distance from the source in arcs, by a
+ * breadth-first search.  Returns false if the sink can't be reached.
+ */
+static bool flow_assign_levels(struct flow *flow, int source, int sink)
 {
 	int head = 0;
 	int tail = 0;
 
-	memset(flow->level, -1, (size_t)flow->nodes * sizeof(int));
+	memset(flow->level, -1, (size_t)flow->node_count * sizeof(int));
 	flow->level[source] = 0;
 	flow->queue[tail++] = source;
 	while (head < tail) {
 		int node = flow->queue[head++];
 		int i;
 
-		for (i = flow->first[node]; i >= 0; i = flow->arc[i].next) {
-			int to = flow->arc[i].to;
+		for (i = flow->first_arc[node]; i >= 0;
+		     i = flow->arcs[i].next) {
+			int to = flow->arcs[i].to;
 
-			if (flow->arc[i].residual <= FLOW_EPSILON ||
+			if (flow->arcs[i].residual <= FLOW_EPSILON ||
 			    flow->level[to] >= 0)
 				continue;
 			flow->level[to] = flow->level[node] + 1;
@@ -205,33 +216,36 @@
 }
 
 /*
- * Pushes flow from a node towards the sink along rising levels.  Its depth
- * is that of the graph, a few nodes a stage.  Returns what reached the sink.
+ * Pushes at most max_amount of flow from a node to the sink, along arcs that
+ * lead to the next level.  Returns the amount that reached the sink.  The
+ * recursion is as deep as the graph, a few nodes for each stage.
  */
-static double flow_augment(struct flow *flow, int node, int sink, double wanted)
+static double flow_augment(struct flow *flow, int node, int sink,
+			   double max_amount)
 {
-	double sent = 0;
+	double pushed = 0;
 
 	if (node == sink)
-		return wanted;
-	for (; flow->current[node] >= 0;
-	     flow->current[node] = flow->arc[flow->current[node]].next) {
-		int i = flow->current[node];
-		struct flow_arc *arc = &flow->arc[i];
-		double most = wanted - sent;
-		double got;
+		return max_amount;
+	for (; flow->current_arc[node] >= 0;
+	     flow->current_arc[node] =
+		     flow->arcs[flow->current_arc[node]].next) {
+		int i = flow->current_arc[node];
+		struct flow_arc *arc = &flow->arcs[i];
+		double amount = max_amount - pushed;
+		double added;
 
 		if (arc->residual <= FLOW_EPSILON ||
 		    flow->level[arc->to] != flow->level[node] + 1)
 			continue;
-		if (arc->residual < most)
-			most = arc->residual;
-		got = flow_augment(flow, arc->to, sink, most);
-		arc->residual -= got;
-		flow->arc[i ^ 1].residual += got;
-		sent += got;
-		if (sent >= wanted - FLOW_EPSILON)
+		if (arc->residual < amount)
+			amount = arc->residual;
+		added = flow_augment(flow, arc->to, sink, amount);
+		arc->residual -= added;
+		flow->arcs[i ^ 1].residual += added;
+		pushed += added;
+		if (pushed >= max_amount - FLOW_EPSILON)
 			break;
 	}
-	return sent;
+	return pushed;
 }
--- a/src/flow.h
+++ b/src/flow.h
@@ -2,13 +2,15 @@
 #define FLOW_H
 
 /*
- * Maximum flow on a directed graph with capacities (Dinic).  Nodes are
- * numbered from 0; edges are numbered in the order in which they are added.
- * Capacities and flows share one unit, here tokens a second.
+ * Maximum flow in a directed graph with edge capacities, by Dinic's algorithm.
+ * Nodes are numbered from 0, edges in the order in which they are added.
+ * Capacities and flows have the same unit; flow_level.c uses layers times
+ * tokens a second.
  */
 
 #include <stdbool.h>
 
+/* Capacity of an edge that doesn't restrict the flow. */
 #define FLOW_UNBOUNDED 1e18
 
 enum flow_err {
--- a/src/flow_level.c
+++ b/src/flow_level.c
@@ -3,37 +3,39 @@
 #include "flow_int.h"
 #include "mag.h"
 
-static int flow_level_build(struct flow_level *level);
-static int flow_level_stage(struct flow_level *level, int e);
-static bool flow_level_has(const struct flow_level *level, int e);
-static double flow_level_layers(const struct flow_level *level, int k);
-static double flow_level_link(const struct flow_level *level, int e);
-static double flow_level_demand(const struct flow_level *level);
-static bool flow_level_try(struct flow_level *level);
-static bool flow_level_bind(struct flow_level *level);
-static void flow_level_even(struct flow_level *level);
-static void flow_level_spread(struct flow_level *level, double spread);
-static bool flow_level_spent(const struct flow_level *level, int e);
-
-/* Takes the memory of a level and builds its graph. */
+static int flow_level_build_graph(struct flow_level *level);
+static int flow_level_add_stage(struct flow_level *level, int e);
+static bool flow_level_includes_stage(const struct flow_level *level, int e);
+static double flow_level_layer_count(const struct flow_level *level, int k);
+static double flow_level_link_rate(const struct flow_level *level, int e);
+static double flow_level_bottleneck_layers(const struct flow_level *level);
+static bool flow_level_test_rate(struct flow_level *level);
+static bool flow_level_lower_rate(struct flow_level *level);
+static void flow_level_balance(struct flow_level *level);
+static void flow_level_set_capacities(struct flow_level *level,
+				      double max_ratio);
+static bool flow_level_is_exhausted(const struct flow_level *level, int e);
+
+/* Allocates the arrays of a level and builds its graph. */
 int flow_level_init(struct flow_level *level)
 {
-	struct flow_solver *work = level->work;
-	size_t count = (size_t)work->in->stage_count;
-	size_t parts = (size_t)work->intervals;
-
-	level->flow = flow_new(FLOW_NET_FIRST_INTERVAL + (int)(parts + count));
-	level->edge = malloc((count * parts + 1) * sizeof(int));
-	level->source_edge = malloc((count + 1) * sizeof(int));
-	level->sink_edge = malloc((parts + 1) * sizeof(int));
-	level->in_bottleneck = calloc(parts + 1, sizeof(bool));
+	struct flow_solver *solver = level->solver;
+	size_t stages = (size_t)solver->in->stage_count;
+	size_t intervals = (size_t)solver->intervals;
+
+	level->flow =
+		flow_new(FLOW_NET_FIRST_INTERVAL + (int)(intervals + stages));
+	level->edge = malloc((stages * intervals + 1) * sizeof(int));
+	level->source_edge = malloc((stages + 1) * sizeof(int));
+	level->sink_edge = malloc((intervals + 1) * sizeof(int));
+	level->in_bottleneck = calloc(intervals + 1, sizeof(bool));
 	if (!level->flow || !level->edge || !level->source_edge ||
 	    !level->sink_edge || !level->in_bottleneck)
 		return FLOW_E_MEMORY;
-	return flow_level_build(level);
+	return flow_level_build_graph(level);
 }
 
-/* Frees the memory of a level. */
+/* Frees a level's graph and arrays, also if flow_level_init failed. */
 void flow_level_free(struct flow_level *level)
 {
 	flow_free(level->flow);
@@ -43,16 +45,19 @@
 	free(level->in_bottleneck);
 }
 
-/* Adds the edges: source to endpoints, endpoints to parts, parts to sink. */
-static int flow_level_build(struct flow_level *level)
+/*
+ * Adds the edges from the source to stages, from stages to intervals and from
+ * intervals to the sink.
+ */
+static int flow_level_build_graph(struct flow_level *level)
 {
-	struct flow_solver *work = level->work;
+	struct flow_solver *solver = level->solver;
 	int e;
 	int k;
 
-	for (k = 0; k < work->intervals; k++) {
+	for (k = 0; k < solver->intervals; k++) {
 		level->sink_edge[k] = -1;
-		if (!work->unsettled[k])
+		if (!solver->unsettled[k])
 			continue;
 		level->sink_edge[k] =
 			flow_add_edge(level->flow, FLOW_NET_FIRST_INTERVAL + k,
@@ -60,211 +65,229 @@
 		if (level->sink_edge[k] < 0)
 			return FLOW_E_MEMORY;
 	}
-	for (e = 0; e < work->in->stage_count; e++) {
-		if (flow_level_stage(level, e) < 0)
+	for (e = 0; e < solver->in->stage_count; e++) {
+		if (flow_level_add_stage(level, e) < 0)
 			return FLOW_E_MEMORY;
 	}
 	return FLOW_OK;
 }
 
-/* Adds the edges of one endpoint. */
-static int flow_level_stage(struct flow_level *level, int e)
+/*
+ * Adds the edges of one stage.  The edge from the source limits its work, the
+ * edge to an interval what its link can carry through this interval.
+ */
+static int flow_level_add_stage(struct flow_level *level, int e)
 {
-	struct flow_solver *work = level->work;
-	int node = FLOW_NET_FIRST_INTERVAL + work->intervals + e;
-	double link = flow_level_link(level, e);
+	struct flow_solver *solver = level->solver;
+	int node = FLOW_NET_FIRST_INTERVAL + solver->intervals + e;
+	double link_rate = flow_level_link_rate(level, e);
 	int k;
 
 	level->source_edge[e] = -1;
-	for (k = 0; k < work->intervals; k++)
-		level->edge[e * work->intervals + k] = -1;
-	if (!flow_level_has(level, e))
+	for (k = 0; k < solver->intervals; k++)
+		level->edge[e * solver->intervals + k] = -1;
+	if (!flow_level_includes_stage(level, e))
 		return FLOW_OK;
 	level->source_edge[e] = flow_add_edge(level->flow, FLOW_NET_SOURCE,
-					      node, work->supply[e]);
+					      node, solver->supply[e]);
 	if (level->source_edge[e] < 0)
 		return FLOW_E_MEMORY;
-	for (k = work->first[e]; k < work->end[e]; k++) {
-		int *edge = &level->edge[e * work->intervals + k];
+	for (k = solver->first[e]; k < solver->end[e]; k++) {
+		int *edge = &level->edge[e * solver->intervals + k];
 
-		if (!work->unsettled[k])
+		if (!solver->unsettled[k])
 			continue;
-		*edge = flow_add_edge(level->flow, node,
-				      FLOW_NET_FIRST_INTERVAL + k,
-				      link * flow_level_layers(level, k));
+		*edge = flow_add_edge(
+			level->flow, node, FLOW_NET_FIRST_INTERVAL + k,
+			link_rate * flow_level_layer_count(level, k));
 		if (*edge < 0)
 			return FLOW_E_MEMORY;
 	}
 	return FLOW_OK;
 }
 
-/* Tells whether an endpoint has work left for this group. */
-static bool flow_level_has(const struct flow_level *level, int e)
+/* Returns whether a stage is in this component and has any work left. */
+static bool flow_level_includes_stage(const struct flow_level *level, int e)
 {
-	const struct flow_solver *work = level->work;
+	const struct flow_solver *solver = level->solver;
 
-	return work->component[work->in->stages[e].data_centre] ==
+	return solver->component[solver->in->stages[e].data_centre] ==
 		       level->component &&
-	       work->supply[e] > 0;
+	       solver->supply[e] > 0;
 }
 
-/* Returns the number of layers of a part. */
-static double flow_level_layers(const struct flow_level *level, int k)
+/* Returns the number of layers of an interval. */
+static double flow_level_layer_count(const struct flow_level *level, int k)
 {
-	const uint32_t *bound = level->work->net->boundaries;
+	const uint32_t *boundaries = level->solver->net->boundaries;
 
-	return bound[k + 1] - bound[k];
+	return boundaries[k + 1] - boundaries[k];
 }
 
 /*
- * Returns how many tokens a second may pass one part of an endpoint.  Each
- * stream comes in over its link or goes out over it, unless the endpoint
- * holds the whole model.
+ * Returns how many tokens a second a stage's link allows through one interval.
+ * Each stream enters or leaves the stage over its link, unless the stage holds
+ * the whole model.
  */
-static double flow_level_link(const struct flow_level *level, int e)
+static double flow_level_link_rate(const struct flow_level *level, int e)
 {
-	const struct flow_stage *stage = &level->work->in->stages[e];
+	const struct flow_stage *stage = &level->solver->in->stages[e];
 
 	if (stage->first_layer == 0 &&
-	    stage->end_layer == level->work->in->layers)
+	    stage->end_layer == level->solver->in->layers)
 		return FLOW_UNBOUNDED;
 	return stage->link_rate;
 }
 
-/* Returns the layers of the parts that are thought to bind. */
-static double flow_level_demand(const struct flow_level *level)
+/* Returns the number of layers of the intervals marked in_bottleneck. */
+static double flow_level_bottleneck_layers(const struct flow_level *level)
 {
 	double layers = 0;
 	int k;
 
-	for (k = 0; k < level->work->intervals; k++) {
+	for (k = 0; k < level->solver->intervals; k++) {
 		if (level->in_bottleneck[k])
-			layers += flow_level_layers(level, k);
+			layers += flow_level_layer_count(level, k);
 	}
 	return layers;
 }
 
-/* Finds the most that passes the open parts, and the parts that bind it. */
+/*
+ * Finds the maximum rate through the unsettled intervals, and the intervals
+ * that limit it.  Starts with all unsettled intervals in the bottleneck and the
+ * rate that the whole supply would allow, and lowers it until it is feasible.
+ */
 void flow_level_solve(struct flow_level *level)
 {
 	double supply = 0;
 	int e;
 	int k;
 
-	for (e = 0; e < level->work->in->stage_count; e++) {
+	for (e = 0; e < level->solver->in->stage_count; e++) {
 		if (level->source_edge[e] >= 0)
-			supply += level->work->supply[e];
+			supply += level->solver->supply[e];
 	}
-	for (k = 0; k < level->work->intervals; k++)
+	for (k = 0; k < level->solver->intervals; k++)
 		level->in_bottleneck[k] = level->sink_edge[k] >= 0;
-	level->rate = supply / flow_level_demand(level);
-	while (!flow_level_try(level)) {
-		if (!flow_level_bind(level))
+	level->rate = supply / flow_level_bottleneck_layers(level);
+	while (!flow_level_test_rate(level)) {
+		if (!flow_level_lower_rate(level))
 			break;
 	}
-	flow_level_even(level);
+	flow_level_balance(level);
 }
 
 /*
- * Divides the work on the parts that bind as evenly over each endpoint's
- * range as the rate allows.  Any division reaches the rate, but an endpoint
- * that does much of one part and little of the next one makes streams change
- * endpoints between them: their chains grow longer, a token takes longer
- * around them, and more streams than the endpoints take at once are needed
- * to keep them busy.
+ * Divides each stage's work as evenly among the bottleneck's intervals in its
+ * range as the rate allows.  Other divisions reach the same rate.  But if a
+ * stage does much of the work on one interval and little on the next, streams
+ * have to change endpoints between the two.  Their chains become longer, each
+ * token takes longer to pass its chain, and more streams are needed to keep the
+ * endpoints busy than the endpoints accept at once.
  */
-static void flow_level_even(struct flow_level *level)
+static void flow_level_balance(struct flow_level *level)
 {
-	static const double spreads[] = { 1.01, 1.25, 1.5, 2, 3, 5 };
+	static const double max_ratios[] = { 1.01, 1.25, 1.5, 2, 3, 5 };
 	size_t i;
 
-	for (i = 0; i < MAG_ARRAY_SIZE(spreads); i++) {
-		flow_level_spread(level, spreads[i]);
-		if (flow_level_try(level))
+	for (i = 0; i < MAG_ARRAY_SIZE(max_ratios); i++) {
+		flow_level_set_capacities(level, max_ratios[i]);
+		if (flow_level_test_rate(level))
 			return;
 	}
-	flow_level_spread(level, FLOW_UNBOUNDED);
-	flow_level_try(level);
+	flow_level_set_capacities(level, FLOW_UNBOUNDED);
+	flow_level_test_rate(level);
 }
 
-/* Lets each part have at most a multiple of its even share of the work. */
-static void flow_level_spread(struct flow_level *level, double spread)
+/*
+ * Limits the flow of each stage through an interval to max_ratio times the flow
+ * at an even division of its work, and to what its link allows.
+ */
+static void flow_level_set_capacities(struct flow_level *level,
+				      double max_ratio)
 {
-	struct flow_solver *work = level->work;
+	struct flow_solver *solver = level->solver;
 	int e;
 	int k;
 
-	for (e = 0; e < work->in->stage_count; e++) {
-		double link = flow_level_link(level, e);
+	for (e = 0; e < solver->in->stage_count; e++) {
+		double link_rate = flow_level_link_rate(level, e);
 		double layers = 0;
-		double most;
+		double max_rate;
 
 		if (level->source_edge[e] < 0)
 			continue;
-		for (k = work->first[e]; k < work->end[e]; k++)
+		for (k = solver->first[e]; k < solver->end[e]; k++)
 			layers += level->in_bottleneck[k]
-					  ? flow_level_layers(level, k)
+					  ? flow_level_layer_count(level, k)
 					  : 0;
-		most = layers > 0 ? spread * work->supply[e] / layers : 0;
-		if (most > link)
-			most = link;
-		for (k = work->first[e]; k < work->end[e]; k++) {
-			int edge = level->edge[e * work->intervals + k];
+		max_rate =
+			layers > 0 ? max_ratio * solver->supply[e] / layers : 0;
+		if (max_rate > link_rate)
+			max_rate = link_rate;
+		for (k = solver->first[e]; k < solver->end[e]; k++) {
+			int edge = level->edge[e * solver->intervals + k];
 
 			if (edge >= 0)
 				flow_set_capacity(
 					level->flow, edge,
-					most * flow_level_layers(level, k));
+					max_rate * flow_level_layer_count(level,
+									  k));
 		}
 	}
 }
 
-/* Tries the present rate; true if every part gets the work that it needs. */
-static bool flow_level_try(struct flow_level *level)
+/*
+ * Solves the graph for the level's rate.  Returns whether all intervals of the
+ * bottleneck get the work that they need for it.
+ */
+static bool flow_level_test_rate(struct flow_level *level)
 {
-	double wanted = level->rate * flow_level_demand(level);
+	double demand = level->rate * flow_level_bottleneck_layers(level);
 	int k;
 
-	for (k = 0; k < level->work->intervals; k++) {
+	for (k = 0; k < level->solver->intervals; k++) {
 		double rate = level->in_bottleneck[k] ? level->rate : 0;
 
 		if (level->sink_edge[k] >= 0)
-			flow_set_capacity(level->flow, level->sink_edge[k],
-					  rate * flow_level_layers(level, k));
+			flow_set_capacity(
+				level->flow, level->sink_edge[k],
+				rate * flow_level_layer_count(level, k));
 	}
 	flow_reset(level->flow);
 	return flow_solve(level->flow, FLOW_NET_SOURCE, FLOW_NET_SINK) >=
-	       wanted * FLOW_NET_MET_FRACTION;
+	       demand * FLOW_NET_MET_FRACTION;
 }
 
 /*
- * Lowers the rate to what the work and links that reach the cut allow.
- * Returns false if rounding leaves nothing to lower.
+ * Reduces the bottleneck to the intervals behind the minimum cut, and the rate
+ * to what the work and the links in the cut allow for these intervals.  Returns
+ * false if the rate didn't become lower, which happens through rounding.
  */
-static bool flow_level_bind(struct flow_level *level)
+static bool flow_level_lower_rate(struct flow_level *level)
 {
-	struct flow_solver *work = level->work;
+	struct flow_solver *solver = level->solver;
 	double layers = 0;
 	double supply = 0;
 	double before = level->rate;
 	int e;
 	int k;
 
-	for (k = 0; k < work->intervals; k++) {
+	for (k = 0; k < solver->intervals; k++) {
 		level->in_bottleneck[k] =
 			level->in_bottleneck[k] &&
 			!flow_on_source_side(level->flow,
 					     FLOW_NET_FIRST_INTERVAL + k);
 		if (level->in_bottleneck[k])
-			layers += flow_level_layers(level, k);
+			layers += flow_level_layer_count(level, k);
 	}
-	for (e = 0; e < work->in->stage_count; e++) {
+	for (e = 0; e < solver->in->stage_count; e++) {
 		if (level->source_edge[e] < 0)
 			continue;
 		if (flow_in_cut(level->flow, level->source_edge[e]))
-			supply += work->supply[e];
-		for (k = work->first[e]; k < work->end[e]; k++) {
-			int edge = level->edge[e * work->intervals + k];
+			supply += solver->supply[e];
+		for (k = solver->first[e]; k < solver->end[e]; k++) {
+			int edge = level->edge[e * solver->intervals + k];
 
 			if (edge >= 0 && flow_in_cut(level->flow, edge))
 				supply += flow_edge_capacity(level->flow, edge);
@@ -276,78 +299,84 @@
 }
 
 /*
- * Settles the parts that bind: what passes them is known, and the endpoints
- * that spend all their work on them are done.
+ * Settles the intervals of the bottleneck: records their flows, scaled to the
+ * given rate, and subtracts the work for them from the supplies.  A stage that
+ * has spent all its work takes no part in later levels.
  */
 void flow_level_settle(struct flow_level *level, double rate)
 {
-	struct flow_solver *work = level->work;
+	struct flow_solver *solver = level->solver;
 	double scale = level->rate > 0 ? rate / level->rate : 0;
 	int e;
 	int k;
 
-	for (e = 0; e < work->in->stage_count; e++) {
+	for (e = 0; e < solver->in->stage_count; e++) {
 		if (level->source_edge[e] < 0)
 			continue;
-		for (k = work->first[e]; k < work->end[e]; k++) {
-			int edge = level->edge[e * work->intervals + k];
-			double done;
+		for (k = solver->first[e]; k < solver->end[e]; k++) {
+			int edge = level->edge[e * solver->intervals + k];
+			double used;
 
 			if (edge < 0 || !level->in_bottleneck[k])
 				continue;
-			done = flow_edge_flow(level->flow, edge);
-			work->supply[e] -= done;
-			work->net
-				->interval_flow[k * work->in->stage_count + e] =
-				scale * done / flow_level_layers(level, k);
+			used = flow_edge_flow(level->flow, edge);
+			solver->supply[e] -= used;
+			solver->net->interval_flow[k * solver->in->stage_count +
+						   e] =
+				scale * used / flow_level_layer_count(level, k);
 		}
-		if (flow_level_spent(level, e))
-			work->supply[e] = 0;
+		if (flow_level_is_exhausted(level, e))
+			solver->supply[e] = 0;
 	}
-	for (k = 0; k < work->intervals; k++) {
+	for (k = 0; k < solver->intervals; k++) {
 		if (level->in_bottleneck[k])
-			work->unsettled[k] = false;
+			solver->unsettled[k] = false;
 	}
 }
 
-/* Tells whether an endpoint has no work left but for rounding. */
-static bool flow_level_spent(const struct flow_level *level, int e)
+/* Returns whether a stage has no work left, apart from rounding errors. */
+static bool flow_level_is_exhausted(const struct flow_level *level, int e)
 {
-	const struct flow_stage *stage = &level->work->in->stages[e];
-	double whole = stage->rate * (stage->end_layer - stage->first_layer);
+	const struct flow_stage *stage = &level->solver->in->stages[e];
+	double total = stage->rate * (stage->end_layer - stage->first_layer);
 
-	return level->work->supply[e] <= (1 - FLOW_NET_MET_FRACTION) * whole;
+	return level->solver->supply[e] <= (1 - FLOW_NET_MET_FRACTION) * total;
 }
 
-/* Notes the work and the links that bind the flow. */
+/*
+ * Adds the stages that carry flow through the bottleneck's intervals to the
+ * network's list, with what limits each: its link if the flow fills the link,
+ * otherwise its work.
+ */
 int flow_level_add_bottlenecks(struct flow_level *level)
 {
-	struct flow_solver *work = level->work;
-	struct flow_net *net = work->net;
+	struct flow_solver *solver = level->solver;
+	struct flow_net *net = solver->net;
 	int e;
 	int k;
 
-	for (e = 0; e < work->in->stage_count; e++) {
-		for (k = work->first[e];
-		     level->source_edge[e] >= 0 && k < work->end[e]; k++) {
-			int edge = level->edge[e * work->intervals + k];
-			struct flow_bottleneck *limit;
-			double on;
+	for (e = 0; e < solver->in->stage_count; e++) {
+		for (k = solver->first[e];
+		     level->source_edge[e] >= 0 && k < solver->end[e]; k++) {
+			int edge = level->edge[e * solver->intervals + k];
+			struct flow_bottleneck *bottleneck;
+			double flow;
 
 			if (edge < 0 || !level->in_bottleneck[k])
 				continue;
-			on = flow_edge_flow(level->flow, edge);
-			limit = &net->bottlenecks[net->bottleneck_count];
-			limit->kind = FLOW_BOTTLENECK_WORK;
-			if (on >= FLOW_NET_MET_FRACTION *
-					  flow_level_link(level, e) *
-					  flow_level_layers(level, k))
-				limit->kind = FLOW_BOTTLENECK_LINK;
-			limit->stage = e;
-			limit->first_layer = net->boundaries[k];
-			limit->end_layer = net->boundaries[k + 1];
-			limit->tokens_per_s = on / flow_level_layers(level, k);
-			net->bottleneck_count += limit->tokens_per_s > 0;
+			flow = flow_edge_flow(level->flow, edge);
+			bottleneck = &net->bottlenecks[net->bottleneck_count];
+			bottleneck->kind = FLOW_BOTTLENECK_WORK;
+			if (flow >= FLOW_NET_MET_FRACTION *
+					    flow_level_link_rate(level, e) *
+					    flow_level_layer_count(level, k))
+				bottleneck->kind = FLOW_BOTTLENECK_LINK;
+			bottleneck->stage = e;
+			bottleneck->first_layer = net->boundaries[k];
+			bottleneck->end_layer = net->boundaries[k + 1];
+			bottleneck->tokens_per_s =
+				flow / flow_level_layer_count(level, k);
+			net->bottleneck_count += bottleneck->tokens_per_s > 0;
 		}
 	}
 	return FLOW_OK;
--- a/src/flow_net.c
+++ b/src/flow_net.c
@@ -3,51 +3,51 @@
 
 #include "flow_int.h"
 
-static int flow_net_bounds(struct flow_net *net,
-			   const struct flow_net_input *in);
-static int flow_net_order(const void *a, const void *b);
-static int flow_net_open(struct flow_solver *work);
-static void flow_net_close(struct flow_solver *work);
-static void flow_net_join(struct flow_solver *work);
-static int flow_net_group(struct flow_solver *work, int group);
-static void flow_net_read(struct flow_solver *work);
-static void flow_net_cross(struct flow_solver *work, int k, double *out,
-			   double *into);
+static int flow_net_collect_boundaries(struct flow_net *net,
+				       const struct flow_net_input *in);
+static int flow_net_compare_layers(const void *a, const void *b);
+static int flow_net_solver_init(struct flow_solver *solver);
+static void flow_net_solver_free(struct flow_solver *solver);
+static void flow_net_find_components(struct flow_solver *solver);
+static int flow_net_solve_component(struct flow_solver *solver, int component);
+static void flow_net_set_flows(struct flow_solver *solver);
+static void flow_net_set_cross_flow(struct flow_solver *solver, int k,
+				    double *outflow, double *inflow);
 
 /*
- * Solves a service's graph.  Returns the network, to be freed with
- * flow_net_free, or NULL if memory is short.
+ * Solves a service's network.  Returns the result, which the caller frees with
+ * flow_net_free, or NULL if out of memory.
  */
 struct flow_net *flow_net_solve(const struct flow_net_input *in)
 {
-	struct flow_solver work = { .in = in };
+	struct flow_solver solver = { .in = in };
 	int err = FLOW_E_MEMORY;
 	int i;
 
-	work.net = calloc(1, sizeof(*work.net));
-	if (work.net)
-		err = flow_net_open(&work);
+	solver.net = calloc(1, sizeof(*solver.net));
+	if (solver.net)
+		err = flow_net_solver_init(&solver);
 	for (i = 0; !err && i < in->data_centre_count; i++) {
-		if (work.component[i] == i)
-			err = flow_net_group(&work, i);
+		if (solver.component[i] == i)
+			err = flow_net_solve_component(&solver, i);
 	}
 	if (!err)
-		flow_net_read(&work);
-	flow_net_close(&work);
+		flow_net_set_flows(&solver);
+	flow_net_solver_free(&solver);
 	if (!err)
-		return work.net;
-	flow_net_free(work.net);
+		return solver.net;
+	flow_net_free(solver.net);
 	return NULL;
 }
 
-/* Returns only the value of the maximum flow, 0 if memory is short. */
+/* Returns only the value of the maximum flow, or 0 if out of memory. */
 double flow_net_max_flow(const struct flow_net_input *in)
 {
 	struct flow_net *net = flow_net_solve(in);
-	double value = net ? net->max_flow : 0;
+	double max_flow = net ? net->max_flow : 0;
 
 	flow_net_free(net);
-	return value;
+	return max_flow;
 }
 
 /* Frees a network; NULL is allowed. */
@@ -64,7 +64,7 @@
 	free(net);
 }
 
-/* Returns the number of the boundary before a layer, -1 if it is none. */
+/* Returns the index of the boundary before a layer, or -1 if there is none. */
 int flow_net_find_boundary(const struct flow_net *net, uint32_t layer)
 {
 	int low = 0;
@@ -83,9 +83,9 @@
 	return -1;
 }
 
-/* Collects the boundaries at which any range starts or ends. */
-static int flow_net_bounds(struct flow_net *net,
-			   const struct flow_net_input *in)
+/* Collects the boundaries at which any range starts or ends, sorted. */
+static int flow_net_collect_boundaries(struct flow_net *net,
+				       const struct flow_net_input *in)
 {
 	int count = 0;
 	int i;
@@ -101,7 +101,7 @@
 		net->boundaries[count++] = in->stages[i].end_layer;
 	}
 	qsort(net->boundaries, (size_t)count, sizeof(*net->boundaries),
-	      flow_net_order);
+	      flow_net_compare_layers);
 	for (i = 0; i < count; i++) {
 		if (net->boundary_count == 0 ||
 		    net->boundaries[net->boundary_count - 1] !=
@@ -112,8 +112,8 @@
 	return FLOW_OK;
 }
 
-/* Orders layer numbers for qsort. */
-static int flow_net_order(const void *a, const void *b)
+/* Compares two layer numbers for qsort. */
+static int flow_net_compare_layers(const void *a, const void *b)
 {
 	uint32_t x = *(const uint32_t *)a;
 	uint32_t y = *(const uint32_t *)b;
@@ -121,18 +121,18 @@
 	return (x > y) - (x < y);
 }
 
-/* Takes the memory for solving and for the network. */
-static int flow_net_open(struct flow_solver *work)
+/* Allocates the solver's arrays and those of the network, and fills them. */
+static int flow_net_solver_init(struct flow_solver *solver)
 {
-	const struct flow_net_input *in = work->in;
-	struct flow_net *net = work->net;
+	const struct flow_net_input *in = solver->in;
+	struct flow_net *net = solver->net;
 	size_t cells;
 	int e;
 
-	if (flow_net_bounds(net, in) < 0)
+	if (flow_net_collect_boundaries(net, in) < 0)
 		return FLOW_E_MEMORY;
 	net->stage_count = in->stage_count;
-	work->intervals = net->boundary_count - 1;
+	solver->intervals = net->boundary_count - 1;
 	cells = (size_t)net->boundary_count * in->stage_count + 1;
 	net->interval_flow = calloc(cells, sizeof(double));
 	net->inflow = calloc(cells, sizeof(double));
@@ -143,57 +143,62 @@
 				       in->data_centre_count +
 			       1,
 		       sizeof(double));
-	work->first = calloc((size_t)in->stage_count + 1, sizeof(int));
-	work->end = calloc((size_t)in->stage_count + 1, sizeof(int));
-	work->supply = calloc((size_t)in->stage_count + 1, sizeof(double));
-	work->unsettled = calloc((size_t)work->intervals + 1, sizeof(bool));
-	work->component =
+	solver->first = calloc((size_t)in->stage_count + 1, sizeof(int));
+	solver->end = calloc((size_t)in->stage_count + 1, sizeof(int));
+	solver->supply = calloc((size_t)in->stage_count + 1, sizeof(double));
+	solver->unsettled = calloc((size_t)solver->intervals + 1, sizeof(bool));
+	solver->component =
 		calloc((size_t)in->data_centre_count + 1, sizeof(int));
 	if (!net->interval_flow || !net->inflow || !net->outflow ||
-	    !net->bottlenecks || !net->cross_flow || !work->first ||
-	    !work->end || !work->supply || !work->unsettled || !work->component)
+	    !net->bottlenecks || !net->cross_flow || !solver->first ||
+	    !solver->end || !solver->supply || !solver->unsettled ||
+	    !solver->component)
 		return FLOW_E_MEMORY;
 	for (e = 0; e < in->stage_count; e++) {
 		const struct flow_stage *stage = &in->stages[e];
 
-		work->first[e] =
+		solver->first[e] =
 			flow_net_find_boundary(net, stage->first_layer);
-		work->end[e] = flow_net_find_boundary(net, stage->end_layer);
-		work->supply[e] =
+		solver->end[e] = flow_net_find_boundary(net, stage->end_layer);
+		solver->supply[e] =
 			stage->rate * (stage->end_layer - stage->first_layer);
 	}
-	flow_net_join(work);
+	flow_net_find_components(solver);
 	return FLOW_OK;
 }
 
-/* Frees what only the solving needs. */
-static void flow_net_close(struct flow_solver *work)
+/* Frees the solver's arrays, but not the network. */
+static void flow_net_solver_free(struct flow_solver *solver)
 {
-	free(work->first);
-	free(work->end);
-	free(work->supply);
-	free(work->unsettled);
-	free(work->component);
+	free(solver->first);
+	free(solver->end);
+	free(solver->supply);
+	free(solver->unsettled);
+	free(solver->component);
 }
 
-/* Groups the data centres that activations can pass between. */
-static void flow_net_join(struct flow_solver *work)
+/*
+ * Finds the connected components of the data centres, where an edge means that
+ * activations can be sent between two of them.
+ */
+static void flow_net_find_components(struct flow_solver *solver)
 {
-	int centres = work->in->data_centre_count;
+	int centres = solver->in->data_centre_count;
 	bool changed = true;
 	int a;
 	int b;
 
 	for (a = 0; a < centres; a++)
-		work->component[a] = a;
+		solver->component[a] = a;
 	while (changed) {
 		changed = false;
 		for (a = 0; a < centres; a++) {
 			for (b = 0; b < centres; b++) {
-				if (!work->in->reachable[a * centres + b] ||
-				    work->component[b] <= work->component[a])
+				if (!solver->in->reachable[a * centres + b] ||
+				    solver->component[b] <=
+					    solver->component[a])
 					continue;
-				work->component[b] = work->component[a];
+				solver->component[b] = solver->component[a];
 				changed = true;
 			}
 		}
@@ -201,51 +206,53 @@
 }
 
 /*
- * Solves one group of data centres level by level.  The first level bounds
- * the flow; at the others more could pass, so what they carry is scaled
- * down to the first's.
+ * Solves one component of data centres, level by level.  The first level
+ * limits the flow.  The intervals of the later levels could carry more, so
+ * their flows are scaled down to the rate of the first level.
  */
-static int flow_net_group(struct flow_solver *work, int group)
+static int flow_net_solve_component(struct flow_solver *solver, int component)
 {
 	double rate = -1;
-	int left = work->intervals;
+	int unsettled = solver->intervals;
 	int err = FLOW_OK;
 	int k;
 
-	for (k = 0; k < work->intervals; k++)
-		work->unsettled[k] = true;
-	while (left > 0 && !err && rate != 0) {
-		struct flow_level level = { .work = work, .component = group };
+	for (k = 0; k < solver->intervals; k++)
+		solver->unsettled[k] = true;
+	while (unsettled > 0 && !err && rate != 0) {
+		struct flow_level level = { .solver = solver,
+					    .component = component };
 
 		err = flow_level_init(&level);
 		if (!err) {
 			flow_level_solve(&level);
 			if (rate < 0) {
 				rate = level.rate;
-				work->net->max_flow += rate;
+				solver->net->max_flow += rate;
 				err = flow_level_add_bottlenecks(&level);
 			}
 			flow_level_settle(&level, rate);
 		}
 		flow_level_free(&level);
-		left = 0;
-		for (k = 0; k < work->intervals; k++)
-			left += work->unsettled[k];
+		unsettled = 0;
+		for (k = 0; k < solver->intervals; k++)
+			unsettled += solver->unsettled[k];
 	}
 	return err;
 }
 
 /*
- * Reads where streams go in and come out.  Of the flow through two parts
- * that lie side by side on one endpoint, as much as possible stays on it.
+ * Computes the flow that enters and leaves each stage at each boundary.  Where
+ * a stage carries flow through two adjacent intervals, as much of it as
+ * possible stays on the stage, and only the difference enters or leaves.
  */
-static void flow_net_read(struct flow_solver *work)
+static void flow_net_set_flows(struct flow_solver *solver)
 {
-	struct flow_net *net = work->net;
-	double *out =
-		calloc((size_t)work->in->data_centre_count + 1, sizeof(double));
-	double *into =
-		calloc((size_t)work->in->data_centre_count + 1, sizeof(double));
+	struct flow_net *net = solver->net;
+	double *outflow = calloc((size_t)solver->in->data_centre_count + 1,
+				 sizeof(double));
+	double *inflow = calloc((size_t)solver->in->data_centre_count + 1,
+				sizeof(double));
 	int e;
 	int k;
 
@@ -258,7 +265,7 @@
 				before = net->interval_flow
 						 [(k - 1) * net->stage_count +
 						  e];
-			if (k < work->intervals)
+			if (k < solver->intervals)
 				after = net->interval_flow
 						[k * net->stage_count + e];
 			if (after > before)
@@ -268,53 +275,56 @@
 				net->outflow[k * net->stage_count + e] =
 					before - after;
 		}
-		if (out && into && k > 0 && k < work->intervals)
-			flow_net_cross(work, k, out, into);
+		if (outflow && inflow && k > 0 && k < solver->intervals)
+			flow_net_set_cross_flow(solver, k, outflow, inflow);
 	}
-	free(out);
-	free(into);
+	free(outflow);
+	free(inflow);
 }
 
 /*
- * Divides the flow that changes endpoint at a boundary: as much as possible
- * stays within its data centre, the rest goes where there is need of it.
+ * Divides the flow that changes stages at a boundary among the data centres.
+ * As much as possible stays in its data centre.  The rest goes to the other
+ * data centres of the component, in proportion to their remaining inflow.
+ * outflow and inflow are scratch arrays with one entry for each data centre.
  */
-static void flow_net_cross(struct flow_solver *work, int k, double *out,
-			   double *into)
+static void flow_net_set_cross_flow(struct flow_solver *solver, int k,
+				    double *outflow, double *inflow)
 {
-	const struct flow_net_input *in = work->in;
-	struct flow_net *net = work->net;
-	double *cross = &net->cross_flow[k * in->data_centre_count *
-					 in->data_centre_count];
+	const struct flow_net_input *in = solver->in;
+	struct flow_net *net = solver->net;
+	double *cross_flow = &net->cross_flow[k * in->data_centre_count *
+					      in->data_centre_count];
 	int a;
 	int b;
 	int e;
 
-	memset(out, 0, (size_t)in->data_centre_count * sizeof(*out));
-	memset(into, 0, (size_t)in->data_centre_count * sizeof(*into));
+	memset(outflow, 0, (size_t)in->data_centre_count * sizeof(*outflow));
+	memset(inflow, 0, (size_t)in->data_centre_count * sizeof(*inflow));
 	for (e = 0; e < net->stage_count; e++) {
 		int centre = in->stages[e].data_centre;
 
-		out[centre] += net->outflow[k * net->stage_count + e];
-		into[centre] += net->inflow[k * net->stage_count + e];
+		outflow[centre] += net->outflow[k * net->stage_count + e];
+		inflow[centre] += net->inflow[k * net->stage_count + e];
 	}
 	for (a = 0; a < in->data_centre_count; a++) {
-		double stay = out[a] < into[a] ? out[a] : into[a];
+		double local = outflow[a] < inflow[a] ? outflow[a] : inflow[a];
 
-		out[a] -= stay;
-		into[a] -= stay;
+		outflow[a] -= local;
+		inflow[a] -= local;
 	}
 	for (a = 0; a < in->data_centre_count; a++) {
-		double need = 0;
+		double remaining = 0;
 
 		for (b = 0; b < in->data_centre_count; b++)
-			need += work->component[a] == work->component[b]
-					? into[b]
+			remaining +=
+				solver->component[a] == solver->component[b]
+					? inflow[b]
 					: 0;
-		for (b = 0; need > 0 && b < in->data_centre_count; b++) {
-			if (work->component[a] == work->component[b])
-				cross[a * in->data_centre_count + b] =
-					out[a] * into[b] / need;
+		for (b = 0; remaining > 0 && b < in->data_centre_count; b++) {
+			if (solver->component[a] == solver->component[b])
+				cross_flow[a * in->data_centre_count + b] =
+					outflow[a] * inflow[b] / remaining;
 		}
 	}
 }
