--- a/src/pick_plan.c
+++ b/src/pick_plan.c
@@ -73,11 +73,11 @@
  */
 int pick_net_solve(struct pick *pick, struct pick_net *net, int64_t now)
 {
-	struct flow_net_in in = {
+	struct flow_net_input in = {
 		.layers = pick_layer_count(pick, net->service),
-		.count = net->count,
-		.centres = pick->data_centre_count,
-		.joined = pick->reachable,
+		.stage_count = net->count,
+		.data_centre_count = pick->data_centre_count,
+		.reachable = pick->reachable,
 	};
 	struct flow_stage *stages;
 
@@ -93,7 +93,7 @@
 	free(stages);
 	if (!net->flow)
 		return PICK_E_MEMORY;
-	net->max_flow = net->flow->value;
+	net->max_flow = net->flow->max_flow;
 	net->dirty = false;
 	net->urgent = false;
 	net->solved_us = now;
@@ -107,11 +107,11 @@
 double pick_net_max_flow(const struct pick *pick, const struct pick_net *net,
 			 int without)
 {
-	struct flow_net_in in = {
+	struct flow_net_input in = {
 		.layers = pick_layer_count(pick, net->service),
-		.count = net->count,
-		.centres = pick->data_centre_count,
-		.joined = pick->reachable,
+		.stage_count = net->count,
+		.data_centre_count = pick->data_centre_count,
+		.reachable = pick->reachable,
 	};
 	struct flow_stage *stages = pick_flow_stages(pick, net, without);
 	double value;
@@ -119,7 +119,7 @@
 	if (!stages)
 		return 0;
 	in.stages = stages;
-	value = flow_net_value(&in);
+	value = flow_net_max_flow(&in);
 	free(stages);
 	return value;
 }
@@ -235,12 +235,12 @@
 	const struct cfg_service *s = &pick->services[ep->cfg.service];
 	bool model = s->kind == CFG_MODEL;
 
-	stage->first = ep->first_layer;
-	stage->end = ep->end_layer;
-	stage->centre = ep->data_centre;
-	stage->link = PICK_UNLIMITED_LINK;
+	stage->first_layer = ep->first_layer;
+	stage->end_layer = ep->end_layer;
+	stage->data_centre = ep->data_centre;
+	stage->link_rate = PICK_UNLIMITED_LINK;
 	if (model && ep->cfg.link_bytes_per_s > 0 && s->activation_bytes > 0)
-		stage->link =
+		stage->link_rate =
 			(double)ep->cfg.link_bytes_per_s / s->activation_bytes;
 	if (ep->cfg.state == CFG_ACTIVE && !ep->leaving &&
 	    ep->health == PICK_HEALTHY)
@@ -253,7 +253,7 @@
  */
 static int pick_net_add_options(struct pick *pick, struct pick_net *net)
 {
-	int boundaries = net->flow->bounds;
+	int boundaries = net->flow->boundary_count;
 	int data_centre_count = pick->data_centre_count;
 	int boundary;
 	int c;
@@ -313,14 +313,15 @@
 {
 	const struct flow_net *flow = net->flow;
 	int data_centre_count = pick->data_centre_count;
-	const double *cross =
-		&flow->cross[boundary * data_centre_count * data_centre_count];
+	const double *cross = &flow->cross_flow[boundary * data_centre_count *
+						data_centre_count];
 	int entry_centre;
 	int m;
 
 	for (m = 0; m < net->count; m++) {
 		entry_centre = pick->eps[net->members[m].ep].data_centre;
-		factor[entry_centre] += flow->enter[boundary * flow->count + m];
+		factor[entry_centre] +=
+			flow->inflow[boundary * flow->stage_count + m];
 	}
 	for (entry_centre = 0; entry_centre < data_centre_count;
 	     entry_centre++) {
@@ -354,7 +355,7 @@
 	const struct pick_ep *ep = &pick->eps[net->members[m].ep];
 
 	if (pick->policy == PICK_FLOW)
-		return net->flow->enter[boundary * net->count + m] *
+		return net->flow->inflow[boundary * net->count + m] *
 		       factor[ep->data_centre];
 	if (!pick_is_candidate(net, ep, boundary))
 		return 0;
@@ -365,7 +366,7 @@
 static bool pick_is_candidate(const struct pick_net *net,
 			      const struct pick_ep *ep, int boundary)
 {
-	uint32_t layer = net->flow->bound[boundary];
+	uint32_t layer = net->flow->boundaries[boundary];
 
 	if (ep->cfg.state != CFG_ACTIVE || ep->leaving ||
 	    ep->health != PICK_HEALTHY)
@@ -383,11 +384,12 @@
 	for (m = 0; m < net->count; m++) {
 		struct pick_member *member = &net->members[m];
 
-		member->exits =
-			calloc((size_t)flow->bounds, sizeof(*member->exits));
+		member->exits = calloc((size_t)flow->boundary_count,
+				       sizeof(*member->exits));
 		if (!member->exits)
 			return PICK_E_MEMORY;
-		for (boundary = 1; boundary < flow->bounds; boundary++) {
+		for (boundary = 1; boundary < flow->boundary_count;
+		     boundary++) {
 			double weight =
 				pick_exit_weight(pick, net, boundary, m);
 
@@ -410,8 +412,8 @@
 	const struct pick_ep *ep = &pick->eps[net->members[m].ep];
 
 	if (pick->policy == PICK_FLOW)
-		return net->flow->leave[boundary * net->count + m];
-	return net->flow->bound[boundary] == ep->end_layer;
+		return net->flow->outflow[boundary * net->count + m];
+	return net->flow->boundaries[boundary] == ep->end_layer;
 }
 
 /* Frees the results of the last solve. */
--- a/src/pick_seek.c
+++ b/src/pick_seek.c
@@ -189,8 +189,8 @@
 	const struct pick_chain *broken = seek->request->resume_from;
 	int i;
 
-	for (i = 0; i < seek->net->flow->bounds; i++)
-		seek->is_boundary[seek->net->flow->bound[i]] = true;
+	for (i = 0; i < seek->net->flow->boundary_count; i++)
+		seek->is_boundary[seek->net->flow->boundaries[i]] = true;
 	for (i = 0; broken && i < broken->count; i++) {
 		if (broken->stages[i].last_layer < seek->layers) {
 			seek->is_boundary[broken->stages[i].first_layer] = true;
--- a/src/pick_walk.c
+++ b/src/pick_walk.c
@@ -77,8 +77,8 @@
 		struct pick_stage *stage = &chain->stages[i];
 
 		stage->endpoint = walk.node[i]->options[walk.option[i]].ep;
-		stage->first_layer = net->flow->bound[walk.from[i]];
-		stage->last_layer = net->flow->bound[walk.to[i]] - 1;
+		stage->first_layer = net->flow->boundaries[walk.from[i]];
+		stage->last_layer = net->flow->boundaries[walk.to[i]] - 1;
 	}
 	return PICK_OK;
 }
@@ -93,7 +93,7 @@
 	int candidates[2] = { -1, -1 };
 	int i;
 
-	if (boundary + 1 == net->flow->bounds)
+	if (boundary + 1 == net->flow->boundary_count)
 		return true;
 	if (walk->count == MAG_CHAIN_MAX)
 		return false;
