--- a/regress/check_plc.c
+++ b/regress/check_plc.c
@@ -126,10 +126,10 @@
 	const char *word = "taken";
 
 	result->id = order->id;
-	result->status = engine->alive ? PLC_DONE : PLC_LOST;
+	result->status = engine->alive ? PLC_DONE : PLC_NO_ANSWER;
 	if (engine->alive && order->kind == PLC_LOAD) {
 		if (run->now > order->deadline_us) {
-			result->status = PLC_LOST;
+			result->status = PLC_NO_ANSWER;
 			word = "past its deadline";
 		} else if (engine->checks && order->fence < engine->newest) {
 			result->status = PLC_REFUSED;
@@ -281,7 +281,8 @@
 
 static void start(struct run *run, int count)
 {
-	struct plc_settings settings = { .enabled = true, .moves = run->moves };
+	struct plc_settings settings = { .enabled = true,
+					 .allow_moves = run->moves };
 	int i;
 
 	run->set.services = &run->service;
--- a/src/ord.c
+++ b/src/ord.c
@@ -157,7 +157,7 @@
 		else if (code == CURLE_OK && status == ORD_HTTP_OK)
 			result->status = PLC_DONE;
 		else
-			result->status = PLC_LOST;
+			result->status = PLC_NO_ANSWER;
 	}
 	if (result->status == PLC_DONE)
 		ord_read_state(&answer, result);
--- a/src/plc.c
+++ b/src/plc.c
@@ -19,7 +19,7 @@
 static void plc_decide(struct plc *plc, int64_t now);
 static bool plc_all_read(const struct plc *plc);
 static int plc_loads(const struct plc *plc);
-static void plc_want(struct plc *plc, const struct plc_move *move,
+static void plc_want(struct plc *plc, const struct plc_candidate *move,
 		     double flow_now, uint32_t gap_now, int64_t now);
 static void plc_send(struct plc *plc, struct plc_engine *engine,
 		     enum plc_order_kind kind, int64_t now);
@@ -137,8 +137,8 @@
 	plc_lease_lost(plc, "stopping", now);
 	plc->drop_pending = true;
 	for (i = 0; i < plc->engine_count; i++) {
-		if (plc->engines[i].running &&
-		    plc->engines[i].running_kind == PLC_LOAD)
+		if (plc->engines[i].pending_id &&
+		    plc->engines[i].pending_kind == PLC_LOAD)
 			plc->drop_pending = false;
 	}
 }
@@ -153,7 +153,7 @@
 		return;
 	plc_ask_states(plc, now);
 	if (now >= plc->decide_due_us) {
-		plc->decide_due_us = now + PLC_DECIDE_US;
+		plc->decide_due_us = now + PLC_DECIDE_PERIOD_US;
 		plc_decide(plc, now);
 	}
 }
@@ -186,7 +186,7 @@
 	memset(call, 0, sizeof(*call));
 	call->id = drop ? 2 : 1;
 	call->op = drop ? KV_LEASE_DROP : KV_LEASE_TAKE;
-	call->ttl_ms = (uint32_t)(PLC_TTL_US / MAG_US_PER_MS);
+	call->ttl_ms = (uint32_t)(PLC_LEASE_TTL_US / MAG_US_PER_MS);
 	snprintf(call->key, sizeof(call->key), "place/%s",
 		 plc->settings.data_centre);
 	call->value = strdup(plc->holder);
@@ -206,7 +206,7 @@
 	if (!plc->call_running)
 		return PLC_E_UNKNOWN;
 	plc->call_running = false;
-	plc->lease_due_us = now + PLC_RETRY_US;
+	plc->lease_due_us = now + PLC_LEASE_RETRY_US;
 	if (reply->status == KV_OK && !plc->stopping)
 		plc_lease_taken(plc, reply->version, now);
 	else if (reply->status == KV_CONFLICT && plc->lease == PLC_LEASE_HELD)
@@ -235,10 +235,10 @@
 	for (i = 0; i < plc->engine_count; i++) {
 		struct plc_engine *engine = &plc->engines[i];
 
-		if (engine->running != result->id || result->id == 0)
+		if (engine->pending_id != result->id || result->id == 0)
 			continue;
-		engine->running = 0;
-		if (engine->running_kind == PLC_READ_STATE)
+		engine->pending_id = 0;
+		if (engine->pending_kind == PLC_READ_STATE)
 			plc_state_read(plc, engine, result, now);
 		else
 			plc_load_done(plc, engine, result, now);
@@ -257,17 +257,18 @@
 	memcpy(engine->address, from->address, MAG_ADDR_MAX);
 	engine->service = from->service;
 	engine->centre = plc_centre(plc, from->data_centre);
-	engine->own = strcmp(from->data_centre, plc->settings.data_centre) == 0;
+	engine->local =
+		strcmp(from->data_centre, plc->settings.data_centre) == 0;
 	engine->checks_fencing = from->checks_fencing;
 	if (from->state == CFG_DRAIN)
 		engine->leaving = true;
 	engine->declared.first = from->first_layer;
 	engine->declared.last = from->last_layer;
-	engine->rate = from->tokens_per_s;
-	engine->link = PLC_LINK_UNKNOWN;
+	engine->tokens_per_s = from->tokens_per_s;
+	engine->link_tokens_per_s = PLC_LINK_UNKNOWN;
 	if (from->link_bytes_per_s && service->activation_bytes)
-		engine->link = (double)from->link_bytes_per_s /
-			       service->activation_bytes;
+		engine->link_tokens_per_s = (double)from->link_bytes_per_s /
+					    service->activation_bytes;
 }
 
 /* Numbers the data centres by the first endpoint that names each. */
@@ -324,8 +325,9 @@
 	bool renewed = plc->lease == PLC_LEASE_HELD && plc->fence == fence;
 	size_t i;
 
-	plc->lease_until_us = plc->lease_call_us + PLC_TTL_US - PLC_MARGIN_US;
-	plc->lease_due_us = plc->lease_call_us + PLC_RENEW_US;
+	plc->lease_until_us =
+		plc->lease_call_us + PLC_LEASE_TTL_US - PLC_CLOCK_MARGIN_US;
+	plc->lease_due_us = plc->lease_call_us + PLC_LEASE_RENEW_US;
 	if (renewed)
 		return;
 	if (plc->lease_until_us <= now)
@@ -338,7 +340,8 @@
 	 * on top of this one's.  After this wait all such orders are past
 	 * their deadlines.
 	 */
-	plc->waited_until_us = now + PLC_TTL_US + PLC_ORDER_US + PLC_MARGIN_US;
+	plc->handover_until_us = now + PLC_LEASE_TTL_US + PLC_ORDER_TIMEOUT_US +
+				 PLC_CLOCK_MARGIN_US;
 	for (i = 0; i < plc->engine_count; i++)
 		plc_start_over(&plc->engines[i], now);
 	plc->decide_due_us = now;
@@ -349,11 +352,11 @@
 /* Forgets an engine's state; an order still under way may yet land. */
 static void plc_start_over(struct plc_engine *engine, int64_t now)
 {
-	if (engine->running && engine->running_kind == PLC_LOAD)
-		engine->quiet_until_us = now + PLC_ORDER_US;
-	engine->running = 0;
-	engine->known = false;
-	engine->wanted = false;
+	if (engine->pending_id && engine->pending_kind == PLC_LOAD)
+		engine->no_order_until_us = now + PLC_ORDER_TIMEOUT_US;
+	engine->pending_id = 0;
+	engine->state_known = false;
+	engine->load_due = false;
 	engine->failures = 0;
 	engine->next_read_us = now;
 }
@@ -363,7 +366,7 @@
 {
 	plc->lease = PLC_LEASE_NONE;
 	plc_forget_orders(plc);
-	plc->lease_due_us = now + PLC_RETRY_US;
+	plc->lease_due_us = now + PLC_LEASE_RETRY_US;
 	log_event(LOG_PLC_LEASE, "dc=%s fence=%llu held=0 why=\"%s\"",
 		  plc->settings.data_centre, (unsigned long long)plc->fence,
 		  why);
@@ -377,8 +380,8 @@
 
 	for (i = plc->order_next; i < plc->order_count; i++) {
 		for (j = 0; j < plc->engine_count; j++) {
-			if (plc->engines[j].running == plc->orders[i].id)
-				plc->engines[j].running = 0;
+			if (plc->engines[j].pending_id == plc->orders[i].id)
+				plc->engines[j].pending_id = 0;
 		}
 	}
 	plc->order_count = 0;
@@ -393,7 +396,7 @@
 	for (i = 0; i < plc->engine_count; i++) {
 		struct plc_engine *engine = &plc->engines[i];
 
-		if (engine->own && !engine->running &&
+		if (engine->local && !engine->pending_id &&
 		    now >= engine->next_read_us)
 			plc_send(plc, engine, PLC_READ_STATE, now);
 	}
@@ -402,7 +405,7 @@
 /* Decides on at most one order for each service. */
 static void plc_decide(struct plc *plc, int64_t now)
 {
-	struct plc_move move;
+	struct plc_candidate move;
 	uint32_t gap = 0;
 	double flow = 0;
 	size_t i;
@@ -413,7 +416,7 @@
 		if (plc->set->services[i].kind != CFG_MODEL ||
 		    plc_loads(plc) >= PLC_LOADS_MAX)
 			continue;
-		if (plc_choose(plc, (int)i, now, &move, &flow, &gap))
+		if (plc_choose_order(plc, (int)i, now, &move, &flow, &gap))
 			plc_want(plc, &move, flow, gap, now);
 	}
 }
@@ -426,7 +429,7 @@
 	for (i = 0; i < plc->engine_count; i++) {
 		const struct plc_engine *engine = &plc->engines[i];
 
-		if (engine->own && !engine->known &&
+		if (engine->local && !engine->state_known &&
 		    engine->failures < PLC_FAILURES_MAX)
 			return false;
 	}
@@ -440,27 +443,27 @@
 	size_t i;
 
 	for (i = 0; i < plc->engine_count; i++)
-		count += plc->engines[i].own &&
-			 (plc->engines[i].wanted || plc->engines[i].loading);
+		count += plc->engines[i].local &&
+			 (plc->engines[i].load_due || plc->engines[i].loading);
 	return count;
 }
 
 /* Notes what an engine is to hold; its state is read once more first. */
-static void plc_want(struct plc *plc, const struct plc_move *move,
+static void plc_want(struct plc *plc, const struct plc_candidate *move,
 		     double flow_now, uint32_t gap_now, int64_t now)
 {
 	struct plc_engine *engine = &plc->engines[move->engine];
 
-	engine->wanted = true;
-	engine->want = move->range;
-	engine->load_until_us = now + PLC_LOAD_US;
+	engine->load_due = true;
+	engine->target = move->range;
+	engine->load_until_us = now + PLC_LOAD_TIMEOUT_US;
 	engine->next_read_us = now;
 	log_event(LOG_PLC_DECIDED,
 		  "engine=%s model=%s layers=%u-%u load=%u uncovered=%u->%u "
 		  "flow=%.0f->%.0f",
 		  engine->name, plc->set->services[engine->service].name,
-		  move->range.first, move->range.last, move->load, gap_now,
-		  move->uncovered, flow_now, move->flow);
+		  move->range.first, move->range.last, move->layers_to_load,
+		  gap_now, move->uncovered, flow_now, move->flow);
 }
 
 /* Leaves an order or a question for the shell. */
@@ -479,14 +482,14 @@
 	memcpy(order->address, engine->address, MAG_ADDR_MAX);
 	memcpy(order->model, plc->set->services[engine->service].name,
 	       MAG_NAME_MAX);
-	order->first_layer = engine->want.first;
-	order->last_layer = engine->want.last;
+	order->first_layer = engine->target.first;
+	order->last_layer = engine->target.last;
 	order->fence = plc->fence;
 	order->send_before_us = plc->lease_until_us;
-	order->deadline_us = now + PLC_ORDER_US;
-	engine->running = order->id;
-	engine->running_kind = kind;
-	engine->next_read_us = now + PLC_READ_US;
+	order->deadline_us = now + PLC_ORDER_TIMEOUT_US;
+	engine->pending_id = order->id;
+	engine->pending_kind = kind;
+	engine->next_read_us = now + PLC_STATE_POLL_US;
 }
 
 /* Takes an engine's state, and sends the order that waited for it. */
@@ -495,9 +498,9 @@
 {
 	if (result->status != PLC_DONE) {
 		engine->failures++;
-		engine->next_read_us = now + PLC_WATCH_US;
+		engine->next_read_us = now + PLC_LOADING_POLL_US;
 		if (engine->failures == PLC_FAILURES_MAX) {
-			engine->wanted = false;
+			engine->load_due = false;
 			log_event(LOG_PLC_DOWN, "engine=%s", engine->name);
 		}
 		return;
@@ -511,7 +514,7 @@
 {
 	const char *model = plc->set->services[engine->service].name;
 
-	engine->known = true;
+	engine->state_known = true;
 	engine->failures = 0;
 	engine->loading = result->loading;
 	engine->holds = !result->loading && strcmp(result->model, model) == 0;
@@ -523,19 +526,20 @@
 static void plc_follow_up(struct plc *plc, struct plc_engine *engine,
 			  int64_t now)
 {
-	bool there = engine->holds && plc_same(&engine->held, &engine->want);
+	bool there = engine->holds &&
+		     plc_range_equal(&engine->held, &engine->target);
 
-	if (!engine->wanted)
+	if (!engine->load_due)
 		return;
 	if (there || now >= engine->load_until_us) {
-		engine->wanted = false;
+		engine->load_due = false;
 		log_event(LOG_PLC_PLACED, "engine=%s layers=%u-%u reached=%d",
-			  engine->name, engine->want.first, engine->want.last,
-			  there);
+			  engine->name, engine->target.first,
+			  engine->target.last, there);
 		return;
 	}
-	engine->next_read_us = now + PLC_WATCH_US;
-	if (engine->loading || now < engine->quiet_until_us ||
+	engine->next_read_us = now + PLC_LOADING_POLL_US;
+	if (engine->loading || now < engine->no_order_until_us ||
 	    plc->lease != PLC_LEASE_HELD || now >= plc->lease_until_us)
 		return;
 	plc_send(plc, engine, PLC_LOAD, now);
@@ -545,12 +549,12 @@
 static void plc_load_done(struct plc *plc, struct plc_engine *engine,
 			  const struct plc_order_result *result, int64_t now)
 {
-	engine->next_read_us = now + PLC_WATCH_US;
-	engine->quiet_until_us = now + PLC_WATCH_US;
-	if (result->status == PLC_LOST)
-		engine->quiet_until_us = now + PLC_ORDER_US;
+	engine->next_read_us = now + PLC_LOADING_POLL_US;
+	engine->no_order_until_us = now + PLC_LOADING_POLL_US;
+	if (result->status == PLC_NO_ANSWER)
+		engine->no_order_until_us = now + PLC_ORDER_TIMEOUT_US;
 	log_event(LOG_PLC_ORDERED, "engine=%s layers=%u-%u fence=%llu end=%d",
-		  engine->name, engine->want.first, engine->want.last,
+		  engine->name, engine->target.first, engine->target.last,
 		  (unsigned long long)plc->fence, (int)result->status);
 	/* A higher number exists, so another instance holds the lease. */
 	if (result->status == PLC_REFUSED && plc->lease == PLC_LEASE_HELD)
--- a/src/plc.h
+++ b/src/plc.h
@@ -41,9 +41,9 @@
 
 enum plc_order_status {
 	PLC_DONE,
-	PLC_REFUSED, /* the engine knows a higher fencing number */
-	PLC_UNSENT,  /* dropped before the first byte */
-	PLC_LOST,    /* sent, no answer: it may be carried out */
+	PLC_REFUSED,   /* the engine knows a higher fencing number */
+	PLC_UNSENT,    /* dropped before the first byte */
+	PLC_NO_ANSWER, /* sent, no answer: it may be carried out */
 };
 
 struct plc_order_result {
@@ -65,7 +65,7 @@
 	 * Routers take an engine at its declared range, so this stays off
 	 * until they are told of the moves.
 	 */
-	bool moves;
+	bool allow_moves;
 };
 
 enum plc_err {
--- a/src/plc_want.c
+++ b/src/plc_want.c
@@ -27,10 +27,11 @@
 			      int *last);
 static double plc_flow(const struct plc_scene *scene);
 static void plc_try(struct plc_scene *scene, int engine,
-		    const struct plc_range *range, struct plc_move *best,
-		    const struct plc_move *now_is);
-static bool plc_better(const struct plc_move *move, const struct plc_move *best,
-		       const struct plc_move *now_is);
+		    const struct plc_range *range, struct plc_candidate *best,
+		    const struct plc_candidate *now_is);
+static bool plc_better(const struct plc_candidate *move,
+		       const struct plc_candidate *best,
+		       const struct plc_candidate *now_is);
 static uint32_t plc_load(const struct plc_engine *engine,
 			 const struct plc_range *range);
 
@@ -40,10 +41,11 @@
  * drawn from the weight store, then an engine that holds nothing.  Returns
  * false if no order is worth its load.
  */
-bool plc_choose(const struct plc *plc, int service, int64_t now,
-		struct plc_move *best, double *flow_now, uint32_t *gap_now)
+bool plc_choose_order(const struct plc *plc, int service, int64_t now,
+		      struct plc_candidate *best, double *flow_now,
+		      uint32_t *gap_now)
 {
-	struct plc_move now_is = { .engine = PLC_NONE };
+	struct plc_candidate now_is = { .engine = PLC_NONE };
 	struct plc_scene scene;
 	int first;
 	int last;
@@ -67,7 +69,7 @@
 		    !plc_may_move(plc, engine, now))
 			continue;
 		plc_try(&scene, (int)i, &engine->declared, best, &now_is);
-		if (!plc->settings.moves || now_is.uncovered == 0)
+		if (!plc->settings.allow_moves || now_is.uncovered == 0)
 			continue;
 		if (at.last >= scene.layers)
 			at.last = scene.layers - 1;
@@ -81,13 +83,13 @@
 }
 
 /* True while an engine answers. */
-bool plc_up(const struct plc_engine *engine)
+bool plc_engine_up(const struct plc_engine *engine)
 {
-	return engine->known && engine->failures < PLC_FAILURES_MAX;
+	return engine->state_known && engine->failures < PLC_FAILURES_MAX;
 }
 
 /* True if two ranges are the same. */
-bool plc_same(const struct plc_range *a, const struct plc_range *b)
+bool plc_range_equal(const struct plc_range *a, const struct plc_range *b)
 {
 	return a->first == b->first && a->last == b->last;
 }
@@ -96,11 +98,12 @@
 static bool plc_may_move(const struct plc *plc, const struct plc_engine *engine,
 			 int64_t now)
 {
-	if (!engine->own || engine->leaving || !plc_up(engine))
+	if (!engine->local || engine->leaving || !plc_engine_up(engine))
 		return false;
-	if (engine->wanted || engine->loading || engine->quiet_until_us > now)
+	if (engine->load_due || engine->loading ||
+	    engine->no_order_until_us > now)
 		return false;
-	return engine->checks_fencing || plc->waited_until_us <= now;
+	return engine->checks_fencing || plc->handover_until_us <= now;
 }
 
 /* Builds the stages as they are, or will be once what is ordered is there. */
@@ -154,14 +157,14 @@
 {
 	if (engine->leaving)
 		return false;
-	if (!engine->own) {
+	if (!engine->local) {
 		*range = engine->declared;
 		return true;
 	}
-	if (!plc_up(engine))
+	if (!plc_engine_up(engine))
 		return false;
-	if (engine->wanted) {
-		*range = engine->want;
+	if (engine->load_due) {
+		*range = engine->target;
 		return true;
 	}
 	*range = engine->held;
@@ -177,7 +180,7 @@
 	uint32_t declared = engine->declared.last - engine->declared.first + 1;
 
 	stage->centre = engine->centre;
-	stage->link = engine->link;
+	stage->link = engine->link_tokens_per_s;
 	if (!range) {
 		stage->rate = 0;
 		stage->first = 0;
@@ -186,7 +189,8 @@
 	}
 	stage->first = range->first;
 	stage->end = range->last + 1;
-	stage->rate = engine->rate * declared / (stage->end - stage->first);
+	stage->rate =
+		engine->tokens_per_s * declared / (stage->end - stage->first);
 }
 
 /* Counts the layers that no stage holds; first and last are the first gap. */
@@ -230,39 +234,41 @@
 
 /* Weighs one order and keeps it if it is the best so far. */
 static void plc_try(struct plc_scene *scene, int engine,
-		    const struct plc_range *range, struct plc_move *best,
-		    const struct plc_move *now_is)
+		    const struct plc_range *range, struct plc_candidate *best,
+		    const struct plc_candidate *now_is)
 {
 	const struct plc_engine *of = &scene->plc->engines[engine];
 	struct flow_stage before = scene->stages[engine];
-	struct plc_move move = { .engine = engine, .range = *range };
+	struct plc_candidate move = { .engine = engine, .range = *range };
 	int first;
 	int last;
 
-	if (of->holds && plc_same(&of->held, range))
+	if (of->holds && plc_range_equal(&of->held, range))
 		return;
 	plc_set_stage(scene, (size_t)engine, range);
 	move.uncovered = plc_uncovered(scene, &first, &last);
 	move.flow = plc_flow(scene);
-	move.load = plc_load(of, range);
-	move.restore = !of->holds;
-	move.declared = plc_same(&of->declared, range);
+	move.layers_to_load = plc_load(of, range);
+	move.engine_empty = !of->holds;
+	move.declared = plc_range_equal(&of->declared, range);
 	scene->stages[engine] = before;
 	if (plc_better(&move, best, now_is))
 		*best = move;
 }
 
 /* Says whether an order is worth it, and better than the best so far. */
-static bool plc_better(const struct plc_move *move, const struct plc_move *best,
-		       const struct plc_move *now_is)
+static bool plc_better(const struct plc_candidate *move,
+		       const struct plc_candidate *best,
+		       const struct plc_candidate *now_is)
 {
-	double gain = (move->flow - now_is->flow) / (move->load + 1);
-	double best_gain = (best->flow - now_is->flow) / (best->load + 1);
+	double gain = (move->flow - now_is->flow) / (move->layers_to_load + 1);
+	double best_gain =
+		(best->flow - now_is->flow) / (best->layers_to_load + 1);
 
 	if (move->uncovered > now_is->uncovered)
 		return false;
-	if (move->uncovered == now_is->uncovered && !move->restore &&
-	    move->flow < now_is->flow * PLC_GAIN_LEAST)
+	if (move->uncovered == now_is->uncovered && !move->engine_empty &&
+	    move->flow < now_is->flow * PLC_MIN_GAIN)
 		return false;
 	if (best->engine == PLC_NONE)
 		return true;
@@ -272,7 +278,7 @@
 		return gain > best_gain;
 	if (move->declared != best->declared)
 		return move->declared;
-	return move->load < best->load;
+	return move->layers_to_load < best->layers_to_load;
 }
 
 /* How many layers an engine would draw from the weight store. */
