--- a/src/fleet.c
+++ b/src/fleet.c
@@ -206,7 +206,7 @@
 		peer_hurry(fleet->peer, link, now);
 		fleet_hurry(fleet);
 	}
-	lim_take(fleet->lim, fleet->peer, link, msg);
+	lim_receive(fleet->lim, fleet->peer, link, msg);
 	fleet_see_revision(fleet, link, now);
 	return FLEET_OK;
 }
@@ -222,7 +222,7 @@
 	memcpy(address, peer_link_address(fleet->peer, link), MAG_ADDR_MAX);
 	peer_fill(fleet->peer, link, fleet->now, msg);
 	spread_fill(fleet->spread, fleet->peer, link, fleet->now, msg);
-	lim_fill(fleet->lim, fleet->peer, link, msg);
+	lim_fill_message(fleet->lim, fleet->peer, link, msg);
 	if (msg->news_count > 0)
 		peer_hurry(fleet->peer, link, fleet->now + FLEET_RESEND_US);
 	return true;
@@ -293,13 +293,13 @@
 /* How many instances pool limits with this one, itself included. */
 uint32_t fleet_group(const struct fleet *fleet)
 {
-	return lim_group(fleet->lim);
+	return lim_group_size(fleet->lim);
 }
 
 /* How many instances the platform's list holds. */
 uint32_t fleet_listed(const struct fleet *fleet)
 {
-	return lim_entitled(fleet->lim);
+	return lim_part_count(fleet->lim);
 }
 
 /*
--- a/src/lim.c
+++ b/src/lim.c
@@ -36,10 +36,10 @@
 
 	if (!lim)
 		return NULL;
-	lim->group = 1;
-	lim->local = 1;
+	lim->group_size = 1;
+	lim->local_count = 1;
 	lim->instances_max = instances_max;
-	lim->entitled = instances_max;
+	lim->part_count = instances_max;
 	return lim;
 }
 
@@ -51,8 +51,8 @@
 	if (!lim)
 		return;
 	for (i = 0; i < lim->link_count; i++) {
-		free(lim->links[i].in);
-		free(lim->links[i].out);
+		free(lim->links[i].received);
+		free(lim->links[i].sent);
 	}
 	free(lim->links);
 	free(lim->rows);
@@ -76,7 +76,7 @@
 		lim_row_set(&rows[i], &set->limits[i], (int)i);
 	qsort(rows, count, sizeof(*rows), lim_compare);
 	for (i = 0; i < count; i++) {
-		int old = first ? -1 : lim_find(lim, rows[i].hash);
+		int old = first ? -1 : lim_find_row(lim, rows[i].hash);
 
 		if (first)
 			lim_start(lim, &rows[i]);
@@ -84,8 +84,8 @@
 			continue;
 		rows[i].demand = lim->rows[old].demand;
 		rows[i].announced = lim->rows[old].announced;
-		memcpy(rows[i].least, lim->rows[old].least,
-		       sizeof(rows[i].least));
+		memcpy(rows[i].slot_min, lim->rows[old].slot_min,
+		       sizeof(rows[i].slot_min));
 	}
 	if (lim_remap(lim, rows, count)) {
 		free(rows);
@@ -94,8 +94,8 @@
 	free(lim->rows);
 	lim->rows = rows;
 	lim->row_count = count;
-	lim->news_next = 0;
-	lim->next_us = now;
+	lim->share_cursor = 0;
+	lim->next_tick_us = now;
 	return LIM_OK;
 }
 
@@ -119,32 +119,32 @@
 /* Sums up demand and works out this instance's part of each limit. */
 void lim_tick(struct lim *lim, const struct peer *peer, int64_t now)
 {
-	if (now < lim->next_us)
+	if (now < lim->next_tick_us)
 		return;
-	lim->next_us = now + LIM_ROUND_US;
+	lim->next_tick_us = now + LIM_ROUND_US;
 	lim_announce(lim);
 	lim_sum(lim, peer);
 	lim_window(lim, peer, now);
-	lim->news_next = 0;
+	lim->share_cursor = 0;
 }
 
 /* When lim_tick has something to do next. */
 int64_t lim_next_deadline(const struct lim *lim)
 {
-	return lim->row_count ? lim->next_us : MAG_NEVER;
+	return lim->row_count ? lim->next_tick_us : MAG_NEVER;
 }
 
 /* Gives the next limit of which this instance's part changed. */
 bool lim_next_share(struct lim *lim, struct lim_share *share)
 {
-	while (lim->news_next < lim->row_count) {
-		struct lim_row *row = &lim->rows[lim->news_next++];
+	while (lim->share_cursor < lim->row_count) {
+		struct lim_row *row = &lim->rows[lim->share_cursor++];
 		double now = lim_least(row);
 
-		if (row->told >= 0 &&
-		    fabs(now - row->told) <= LIM_SHARE_STEP * row->told)
+		if (row->reported >= 0 &&
+		    fabs(now - row->reported) <= LIM_SHARE_STEP * row->reported)
 			continue;
-		row->told = now;
+		row->reported = now;
 		share->limit = row->limit;
 		share->requests_per_s = now * row->requests_per_s;
 		share->tokens_per_s = now * row->tokens_per_s;
@@ -155,15 +155,15 @@
 }
 
 /* How many instances pool their parts with this one, itself included. */
-uint32_t lim_group(const struct lim *lim)
+uint32_t lim_group_size(const struct lim *lim)
 {
-	return lim->group;
+	return lim->group_size;
 }
 
 /* In how many parts each limit is held. */
-uint32_t lim_entitled(const struct lim *lim)
+uint32_t lim_part_count(const struct lim *lim)
 {
-	return lim->entitled;
+	return lim->part_count;
 }
 
 /*
@@ -196,7 +196,7 @@
 }
 
 /* Finds the row of a limit by hash; -1 if the set lacks it. */
-int lim_find(const struct lim *lim, uint32_t hash)
+int lim_find_row(const struct lim *lim, uint32_t hash)
 {
 	size_t low = 0;
 	size_t high = lim->row_count;
@@ -232,9 +232,9 @@
 	row->requests_per_s = from->requests_per_s;
 	row->tokens_per_s = from->tokens_per_s;
 	row->concurrent = from->concurrent;
-	row->told = -1;
-	for (slot = 0; slot < LIM_SLOTS; slot++)
-		row->least[slot] = 1;
+	row->reported = -1;
+	for (slot = 0; slot < LIM_WINDOW_SLOTS; slot++)
+		row->slot_min[slot] = 1;
 }
 
 /*
@@ -246,8 +246,8 @@
 {
 	size_t slot;
 
-	for (slot = 0; slot < LIM_SLOTS; slot++)
-		row->least[slot] = LIM_START / lim->instances_max;
+	for (slot = 0; slot < LIM_WINDOW_SLOTS; slot++)
+		row->slot_min[slot] = LIM_START / lim->instances_max;
 }
 
 /* Moves what each link knows to the places of the new rows. */
@@ -257,18 +257,18 @@
 
 	for (i = 0; i < lim->link_count; i++) {
 		struct lim_link *link = &lim->links[i];
-		float *in = lim_column(lim, link->in, rows, count);
-		float *out = lim_column(lim, link->out, rows, count);
+		float *in = lim_column(lim, link->received, rows, count);
+		float *out = lim_column(lim, link->sent, rows, count);
 
 		if (!in || !out) {
 			free(in);
 			free(out);
 			return LIM_E_MEMORY;
 		}
-		free(link->in);
-		free(link->out);
-		link->in = in;
-		link->out = out;
+		free(link->received);
+		free(link->sent);
+		link->received = in;
+		link->sent = out;
 		link->cursor = 0;
 	}
 	return LIM_OK;
@@ -282,7 +282,7 @@
 	size_t i;
 
 	for (i = 0; column && old && i < count; i++) {
-		int from = lim_find(lim, rows[i].hash);
+		int from = lim_find_row(lim, rows[i].hash);
 
 		if (from >= 0)
 			column[i] = old[from];
@@ -315,17 +315,17 @@
 
 	for (i = 0; i < lim->row_count; i++)
 		lim->rows[i].local = lim->rows[i].announced;
-	lim->local = 1;
-	lim->group = 1;
+	lim->local_count = 1;
+	lim->group_size = 1;
 	for (i = 0; i < peer_link_count(peer); i++) {
 		if (peer_link_kind(peer, (int)i) == PEER_LINK_LOCAL &&
 		    peer_link_rail(peer, (int)i) != 0 &&
 		    peer_link_agrees(peer, (int)i)) {
-			lim->local++;
+			lim->local_count++;
 			lim_add_link(lim, (int)i, true);
 		}
 	}
-	lim->group = lim->local;
+	lim->group_size = lim->local_count;
 	for (i = 0; i < lim->row_count; i++)
 		lim->rows[i].total = lim->rows[i].local;
 	for (i = 0; i < peer_link_count(peer); i++) {
@@ -333,16 +333,16 @@
 		    !peer_link_agrees(peer, (int)i) ||
 		    peer_link_rail(peer, (int)i) != peer_rail(peer))
 			continue;
-		lim->group += peer_link_group(peer, (int)i);
+		lim->group_size += peer_link_group(peer, (int)i);
 		lim_add_link(lim, (int)i, false);
 		if (peer_link_listed(peer, (int)i) > listed)
 			listed = peer_link_listed(peer, (int)i);
 	}
-	lim->entitled = listed;
+	lim->part_count = listed;
 	if (peer_chief(peer) >= 0)
 		lim_follow(lim, peer, peer_chief(peer));
-	if (lim->entitled < lim->group)
-		lim->entitled = lim->group;
+	if (lim->part_count < lim->group_size)
+		lim->part_count = lim->group_size;
 }
 
 /*
@@ -368,8 +368,8 @@
 	if (listed == 0)
 		listed = told;
 	if (listed > 0)
-		lim->known = listed;
-	return lim->known > 0 ? lim->known : lim->instances_max;
+		lim->last_listed = listed;
+	return lim->last_listed > 0 ? lim->last_listed : lim->instances_max;
 }
 
 /* Adds what a link told to the sums. */
@@ -377,13 +377,13 @@
 {
 	size_t i;
 
-	if ((size_t)link >= lim->link_count || !lim->links[link].in)
+	if ((size_t)link >= lim->link_count || !lim->links[link].received)
 		return;
 	for (i = 0; i < lim->row_count; i++) {
 		if (local)
-			lim->rows[i].local += lim->links[link].in[i];
+			lim->rows[i].local += lim->links[link].received[i];
 		else
-			lim->rows[i].total += lim->links[link].in[i];
+			lim->rows[i].total += lim->links[link].received[i];
 	}
 }
 
@@ -400,20 +400,21 @@
 
 	if ((size_t)chief < lim->link_count)
 		state = &lim->links[chief];
-	lim->group = 1;
-	if (state && state->in && state->sends_totals &&
+	lim->group_size = 1;
+	if (state && state->received && state->sends_totals &&
 	    peer_link_agrees(peer, chief)) {
-		lim->group = peer_link_group(peer, chief);
-		lim->entitled = listed; /* from a fresher list than this one */
-	} else if (listed > lim->entitled) {
-		lim->entitled = listed;
+		lim->group_size = peer_link_group(peer, chief);
+		lim->part_count =
+			listed; /* from a fresher list than this one */
+	} else if (listed > lim->part_count) {
+		lim->part_count = listed;
 	}
 	for (i = 0; i < lim->row_count; i++) {
 		struct lim_row *row = &lim->rows[i];
 
 		row->total = row->announced;
-		if (lim->group > 1 && state->in[i] > row->total)
-			row->total = state->in[i];
+		if (lim->group_size > 1 && state->received[i] > row->total)
+			row->total = state->received[i];
 	}
 }
 
@@ -429,27 +430,28 @@
 	size_t i;
 
 	if (next) {
-		lim->slot_end_us = now + peer_hold_us(peer) / (LIM_SLOTS - 1);
-		lim->slot = (lim->slot + 1) % LIM_SLOTS;
+		lim->slot_end_us =
+			now + peer_hold_us(peer) / (LIM_WINDOW_SLOTS - 1);
+		lim->slot = (lim->slot + 1) % LIM_WINDOW_SLOTS;
 	}
 	for (i = 0; i < lim->row_count; i++) {
 		struct lim_row *row = &lim->rows[i];
-		double part =
-			lim_fraction(row->announced, row->total, lim->group,
-				     lim->entitled, lim_size(row));
+		double part = lim_fraction(row->announced, row->total,
+					   lim->group_size, lim->part_count,
+					   lim_size(row));
 
-		if (next || part < row->least[lim->slot])
-			row->least[lim->slot] = part;
+		if (next || part < row->slot_min[lim->slot])
+			row->slot_min[lim->slot] = part;
 	}
 }
 
 /* The least fraction in all slots: what may be used now. */
 static double lim_least(const struct lim_row *row)
 {
-	double least = row->least[0];
+	double least = row->slot_min[0];
 	size_t slot;
 
-	for (slot = 1; slot < LIM_SLOTS; slot++)
-		least = fmin(least, row->least[slot]);
+	for (slot = 1; slot < LIM_WINDOW_SLOTS; slot++)
+		least = fmin(least, row->slot_min[slot]);
 	return least;
 }
--- a/src/lim.h
+++ b/src/lim.h
@@ -33,15 +33,15 @@
 void lim_free(struct lim *lim);
 int lim_config(struct lim *lim, const struct cfg_set *set, int64_t now);
 int lim_note_demand(struct lim *lim, int limit, double demand);
-void lim_take(struct lim *lim, const struct peer *peer, int link,
-	      const struct peer_msg *msg);
-void lim_fill(struct lim *lim, const struct peer *peer, int link,
-	      struct peer_msg *msg);
+void lim_receive(struct lim *lim, const struct peer *peer, int link,
+		 const struct peer_msg *msg);
+void lim_fill_message(struct lim *lim, const struct peer *peer, int link,
+		      struct peer_msg *msg);
 void lim_tick(struct lim *lim, const struct peer *peer, int64_t now);
 int64_t lim_next_deadline(const struct lim *lim);
 bool lim_next_share(struct lim *lim, struct lim_share *share);
-uint32_t lim_group(const struct lim *lim);
-uint32_t lim_entitled(const struct lim *lim);
+uint32_t lim_group_size(const struct lim *lim);
+uint32_t lim_part_count(const struct lim *lim);
 double lim_fraction(double own, double total, uint32_t group, uint32_t entitled,
 		    double limit);
 
--- a/src/lim_link.c
+++ b/src/lim_link.c
@@ -25,8 +25,8 @@
 		    float value, struct peer_msg *msg);
 
 /* Takes the demand that a message tells. */
-void lim_take(struct lim *lim, const struct peer *peer, int link,
-	      const struct peer_msg *msg)
+void lim_receive(struct lim *lim, const struct peer *peer, int link,
+		 const struct peer_msg *msg)
 {
 	struct lim_link *state = lim_link(lim, peer, link);
 	bool totals = msg->flags & PEER_F_RAIL0;
@@ -35,18 +35,19 @@
 	if (!state)
 		return;
 	if (totals != state->sends_totals)
-		memset(state->in, 0, lim->row_count * sizeof(*state->in));
+		memset(state->received, 0,
+		       lim->row_count * sizeof(*state->received));
 	state->sends_totals = totals;
 	if (msg->flags & PEER_F_GAP) {
 		for (i = 0; i < lim->row_count; i++)
-			state->out[i] = NAN;
+			state->sent[i] = NAN;
 	}
 	for (i = 0; i < msg->demand_count; i++) {
-		int row = lim_find(lim, msg->demands[i].limit);
+		int row = lim_find_row(lim, msg->demands[i].limit);
 		float demand = msg->demands[i].demand;
 
 		if (row >= 0 && isfinite(demand) && demand >= 0)
-			state->in[row] = demand;
+			state->received[row] = demand;
 	}
 }
 
@@ -56,23 +57,23 @@
  * centre to other bridges, and the first bridge the sum of all that it
  * reaches to its data centre.
  */
-void lim_fill(struct lim *lim, const struct peer *peer, int link,
-	      struct peer_msg *msg)
+void lim_fill_message(struct lim *lim, const struct peer *peer, int link,
+		      struct peer_msg *msg)
 {
 	struct lim_link *state = lim_link(lim, peer, link);
 	enum lim_view view = lim_view(peer, link);
 	bool totals = view == LIM_TOTAL;
 	size_t i;
 
-	msg->group = view == LIM_LOCAL ? lim->local : lim->group;
+	msg->group = view == LIM_LOCAL ? lim->local_count : lim->group_size;
 	if (totals)
-		msg->listed = lim->entitled;
+		msg->listed = lim->part_count;
 	if (!state || view == LIM_NOTHING)
 		return;
-	if (totals != state->told_totals) {
+	if (totals != state->sent_totals) {
 		for (i = 0; i < lim->row_count; i++)
-			state->out[i] = NAN;
-		state->told_totals = totals;
+			state->sent[i] = NAN;
+		state->sent_totals = totals;
 	}
 	lim_choose(lim, state, view, peer_demands_fit(peer), msg);
 }
@@ -95,15 +96,15 @@
 		lim->link_count = count;
 	}
 	state = &lim->links[link];
-	if (state->in && state->out && state->epoch == epoch)
+	if (state->received && state->sent && state->epoch == epoch)
 		return state;
-	free(state->in);
-	free(state->out);
+	free(state->received);
+	free(state->sent);
 	memset(state, 0, sizeof(*state));
 	state->epoch = epoch;
-	state->in = calloc(lim->row_count + 1, sizeof(*state->in));
-	state->out = calloc(lim->row_count + 1, sizeof(*state->out));
-	return state->in && state->out ? state : NULL;
+	state->received = calloc(lim->row_count + 1, sizeof(*state->received));
+	state->sent = calloc(lim->row_count + 1, sizeof(*state->sent));
+	return state->received && state->sent ? state : NULL;
 }
 
 /* Says what the other side of a link is told. */
@@ -141,7 +142,7 @@
 	for (r = 0; r < lim->row_count; r++) {
 		double u = lim_urgency(&lim->rows[r],
 				       lim_value(&lim->rows[r], view),
-				       state->out[r]);
+				       state->sent[r]);
 
 		if (u <= 0 || max == 0 ||
 		    (count == max && u <= urgency[count - 1]))
@@ -183,5 +184,5 @@
 
 	entry->limit = lim->rows[row].hash;
 	entry->demand = value;
-	state->out[row] = value;
+	state->sent[row] = value;
 }
