--- a/src/fleet.c
+++ b/src/fleet.c
@@ -202,7 +202,7 @@
 	fleet->now = now;
 	if (peer_receive(fleet->peer, msg, now, &link))
 		return FLEET_E_DROPPED;
-	if (spread_take(fleet->spread, fleet->peer, link, msg, now) > 0) {
+	if (spread_receive(fleet->spread, fleet->peer, link, msg, now) > 0) {
 		peer_hurry(fleet->peer, link, now);
 		fleet_hurry(fleet);
 	}
@@ -221,7 +221,7 @@
 		return false;
 	memcpy(address, peer_link_address(fleet->peer, link), MAG_ADDR_MAX);
 	peer_fill(fleet->peer, link, fleet->now, msg);
-	spread_fill(fleet->spread, fleet->peer, link, fleet->now, msg);
+	spread_fill_message(fleet->spread, fleet->peer, link, fleet->now, msg);
 	lim_fill_message(fleet->lim, fleet->peer, link, msg);
 	if (msg->news_count > 0)
 		peer_hurry(fleet->peer, link, fleet->now + FLEET_RESEND_US);
@@ -468,9 +468,9 @@
 
 static bool fleet_news_record(struct fleet *fleet, struct fleet_news *news)
 {
-	struct spread_news record;
+	struct spread_change record;
 
-	if (!spread_next_news(fleet->spread, &record))
+	if (!spread_next_change(fleet->spread, &record))
 		return false;
 	if (record.kind == PEER_REC_LEAVING) {
 		news->type = FLEET_NEWS_LEAVING;
@@ -482,9 +482,9 @@
 		return true;
 	}
 	news->type = FLEET_NEWS_QUARANTINE;
-	news->quarantine.endpoints_lost = record.lost;
+	news->quarantine.endpoints_lost = record.endpoints_lost;
 	news->quarantine.until_us = record.until_us;
-	memcpy(news->quarantine.print, record.print, MAG_DIGEST_BYTES);
+	memcpy(news->quarantine.print, record.fingerprint, MAG_DIGEST_BYTES);
 	return true;
 }
 
--- a/src/spread.c
+++ b/src/spread.c
@@ -146,8 +146,8 @@
  * Takes the records of a message.  Returns how many it brought, so that the
  * caller acknowledges them soon.
  */
-int spread_take(struct spread *spread, const struct peer *peer, int link,
-		const struct peer_msg *msg, int64_t now)
+int spread_receive(struct spread *spread, const struct peer *peer, int link,
+		   const struct peer_msg *msg, int64_t now)
 {
 	struct spread_link *state = spread_link(spread, peer, link);
 	uint32_t i;
@@ -170,8 +170,8 @@
 }
 
 /* Adds to a message what its receiver hasn't acknowledged. */
-void spread_fill(struct spread *spread, const struct peer *peer, int link,
-		 int64_t now, struct peer_msg *msg)
+void spread_fill_message(struct spread *spread, const struct peer *peer,
+			 int link, int64_t now, struct peer_msg *msg)
 {
 	struct spread_link *state = spread_link(spread, peer, link);
 	struct spread_record *record;
@@ -240,7 +240,7 @@
 }
 
 /* Gives the next record that changed by what a peer said. */
-bool spread_next_news(struct spread *spread, struct spread_news *news)
+bool spread_next_change(struct spread *spread, struct spread_change *news)
 {
 	struct spread_record *record;
 
@@ -251,9 +251,9 @@
 	record->has_news = false;
 	news->kind = record->rec.kind;
 	memcpy(news->endpoint, record->rec.endpoint, MAG_NAME_MAX);
-	memcpy(news->print, record->rec.print, MAG_DIGEST_BYTES);
+	memcpy(news->fingerprint, record->rec.print, MAG_DIGEST_BYTES);
 	news->leaving = record->rec.leaving;
-	news->lost = record->rec.lost;
+	news->endpoints_lost = record->rec.lost;
 	news->until_us = record->until_us;
 	return true;
 }
--- a/src/spread.h
+++ b/src/spread.h
@@ -31,12 +31,12 @@
 };
 
 /* A record as this instance has it now. */
-struct spread_news {
+struct spread_change {
 	enum peer_record_kind kind;
 	char endpoint[MAG_NAME_MAX];
 	bool leaving;
-	uint8_t print[MAG_DIGEST_BYTES];
-	uint32_t lost;
+	uint8_t fingerprint[MAG_DIGEST_BYTES];
+	uint32_t endpoints_lost;
 	int64_t until_us;
 };
 
@@ -48,14 +48,14 @@
 int spread_note_quarantine(struct spread *spread,
 			   const uint8_t print[MAG_DIGEST_BYTES], uint32_t lost,
 			   int64_t until_us, int64_t now);
-int spread_take(struct spread *spread, const struct peer *peer, int link,
-		const struct peer_msg *msg, int64_t now);
-void spread_fill(struct spread *spread, const struct peer *peer, int link,
-		 int64_t now, struct peer_msg *msg);
+int spread_receive(struct spread *spread, const struct peer *peer, int link,
+		   const struct peer_msg *msg, int64_t now);
+void spread_fill_message(struct spread *spread, const struct peer *peer,
+			 int link, int64_t now, struct peer_msg *msg);
 bool spread_pending(const struct spread *spread, const struct peer *peer,
 		    int link);
 void spread_tick(struct spread *spread, const struct peer *peer, int64_t now);
-bool spread_next_news(struct spread *spread, struct spread_news *news);
+bool spread_next_change(struct spread *spread, struct spread_change *news);
 uint32_t spread_count(const struct spread *spread);
 
 #endif /* SPREAD_H */
