--- a/regress/check_adm.c
+++ b/regress/check_adm.c
@@ -280,7 +280,7 @@
 		if (!adm_may_retry(run.adm, atoi(word[2]), 0, atoi(word[3]),
 				   run.now))
 			continue;
-		shr_retried_at(run.shr, atoi(word[2]), 0, atoi(word[3]));
+		shr_add_retry(run.shr, atoi(word[2]), 0, atoi(word[3]));
 		allowed++;
 	}
 	fprintf(run.out, "retries of account %s at endpoint %s: %d of %s\n",
@@ -329,8 +329,8 @@
 				    .count = 2 };
 	uint32_t hop_us[] = { 100, 300 };
 
-	shr_ran(run.shr, atoi(word[1]), 0, &chain, (uint32_t)atoi(word[2]),
-		hop_us);
+	shr_add_attempt(run.shr, atoi(word[1]), 0, &chain,
+			(uint32_t)atoi(word[2]), hop_us);
 }
 
 /* shares */
--- a/src/req_run.c
+++ b/src/req_run.c
@@ -123,8 +123,8 @@
 		result.first_token_us =
 			req->first_token_us - req->dispatched_us;
 	pick_ended(core->pick, &req->chain, &result, core->now);
-	shr_ran(core->shr, req->account, req->service, &req->chain,
-		result.tokens, req->hop_us);
+	shr_add_attempt(core->shr, req->account, req->service, &req->chain,
+			result.tokens, req->hop_us);
 	req->chain_held = false;
 	if (req->tokens > req->attempt_from) {
 		/* Only a chain that made tokens holds caches worth keeping. */
@@ -156,7 +156,7 @@
 	    !adm_may_retry(core->adm, req->account, req->service, endpoint,
 			   core->now))
 		return false;
-	shr_retried_at(core->shr, req->account, req->service, endpoint);
+	shr_add_retry(core->shr, req->account, req->service, endpoint);
 	return true;
 }
 
--- a/src/shr.c
+++ b/src/shr.c
@@ -124,7 +124,7 @@
 }
 
 /* Counts a retry that an endpoint's failure caused. */
-void shr_retried_at(struct shr *shr, int account, int service, int endpoint)
+void shr_add_retry(struct shr *shr, int account, int service, int endpoint)
 {
 	shr_cell(shr, account, service, SHR_NONE)->counts[SHR_RETRIED]++;
 	if (endpoint >= 0)
@@ -136,9 +136,9 @@
  * Counts an attempt that ended: its tokens, and at each stage the time that
  * they took there (hop_us, a token's mean by stage; NULL if not known).
  */
-void shr_ran(struct shr *shr, int account, int service,
-	     const struct pick_chain *chain, uint32_t tokens,
-	     const uint32_t *hop_us)
+void shr_add_attempt(struct shr *shr, int account, int service,
+		     const struct pick_chain *chain, uint32_t tokens,
+		     const uint32_t *hop_us)
 {
 	int i;
 
--- a/src/shr.h
+++ b/src/shr.h
@@ -35,10 +35,10 @@
 void shr_free(struct shr *shr);
 int shr_config(struct shr *shr, const struct cfg_set *set);
 void shr_add(struct shr *shr, int account, int service, enum shr_count what);
-void shr_retried_at(struct shr *shr, int account, int service, int endpoint);
-void shr_ran(struct shr *shr, int account, int service,
-	     const struct pick_chain *chain, uint32_t tokens,
-	     const uint32_t *hop_us);
+void shr_add_retry(struct shr *shr, int account, int service, int endpoint);
+void shr_add_attempt(struct shr *shr, int account, int service,
+		     const struct pick_chain *chain, uint32_t tokens,
+		     const uint32_t *hop_us);
 void shr_write_json(const struct shr *shr, FILE *out);
 void shr_write_metrics(const struct shr *shr, FILE *out);
 
