--- a/src/fleet.c
+++ b/src/fleet.c
@@ -434,11 +434,11 @@
 	fleet->list_running = false;
 	if (reply->status != KV_OK ||
 	    fleet_list_parse(reply->value, reply->len, &list)) {
-		fleet->list_due_us = pace_fail(&fleet->pace, now);
+		fleet->list_due_us = pace_after_failure(&fleet->pace, now);
 		return;
 	}
 	fleet->list_due_us =
-		pace_spread(&fleet->pace, now, fleet_poll_us(fleet));
+		pace_next_period(&fleet->pace, now, fleet_poll_us(fleet));
 	peer_list(fleet->peer, list.entries, list.entry_count, now);
 	for (i = 0; i < list.endpoint_count; i++)
 		spread_note_leaving(fleet->spread, list.endpoints[i].name,
--- a/src/watch.c
+++ b/src/watch.c
@@ -271,8 +271,8 @@
 		  WATCH_BACKOFF_MAX_US);
 	while (!stopping(watch)) {
 		take_loads(watch);
-		sleep_until(watch, pace_spread(&pace, clk_now_us(),
-					       load_period_us(watch)));
+		sleep_until(watch, pace_next_period(&pace, clk_now_us(),
+						    load_period_us(watch)));
 	}
 	return NULL;
 }
