--- a/src/cfg_msg.c
+++ b/src/cfg_msg.c
@@ -48,13 +48,13 @@
 /* Notes that memory ran out, so that the set can't be judged. */
 void cfg_faults_lose(struct cfg_faults *faults)
 {
-	flt_lose(faults->list);
+	flt_mark_incomplete(faults->list);
 }
 
 /* Tells whether memory ran out while the set was judged. */
 bool cfg_faults_lost(const struct cfg_faults *faults)
 {
-	return flt_lost(faults->list);
+	return flt_is_incomplete(faults->list);
 }
 
 /* Returns how many faults were found; a NULL list holds none. */
--- a/src/flt.c
+++ b/src/flt.c
@@ -59,13 +59,13 @@
 }
 
 /* Notes that memory ran out, so that what was read can't be judged. */
-void flt_lose(struct flt_list *list)
+void flt_mark_incomplete(struct flt_list *list)
 {
 	list->lost = true;
 }
 
 /* Tells whether memory ran out while faults were looked for. */
-bool flt_lost(const struct flt_list *list)
+bool flt_is_incomplete(const struct flt_list *list)
 {
 	return list->lost;
 }
--- a/src/set_option.c
+++ b/src/set_option.c
@@ -62,7 +62,7 @@
 	else
 		set_read_command(&build, &table);
 	set_table_free(&table);
-	if (flt_lost(build.faults)) {
+	if (flt_is_incomplete(build.faults)) {
 		flt_free(build.faults);
 		return SET_E_MEMORY;
 	}
@@ -240,7 +240,7 @@
 	char *rest;
 
 	if (!out) {
-		flt_lose(build->faults);
+		flt_mark_incomplete(build->faults);
 		return;
 	}
 	arg_print_errors(out, table->end, "option");
@@ -261,7 +261,7 @@
 	size_t len = 0;
 
 	if (!text)
-		flt_lose(build->faults);
+		flt_mark_incomplete(build->faults);
 	else if (file)
 		len = fread(text, 1, SET_FILE_MAX + 1, file);
 	if (!file || ferror(file))
