--- a/src/fleet.c
+++ b/src/fleet.c
@@ -118,7 +118,7 @@
 		       int64_t now)
 {
 	fleet->now = now;
-	if (spread_note_leaving(fleet->spread, endpoint, SPREAD_BY_OWNER,
+	if (spread_note_leaving(fleet->spread, endpoint, SPREAD_BY_CALLER,
 				leaving))
 		return FLEET_E_NAME;
 	fleet_hurry(fleet);
--- a/src/spread.h
+++ b/src/spread.h
@@ -26,8 +26,8 @@
 
 /* Where an instance sees itself that an endpoint leaves. */
 enum spread_source {
-	SPREAD_BY_OWNER = 1, /* the owner of the fleet says so */
-	SPREAD_BY_LIST = 2,  /* the platform's list does */
+	SPREAD_BY_CALLER = 1, /* the owner of the fleet says so */
+	SPREAD_BY_LIST = 2,   /* the platform's list does */
 };
 
 /* A record as this instance has it now. */
