--- a/regress/check_plc.c
+++ b/regress/check_plc.c
@@ -6,8 +6,8 @@
 #include "script.h"
 
 /*
- * Scripts of regress/plc: instances that place, engines and the platform's
- * leases in virtual time.
+ * Runs the scripts of regress/plc: instances that compete for the lease,
+ * engines, and the platform's lease service, all in virtual time.
  */
 
 #define HOLDERS	    3
@@ -18,22 +18,22 @@
 
 struct engine {
 	bool alive;
-	bool checks;
-	uint64_t newest; /* fencing number */
+	bool checks_fencing;
+	uint64_t newest_fence; /* highest fencing number received */
 	bool holds;
 	uint32_t first;
 	uint32_t last;
 	bool loading;
 	int64_t loaded_us;
-	int64_t wrong_us;   /* how long it has not held what is declared */
-	int64_t longest_us; /* the longest of such times */
+	int64_t misplaced_us; /* time since it last held its declared range */
+	int64_t max_misplaced_us; /* the longest such time so far */
 };
 
-/* An order on its way from a holder's shell to an engine and back. */
+/* An order in flight from a lease holder to an engine and back. */
 struct transit {
 	int holder;
 	bool arrived;
-	bool looked; /* the shell has looked at the lease's deadline */
+	bool lease_checked; /* compared with send_before_us */
 	int64_t at_us;
 	struct plc_order order;
 	struct plc_order_result result;
@@ -42,8 +42,8 @@
 struct holder {
 	struct plc *plc;
 	bool paused;
-	bool cut;	  /* from the platform */
-	int64_t stall_us; /* of its next order, after the shell's look */
+	bool cut;	  /* disconnected from the platform */
+	int64_t stall_us; /* delays its next order after the lease check */
 	bool call_running;
 	struct kv_call call;
 };
@@ -63,8 +63,8 @@
 	int64_t lease_until;
 	uint64_t fence;
 	bool platform_down;
-	int64_t lag_us;	  /* of an order, each way */
-	int64_t store_us; /* a layer from the weight store */
+	int64_t lag_us;	  /* network delay of an order, each way */
+	int64_t store_us; /* time to load one layer from the weight store */
 	bool moves;
 };
 
@@ -85,8 +85,8 @@
 		fprintf(run->out, "%s %s\n", seconds(run), line);
 }
 
-/* The platform's side of a lease. */
-static void lease(struct run *run, struct holder *holder)
+/* Answers a lease call as the platform would. */
+static void answer_lease_call(struct run *run, struct holder *holder)
 {
 	struct kv_reply reply = { .id = holder->call.id, .status = KV_UNSENT };
 	bool free_now = run->now >= run->lease_until;
@@ -116,26 +116,27 @@
 	plc_reply(holder->plc, &reply, run->now);
 }
 
-/* An engine takes an order or a question. */
-static void arrive(struct run *run, struct transit *transit)
+/* Delivers an order or a state request to its engine. */
+static void deliver_order(struct run *run, struct transit *transit)
 {
 	const struct plc_order *order = &transit->order;
 	int i = order->endpoint[1] - '0';
 	struct engine *engine = &run->engines[i];
 	struct plc_order_result *result = &transit->result;
-	const char *word = "taken";
+	const char *verdict = "accepted";
 
 	result->id = order->id;
 	result->status = engine->alive ? PLC_DONE : PLC_NO_ANSWER;
 	if (engine->alive && order->kind == PLC_LOAD) {
 		if (run->now > order->deadline_us) {
 			result->status = PLC_NO_ANSWER;
-			word = "past its deadline";
-		} else if (engine->checks && order->fence < engine->newest) {
+			verdict = "past its deadline";
+		} else if (engine->checks_fencing &&
+			   order->fence < engine->newest_fence) {
 			result->status = PLC_REFUSED;
-			word = "refused for its number";
+			verdict = "refused, stale fence";
 		} else {
-			engine->newest = order->fence;
+			engine->newest_fence = order->fence;
 			engine->loading = true;
 			engine->holds = false;
 			engine->first = order->first_layer;
@@ -145,10 +146,10 @@
 							    engine->first + 1);
 		}
 		fprintf(run->out,
-			"%s %s gets %u-%u from i%d, number %llu: %s\n",
+			"%s %s receives %u-%u from i%d, fence %llu: %s\n",
 			seconds(run), order->endpoint, order->first_layer,
 			order->last_layer, transit->holder,
-			(unsigned long long)order->fence, word);
+			(unsigned long long)order->fence, verdict);
 	}
 	result->loading = engine->loading;
 	snprintf(result->model, MAG_NAME_MAX, "%s",
@@ -157,15 +158,15 @@
 	result->last_layer = engine->last;
 }
 
-/* Moves an order on; true when it has come back. */
-static bool move(struct run *run, struct transit *transit)
+/* Advances an order; true once its result is back at the holder. */
+static bool advance_order(struct run *run, struct transit *transit)
 {
 	struct holder *holder = &run->holders[transit->holder];
 
-	if (!transit->looked) {
+	if (!transit->lease_checked) {
 		if (holder->paused)
 			return false;
-		transit->looked = true;
+		transit->lease_checked = true;
 		if (run->now >= transit->order.send_before_us) {
 			transit->result.id = transit->order.id;
 			transit->result.status = PLC_UNSENT;
@@ -184,7 +185,7 @@
 	if (run->now < transit->at_us)
 		return false;
 	if (!transit->arrived) {
-		arrive(run, transit);
+		deliver_order(run, transit);
 		transit->arrived = true;
 		transit->at_us = run->now + run->lag_us;
 		return false;
@@ -203,7 +204,7 @@
 	if (holder->paused)
 		return;
 	if (holder->call_running)
-		lease(run, holder);
+		answer_lease_call(run, holder);
 	plc_tick(holder->plc, run->now);
 	while (run->queued < QUEUE && plc_next_order(holder->plc, &order))
 		run->queue[run->queued++] =
@@ -214,32 +215,32 @@
 
 static void step(struct run *run)
 {
-	int kept = 0;
+	int pending = 0;
 	int i;
 
 	run->now += STEP_US;
 	for (i = 0; i < run->queued; i++) {
-		if (!move(run, &run->queue[i]))
-			run->queue[kept++] = run->queue[i];
+		if (!advance_order(run, &run->queue[i]))
+			run->queue[pending++] = run->queue[i];
 	}
-	run->queued = kept;
+	run->queued = pending;
 	for (i = 0; i < run->holder_count; i++)
 		tick(run, i);
 	for (i = 0; i < (int)run->set.endpoint_count; i++) {
 		struct engine *engine = &run->engines[i];
-		const struct cfg_endpoint *end = &run->endpoints[i];
+		const struct cfg_endpoint *endpoint = &run->endpoints[i];
 
 		if (engine->loading && run->now >= engine->loaded_us) {
 			engine->loading = false;
 			engine->holds = true;
 		}
-		engine->wrong_us += STEP_US;
+		engine->misplaced_us += STEP_US;
 		if (!engine->alive ||
-		    (engine->holds && engine->first == end->first_layer &&
-		     engine->last == end->last_layer))
-			engine->wrong_us = 0;
-		if (engine->wrong_us > engine->longest_us)
-			engine->longest_us = engine->wrong_us;
+		    (engine->holds && engine->first == endpoint->first_layer &&
+		     engine->last == endpoint->last_layer))
+			engine->misplaced_us = 0;
+		if (engine->misplaced_us > engine->max_misplaced_us)
+			engine->max_misplaced_us = engine->misplaced_us;
 	}
 }
 
@@ -259,8 +260,8 @@
 		else
 			fprintf(run->out, " e%d %s", i,
 				engine->loading ? "loading" : "empty");
-		fprintf(run->out, " (%.1f s wrong)",
-			(double)engine->longest_us / MAG_US_PER_S);
+		fprintf(run->out, " (%.1f s misplaced)",
+			(double)engine->max_misplaced_us / MAG_US_PER_S);
 	}
 	fprintf(run->out, "\n");
 }
@@ -268,15 +269,15 @@
 static void add_engine(struct run *run, const char *range, const char *kind)
 {
 	size_t i = run->set.endpoint_count++;
-	struct cfg_endpoint *end = &run->endpoints[i];
+	struct cfg_endpoint *endpoint = &run->endpoints[i];
 
-	snprintf(end->name, MAG_NAME_MAX, "%c%zu", NAME_LETTER, i);
-	snprintf(end->data_centre, MAG_NAME_MAX, "d0");
-	sscanf(range, "%u-%u", &end->first_layer, &end->last_layer);
-	end->tokens_per_s = 100;
-	end->checks_fencing = strcmp(kind, "checks") == 0;
+	snprintf(endpoint->name, MAG_NAME_MAX, "%c%zu", NAME_LETTER, i);
+	snprintf(endpoint->data_centre, MAG_NAME_MAX, "d0");
+	sscanf(range, "%u-%u", &endpoint->first_layer, &endpoint->last_layer);
+	endpoint->tokens_per_s = 100;
+	endpoint->checks_fencing = strcmp(kind, "checks") == 0;
 	run->engines[i].alive = true;
-	run->engines[i].checks = end->checks_fencing;
+	run->engines[i].checks_fencing = endpoint->checks_fencing;
 }
 
 static void start(struct run *run, int count)
@@ -299,7 +300,7 @@
 	}
 }
 
-static void do_run(struct run *run, long ms)
+static void run_for(struct run *run, long ms)
 {
 	long i;
 
@@ -307,7 +308,7 @@
 		step(run);
 }
 
-static void do_leaving(struct run *run, const char *engine)
+static void mark_leaving(struct run *run, const char *engine)
 {
 	int i;
 
@@ -315,13 +316,14 @@
 		plc_note_leaving(run->holders[i].plc, engine, true);
 }
 
-static void do_restart(struct engine *engine, bool alive)
+static void reset_engine(struct engine *engine, bool alive)
 {
-	*engine = (struct engine){ .alive = alive, .checks = engine->checks };
+	*engine = (struct engine){ .alive = alive,
+				   .checks_fencing = engine->checks_fencing };
 }
 
-/* What sets a number of the world. */
-static int64_t *number(struct run *run, const char *verb, long n)
+/* Returns the duration that a verb sets; NULL if it sets none. */
+static int64_t *time_setting(struct run *run, const char *verb, long n)
 {
 	if (strcmp(verb, "lag") == 0)
 		return &run->lag_us;
@@ -330,8 +332,8 @@
 	return strcmp(verb, "stall") == 0 ? &run->holders[n].stall_us : NULL;
 }
 
-/* What switches something of the world. */
-static bool *flag(struct run *run, const char *verb, long n)
+/* Returns the flag that a verb sets or clears; NULL if it sets none. */
+static bool *flag_setting(struct run *run, const char *verb, long n)
 {
 	if (strcmp(verb, "moves") == 0)
 		return &run->moves;
@@ -347,10 +349,11 @@
 {
 	long n = atol(a);
 
-	if (number(run, verb, n))
-		*number(run, verb, n) = (b[0] ? atol(b) : n) * MAG_US_PER_MS;
-	else if (flag(run, verb, n))
-		*flag(run, verb, n) =
+	if (time_setting(run, verb, n))
+		*time_setting(run, verb, n) =
+			(b[0] ? atol(b) : n) * MAG_US_PER_MS;
+	else if (flag_setting(run, verb, n))
+		*flag_setting(run, verb, n) =
 			strcmp(verb, "wake") != 0 && strcmp(a, "up") != 0;
 	else if (strcmp(verb, "layers") == 0)
 		run->service.layers = (uint32_t)n;
@@ -359,15 +362,15 @@
 	else if (strcmp(verb, "holders") == 0)
 		start(run, (int)n);
 	else if (strcmp(verb, "run") == 0)
-		do_run(run, n);
+		run_for(run, n);
 	else if (strcmp(verb, "stop") == 0)
 		plc_stop(run->holders[n].plc, run->now);
 	else if (strcmp(verb, "leaving") == 0)
-		do_leaving(run, a);
+		mark_leaving(run, a);
 	else if (strcmp(verb, "kill") == 0)
-		do_restart(&run->engines[n], false);
+		reset_engine(&run->engines[n], false);
 	else if (strcmp(verb, "restart") == 0)
-		do_restart(&run->engines[n], true);
+		reset_engine(&run->engines[n], true);
 	else if (strcmp(verb, "show") == 0)
 		show(run);
 	else
--- a/src/plc.c
+++ b/src/plc.c
@@ -7,32 +7,36 @@
 
 #define PLC_LINK_UNKNOWN 1e18 /* tokens a second */
 
-static void plc_fill(struct plc *plc, struct plc_engine *engine, int endpoint);
-static int plc_centres(struct plc *plc, const struct cfg_set *set);
-static int plc_centre(const struct plc *plc, const char *name);
-static void plc_lease_step(struct plc *plc, int64_t now);
-static void plc_lease_taken(struct plc *plc, uint64_t fence, int64_t now);
-static void plc_start_over(struct plc_engine *engine, int64_t now);
+static void plc_set_engine(struct plc *plc, struct plc_engine *engine,
+			   int endpoint);
+static int plc_index_centres(struct plc *plc, const struct cfg_set *set);
+static int plc_centre_index(const struct plc *plc, const char *name);
+static void plc_check_lease(struct plc *plc, int64_t now);
+static void plc_lease_granted(struct plc *plc, uint64_t fence, int64_t now);
+static void plc_reset_engine(struct plc_engine *engine, int64_t now);
 static void plc_lease_lost(struct plc *plc, const char *why, int64_t now);
-static void plc_forget_orders(struct plc *plc);
-static void plc_ask_states(struct plc *plc, int64_t now);
+static void plc_drop_orders(struct plc *plc);
+static void plc_request_states(struct plc *plc, int64_t now);
 static void plc_decide(struct plc *plc, int64_t now);
-static bool plc_all_read(const struct plc *plc);
-static int plc_loads(const struct plc *plc);
-static void plc_want(struct plc *plc, const struct plc_candidate *move,
-		     double flow_now, uint32_t gap_now, int64_t now);
-static void plc_send(struct plc *plc, struct plc_engine *engine,
-		     enum plc_order_kind kind, int64_t now);
-static void plc_state_read(struct plc *plc, struct plc_engine *engine,
-			   const struct plc_order_result *result, int64_t now);
-static void plc_state_taken(struct plc *plc, struct plc_engine *engine,
+static bool plc_all_states_known(const struct plc *plc);
+static int plc_load_count(const struct plc *plc);
+static void plc_schedule_load(struct plc *plc,
+			      const struct plc_candidate *candidate,
+			      double flow_now, uint32_t uncovered_now,
+			      int64_t now);
+static void plc_queue_order(struct plc *plc, struct plc_engine *engine,
+			    enum plc_order_kind kind, int64_t now);
+static void plc_handle_state(struct plc *plc, struct plc_engine *engine,
+			     const struct plc_order_result *result,
+			     int64_t now);
+static void plc_store_state(struct plc *plc, struct plc_engine *engine,
 			    const struct plc_order_result *result);
-static void plc_follow_up(struct plc *plc, struct plc_engine *engine,
-			  int64_t now);
+static void plc_check_target(struct plc *plc, struct plc_engine *engine,
+			     int64_t now);
 static void plc_load_done(struct plc *plc, struct plc_engine *engine,
 			  const struct plc_order_result *result, int64_t now);
 
-/* Makes the placement of one data centre; NULL when memory is short. */
+/* Creates the placement of one data centre; returns NULL without memory. */
 struct plc *plc_new(const struct plc_settings *settings, int64_t now)
 {
 	struct plc *plc = calloc(1, sizeof(*plc));
@@ -41,9 +45,10 @@
 		return NULL;
 	plc->settings = *settings;
 	/*
-	 * A restarted instance is another holder: under its old name it would
-	 * get its old fencing number again, and could not be told from what
-	 * it sent before.
+	 * The incarnation makes a restarted instance a different lease holder.
+	 * Under the same name it would receive its old fencing number again,
+	 * and engines could not tell its orders from those that it sent before
+	 * the restart.
 	 */
 	snprintf(plc->holder, sizeof(plc->holder), "%s#%llu",
 		 settings->instance, (unsigned long long)settings->incarnation);
@@ -51,7 +56,7 @@
 	return plc;
 }
 
-/* Frees a placement; NULL is allowed. */
+/* Frees a placement; NULL is a no-op. */
 void plc_free(struct plc *plc)
 {
 	if (!plc)
@@ -63,8 +68,8 @@
 }
 
 /*
- * Takes a new set, which must stay until the next call; what is known of an
- * engine is kept by its name.
+ * Applies a new set, which must remain valid until the next call.  The state
+ * of an engine is carried over by its name.
  */
 int plc_config(struct plc *plc, const struct cfg_set *set, int64_t now)
 {
@@ -77,12 +82,12 @@
 	size_t i;
 	size_t j = 0;
 
-	if (!engines || !orders || plc_centres(plc, set)) {
+	if (!engines || !orders || plc_index_centres(plc, set)) {
 		free(engines);
 		free(orders);
 		return PLC_E_MEMORY;
 	}
-	plc_forget_orders(plc);
+	plc_drop_orders(plc);
 	old = plc->engines;
 	plc->set = set;
 	plc->engines = engines;
@@ -94,12 +99,12 @@
 		if (set->service_count == 0 ||
 		    set->services[from->service].kind != CFG_MODEL)
 			continue;
-		/* Both stand in the order of names, as every set does. */
+		/* Both are sorted by name, as in every set. */
 		while (j < old_count && strcmp(old[j].name, from->name) < 0)
 			j++;
 		if (j < old_count && strcmp(old[j].name, from->name) == 0)
 			*to = old[j];
-		plc_fill(plc, to, (int)i);
+		plc_set_engine(plc, to, (int)i);
 		plc->engine_count++;
 	}
 	free(old);
@@ -109,7 +114,7 @@
 	return PLC_OK;
 }
 
-/* Notes that an endpoint leaves, or no longer does. */
+/* Records whether an endpoint is leaving. */
 void plc_note_leaving(struct plc *plc, const char *endpoint, bool leaving)
 {
 	size_t i;
@@ -121,9 +126,9 @@
 }
 
 /*
- * Ends the placement of this instance.  The lease is given back only if no
- * order is under way, as its successor would take it for one that has no
- * order in the network; else it lapses.
+ * Stops placement in this instance.  The lease is released only if no order
+ * is in flight: the next holder relies on a released lease to have no order
+ * left in the network.  Otherwise the lease expires.
  */
 void plc_stop(struct plc *plc, int64_t now)
 {
@@ -143,22 +148,22 @@
 	}
 }
 
-/* Runs what is due: the lease, questions for states, decisions. */
+/* Runs what is due: lease calls, state requests and placement decisions. */
 void plc_tick(struct plc *plc, int64_t now)
 {
 	if (!plc->settings.enabled || plc->stopping)
 		return;
-	plc_lease_step(plc, now);
+	plc_check_lease(plc, now);
 	if (plc->lease != PLC_LEASE_HELD || !plc->set)
 		return;
-	plc_ask_states(plc, now);
+	plc_request_states(plc, now);
 	if (now >= plc->decide_due_us) {
 		plc->decide_due_us = now + PLC_DECIDE_PERIOD_US;
 		plc_decide(plc, now);
 	}
 }
 
-/* When plc_tick has something to do next. */
+/* Returns when plc_tick is due next. */
 int64_t plc_next_deadline(const struct plc *plc)
 {
 	int64_t next = MAG_NEVER;
@@ -176,7 +181,7 @@
 	return next;
 }
 
-/* Gives the next call for the lease. */
+/* Returns the next lease call that the caller must make, if any. */
 bool plc_next_call(struct plc *plc, struct kv_call *call)
 {
 	bool drop = plc->drop_pending;
@@ -198,7 +203,7 @@
 	return true;
 }
 
-/* Takes the end of a call; the value stays the caller's. */
+/* Handles the reply to a lease call; the caller still owns the value. */
 int plc_reply(struct plc *plc, const struct kv_reply *reply, int64_t now)
 {
 	if (reply->id != 1)
@@ -208,13 +213,13 @@
 	plc->call_running = false;
 	plc->lease_due_us = now + PLC_LEASE_RETRY_US;
 	if (reply->status == KV_OK && !plc->stopping)
-		plc_lease_taken(plc, reply->version, now);
+		plc_lease_granted(plc, reply->version, now);
 	else if (reply->status == KV_CONFLICT && plc->lease == PLC_LEASE_HELD)
 		plc_lease_lost(plc, "another instance holds it", now);
 	return PLC_OK;
 }
 
-/* Gives the next order or question for an engine. */
+/* Returns the next order or state request to send to an engine. */
 bool plc_next_order(struct plc *plc, struct plc_order *order)
 {
 	if (plc->order_next == plc->order_count) {
@@ -226,7 +231,7 @@
 	return true;
 }
 
-/* Takes the end of an order or question. */
+/* Handles the result of an order or a state request. */
 int plc_order_done(struct plc *plc, const struct plc_order_result *result,
 		   int64_t now)
 {
@@ -239,7 +244,7 @@
 			continue;
 		engine->pending_id = 0;
 		if (engine->pending_kind == PLC_READ_STATE)
-			plc_state_read(plc, engine, result, now);
+			plc_handle_state(plc, engine, result, now);
 		else
 			plc_load_done(plc, engine, result, now);
 		return PLC_OK;
@@ -247,8 +252,9 @@
 	return PLC_E_UNKNOWN;
 }
 
-/* Copies what the operators say of an engine. */
-static void plc_fill(struct plc *plc, struct plc_engine *engine, int endpoint)
+/* Copies the configuration of an engine. */
+static void plc_set_engine(struct plc *plc, struct plc_engine *engine,
+			   int endpoint)
 {
 	const struct cfg_endpoint *from = &plc->set->endpoints[endpoint];
 	const struct cfg_service *service = &plc->set->services[from->service];
@@ -256,7 +262,7 @@
 	memcpy(engine->name, from->name, MAG_NAME_MAX);
 	memcpy(engine->address, from->address, MAG_ADDR_MAX);
 	engine->service = from->service;
-	engine->centre = plc_centre(plc, from->data_centre);
+	engine->centre = plc_centre_index(plc, from->data_centre);
 	engine->local =
 		strcmp(from->data_centre, plc->settings.data_centre) == 0;
 	engine->checks_fencing = from->checks_fencing;
@@ -271,8 +277,8 @@
 					    service->activation_bytes;
 }
 
-/* Numbers the data centres by the first endpoint that names each. */
-static int plc_centres(struct plc *plc, const struct cfg_set *set)
+/* Numbers the data centres in the order in which endpoints name them. */
+static int plc_index_centres(struct plc *plc, const struct cfg_set *set)
 {
 	const char **centres =
 		calloc(set->endpoint_count + 1, sizeof(*centres));
@@ -286,14 +292,14 @@
 	for (i = 0; i < set->endpoint_count; i++) {
 		const char *name = set->endpoints[i].data_centre;
 
-		if (plc_centre(plc, name) == plc->centre_count)
+		if (plc_centre_index(plc, name) == plc->centre_count)
 			centres[plc->centre_count++] = name;
 	}
 	return PLC_OK;
 }
 
-/* Returns the number of a data centre, their count if it has none yet. */
-static int plc_centre(const struct plc *plc, const char *name)
+/* Returns a data centre's index, or their count if it has none yet. */
+static int plc_centre_index(const struct plc *plc, const char *name)
 {
 	int i;
 
@@ -304,8 +310,8 @@
 	return i;
 }
 
-/* Takes, renews or gives up the lease. */
-static void plc_lease_step(struct plc *plc, int64_t now)
+/* Gives up an expired lease, and calls for a new one or a renewal when due. */
+static void plc_check_lease(struct plc *plc, int64_t now)
 {
 	if (plc->lease == PLC_LEASE_HELD && now >= plc->lease_until_us)
 		plc_lease_lost(plc, "not renewed in time", now);
@@ -317,10 +323,10 @@
 }
 
 /*
- * Takes the lease or its renewal.  It counts from when the call was made, as
- * the platform may have granted it at any moment since.
+ * Handles a granted or renewed lease.  Its time runs from the moment of the
+ * call, as the platform may have granted it at any time since then.
  */
-static void plc_lease_taken(struct plc *plc, uint64_t fence, int64_t now)
+static void plc_lease_granted(struct plc *plc, uint64_t fence, int64_t now)
 {
 	bool renewed = plc->lease == PLC_LEASE_HELD && plc->fence == fence;
 	size_t i;
@@ -335,22 +341,22 @@
 	plc->lease = PLC_LEASE_HELD;
 	plc->fence = fence;
 	/*
-	 * An engine that ignores fencing numbers would carry out an order of
-	 * the holder before, sent just as its lease ended and delivered late,
-	 * on top of this one's.  After this wait all such orders are past
-	 * their deadlines.
+	 * The previous holder may have sent an order just as its lease ended,
+	 * and an engine that ignores fencing numbers would carry it out late,
+	 * after an order of this instance.  After this wait all such orders
+	 * are past their deadlines.
 	 */
 	plc->handover_until_us = now + PLC_LEASE_TTL_US + PLC_ORDER_TIMEOUT_US +
 				 PLC_CLOCK_MARGIN_US;
 	for (i = 0; i < plc->engine_count; i++)
-		plc_start_over(&plc->engines[i], now);
+		plc_reset_engine(&plc->engines[i], now);
 	plc->decide_due_us = now;
 	log_event(LOG_PLC_LEASE, "dc=%s fence=%llu held=1",
 		  plc->settings.data_centre, (unsigned long long)fence);
 }
 
-/* Forgets an engine's state; an order still under way may yet land. */
-static void plc_start_over(struct plc_engine *engine, int64_t now)
+/* Resets an engine's state; an order in flight may still take effect. */
+static void plc_reset_engine(struct plc_engine *engine, int64_t now)
 {
 	if (engine->pending_id && engine->pending_kind == PLC_LOAD)
 		engine->no_order_until_us = now + PLC_ORDER_TIMEOUT_US;
@@ -361,19 +367,19 @@
 	engine->next_read_us = now;
 }
 
-/* Gives up the lease: from here on nothing is sent. */
+/* Gives up the lease: no order is sent from now on. */
 static void plc_lease_lost(struct plc *plc, const char *why, int64_t now)
 {
 	plc->lease = PLC_LEASE_NONE;
-	plc_forget_orders(plc);
+	plc_drop_orders(plc);
 	plc->lease_due_us = now + PLC_LEASE_RETRY_US;
 	log_event(LOG_PLC_LEASE, "dc=%s fence=%llu held=0 why=\"%s\"",
 		  plc->settings.data_centre, (unsigned long long)plc->fence,
 		  why);
 }
 
-/* Drops what the owner hasn't taken yet. */
-static void plc_forget_orders(struct plc *plc)
+/* Drops the orders that the caller hasn't fetched yet. */
+static void plc_drop_orders(struct plc *plc)
 {
 	size_t i;
 	size_t j;
@@ -388,8 +394,8 @@
 	plc->order_next = 0;
 }
 
-/* Asks the engines for their states, each at its time. */
-static void plc_ask_states(struct plc *plc, int64_t now)
+/* Queues a state request for each engine whose next one is due. */
+static void plc_request_states(struct plc *plc, int64_t now)
 {
 	size_t i;
 
@@ -398,31 +404,33 @@
 
 		if (engine->local && !engine->pending_id &&
 		    now >= engine->next_read_us)
-			plc_send(plc, engine, PLC_READ_STATE, now);
+			plc_queue_order(plc, engine, PLC_READ_STATE, now);
 	}
 }
 
-/* Decides on at most one order for each service. */
+/* Decides on at most one order per service. */
 static void plc_decide(struct plc *plc, int64_t now)
 {
-	struct plc_candidate move;
-	uint32_t gap = 0;
+	struct plc_candidate candidate;
+	uint32_t uncovered = 0;
 	double flow = 0;
 	size_t i;
 
-	if (!plc_all_read(plc))
+	if (!plc_all_states_known(plc))
 		return;
 	for (i = 0; i < plc->set->service_count; i++) {
 		if (plc->set->services[i].kind != CFG_MODEL ||
-		    plc_loads(plc) >= PLC_LOADS_MAX)
+		    plc_load_count(plc) >= PLC_LOADS_MAX)
 			continue;
-		if (plc_choose_order(plc, (int)i, now, &move, &flow, &gap))
-			plc_want(plc, &move, flow, gap, now);
+		if (plc_choose_order(plc, (int)i, now, &candidate, &flow,
+				     &uncovered))
+			plc_schedule_load(plc, &candidate, flow, uncovered,
+					  now);
 	}
 }
 
-/* True once each engine's state was read, or its engine found down. */
-static bool plc_all_read(const struct plc *plc)
+/* True once each local engine has reported its state or is down. */
+static bool plc_all_states_known(const struct plc *plc)
 {
 	size_t i;
 
@@ -436,8 +444,8 @@
 	return true;
 }
 
-/* How many loads are due or under way. */
-static int plc_loads(const struct plc *plc)
+/* Returns how many loads are due or in progress. */
+static int plc_load_count(const struct plc *plc)
 {
 	int count = 0;
 	size_t i;
@@ -448,27 +456,30 @@
 	return count;
 }
 
-/* Notes what an engine is to hold; its state is read once more first. */
-static void plc_want(struct plc *plc, const struct plc_candidate *move,
-		     double flow_now, uint32_t gap_now, int64_t now)
+/* Sets an engine's target range; its state is read again before the order. */
+static void plc_schedule_load(struct plc *plc,
+			      const struct plc_candidate *candidate,
+			      double flow_now, uint32_t uncovered_now,
+			      int64_t now)
 {
-	struct plc_engine *engine = &plc->engines[move->engine];
+	struct plc_engine *engine = &plc->engines[candidate->engine];
 
 	engine->load_due = true;
-	engine->target = move->range;
+	engine->target = candidate->range;
 	engine->load_until_us = now + PLC_LOAD_TIMEOUT_US;
 	engine->next_read_us = now;
 	log_event(LOG_PLC_DECIDED,
 		  "engine=%s model=%s layers=%u-%u load=%u uncovered=%u->%u "
 		  "flow=%.0f->%.0f",
 		  engine->name, plc->set->services[engine->service].name,
-		  move->range.first, move->range.last, move->layers_to_load,
-		  gap_now, move->uncovered, flow_now, move->flow);
+		  candidate->range.first, candidate->range.last,
+		  candidate->layers_to_load, uncovered_now,
+		  candidate->uncovered, flow_now, candidate->flow);
 }
 
-/* Leaves an order or a question for the shell. */
-static void plc_send(struct plc *plc, struct plc_engine *engine,
-		     enum plc_order_kind kind, int64_t now)
+/* Queues an order or a state request for the caller to send. */
+static void plc_queue_order(struct plc *plc, struct plc_engine *engine,
+			    enum plc_order_kind kind, int64_t now)
 {
 	struct plc_order *order = &plc->orders[plc->order_count];
 
@@ -492,9 +503,9 @@
 	engine->next_read_us = now + PLC_STATE_POLL_US;
 }
 
-/* Takes an engine's state, and sends the order that waited for it. */
-static void plc_state_read(struct plc *plc, struct plc_engine *engine,
-			   const struct plc_order_result *result, int64_t now)
+/* Handles the reply to a state request, and queues an order that is due. */
+static void plc_handle_state(struct plc *plc, struct plc_engine *engine,
+			     const struct plc_order_result *result, int64_t now)
 {
 	if (result->status != PLC_DONE) {
 		engine->failures++;
@@ -505,11 +516,11 @@
 		}
 		return;
 	}
-	plc_state_taken(plc, engine, result);
-	plc_follow_up(plc, engine, now);
+	plc_store_state(plc, engine, result);
+	plc_check_target(plc, engine, now);
 }
 
-static void plc_state_taken(struct plc *plc, struct plc_engine *engine,
+static void plc_store_state(struct plc *plc, struct plc_engine *engine,
 			    const struct plc_order_result *result)
 {
 	const char *model = plc->set->services[engine->service].name;
@@ -522,30 +533,30 @@
 	engine->held.last = result->last_layer;
 }
 
-/* Compares the state with what is wanted, and acts on the difference. */
-static void plc_follow_up(struct plc *plc, struct plc_engine *engine,
-			  int64_t now)
+/* Compares the state with the target, and queues an order if they differ. */
+static void plc_check_target(struct plc *plc, struct plc_engine *engine,
+			     int64_t now)
 {
-	bool there = engine->holds &&
-		     plc_range_equal(&engine->held, &engine->target);
+	bool reached = engine->holds &&
+		       plc_range_equal(&engine->held, &engine->target);
 
 	if (!engine->load_due)
 		return;
-	if (there || now >= engine->load_until_us) {
+	if (reached || now >= engine->load_until_us) {
 		engine->load_due = false;
 		log_event(LOG_PLC_PLACED, "engine=%s layers=%u-%u reached=%d",
 			  engine->name, engine->target.first,
-			  engine->target.last, there);
+			  engine->target.last, reached);
 		return;
 	}
 	engine->next_read_us = now + PLC_LOADING_POLL_US;
 	if (engine->loading || now < engine->no_order_until_us ||
 	    plc->lease != PLC_LEASE_HELD || now >= plc->lease_until_us)
 		return;
-	plc_send(plc, engine, PLC_LOAD, now);
+	plc_queue_order(plc, engine, PLC_LOAD, now);
 }
 
-/* Takes the end of an order. */
+/* Handles the result of an order. */
 static void plc_load_done(struct plc *plc, struct plc_engine *engine,
 			  const struct plc_order_result *result, int64_t now)
 {
@@ -556,7 +567,8 @@
 	log_event(LOG_PLC_ORDERED, "engine=%s layers=%u-%u fence=%llu end=%d",
 		  engine->name, engine->target.first, engine->target.last,
 		  (unsigned long long)plc->fence, (int)result->status);
-	/* A higher number exists, so another instance holds the lease. */
+	/* Only a later holder of the lease can have a higher number. */
 	if (result->status == PLC_REFUSED && plc->lease == PLC_LEASE_HELD)
-		plc_lease_lost(plc, "an engine knows a higher number", now);
+		plc_lease_lost(
+			plc, "an engine has seen a higher fencing number", now);
 }
--- a/src/plc.h
+++ b/src/plc.h
@@ -2,9 +2,10 @@
 #define PLC_H
 
 /*
- * Placement: the holder of a data centre's lease orders engines to hold
- * ranges of layers of a model, as wanted states with a fencing number and a
- * deadline.  Deterministic: time is passed in.
+ * Placement of model layers.  The instance that holds a data centre's lease
+ * orders engines to load ranges of layers of a model.  An order states the
+ * range that the engine shall hold, and carries a fencing number and a
+ * deadline.  Deterministic: the caller passes the time in.
  */
 
 #include <stdbool.h>
@@ -17,8 +18,8 @@
 struct plc;
 
 enum plc_order_kind {
-	PLC_READ_STATE, /* ask the engine what it holds */
-	PLC_LOAD,	/* hold these layers of this model */
+	PLC_READ_STATE, /* ask the engine which layers it holds */
+	PLC_LOAD,	/* load and hold these layers of the model */
 };
 
 struct plc_order {
@@ -31,25 +32,26 @@
 	uint32_t last_layer;
 	uint64_t fence;
 	/*
-	 * The shell compares this with the clock right before the first byte
-	 * goes out and drops the order if it has passed: a holder that was
-	 * paused must not order under a lease that is another's by now.
+	 * The sender compares this with the clock right before it sends the
+	 * first byte, and drops the order if the time has passed.  A process
+	 * that was paused must not send orders under a lease that another
+	 * instance may hold by now.
 	 */
 	int64_t send_before_us;
-	int64_t deadline_us; /* the engine ignores the order after this */
+	int64_t deadline_us; /* the engine ignores the order after that */
 };
 
 enum plc_order_status {
 	PLC_DONE,
-	PLC_REFUSED,   /* the engine knows a higher fencing number */
-	PLC_UNSENT,    /* dropped before the first byte */
-	PLC_NO_ANSWER, /* sent, no answer: it may be carried out */
+	PLC_REFUSED,   /* the engine has seen a higher fencing number */
+	PLC_UNSENT,    /* dropped before its first byte was sent */
+	PLC_NO_ANSWER, /* sent but not answered: may be carried out */
 };
 
 struct plc_order_result {
 	uint64_t id;
 	enum plc_order_status status;
-	char model[MAG_NAME_MAX]; /* what the engine holds, if it says so */
+	char model[MAG_NAME_MAX]; /* held by the engine, if it reports one */
 	uint32_t first_layer;
 	uint32_t last_layer;
 	bool loading;
@@ -61,9 +63,9 @@
 	uint64_t incarnation;
 	bool enabled;
 	/*
-	 * Engines may be ordered off the ranges that the operators declare.
-	 * Routers take an engine at its declared range, so this stays off
-	 * until they are told of the moves.
+	 * Allows orders for other ranges than the operators declare.  Routers
+	 * assume that an engine holds its declared range, so this stays off
+	 * until they are informed of such orders.
 	 */
 	bool allow_moves;
 };
--- a/src/plc_want.c
+++ b/src/plc_want.c
@@ -2,101 +2,105 @@
 
 #include "plc_int.h"
 
-/* Which order brings a service the most. */
+/* Chooses the order that improves the placement of a service most. */
 
-/* What is being weighed: the engines of one service. */
-struct plc_scene {
+/* The layers that the engines of one service hold or will hold. */
+struct plc_snapshot {
 	const struct plc *plc;
 	uint32_t layers;
-	struct flow_stage *stages; /* one for each engine of the fleet */
+	struct flow_stage *stages; /* one per engine of the fleet */
 	int count;
 	bool *joined;
 	int centres;
 };
 
-static int plc_scene_make(struct plc_scene *scene, const struct plc *plc,
-			  int service);
-static void plc_scene_free(struct plc_scene *scene);
-static bool plc_may_move(const struct plc *plc, const struct plc_engine *engine,
-			 int64_t now);
-static void plc_set_stage(const struct plc_scene *scene, size_t i,
+static int plc_snapshot_init(struct plc_snapshot *snapshot,
+			     const struct plc *plc, int service);
+static void plc_snapshot_free(struct plc_snapshot *snapshot);
+static bool plc_may_order(const struct plc *plc,
+			  const struct plc_engine *engine, int64_t now);
+static void plc_set_stage(const struct plc_snapshot *snapshot, size_t i,
 			  const struct plc_range *range);
-static bool plc_range_now(const struct plc_engine *engine,
-			  struct plc_range *range);
-static uint32_t plc_uncovered(const struct plc_scene *scene, int *first,
+static bool plc_expected_range(const struct plc_engine *engine,
+			       struct plc_range *range);
+static uint32_t plc_uncovered(const struct plc_snapshot *snapshot, int *first,
 			      int *last);
-static double plc_flow(const struct plc_scene *scene);
-static void plc_try(struct plc_scene *scene, int engine,
-		    const struct plc_range *range, struct plc_candidate *best,
-		    const struct plc_candidate *now_is);
-static bool plc_better(const struct plc_candidate *move,
-		       const struct plc_candidate *best,
-		       const struct plc_candidate *now_is);
-static uint32_t plc_load(const struct plc_engine *engine,
-			 const struct plc_range *range);
+static double plc_max_flow(const struct plc_snapshot *snapshot);
+static void plc_try_range(struct plc_snapshot *snapshot, int index,
+			  const struct plc_range *range,
+			  struct plc_candidate *best,
+			  const struct plc_candidate *current);
+static bool plc_is_better(const struct plc_candidate *candidate,
+			  const struct plc_candidate *best,
+			  const struct plc_candidate *current);
+static uint32_t plc_layers_to_load(const struct plc_engine *engine,
+				   const struct plc_range *range);
 
 /*
- * Chooses the order for a service: one that covers layers that nobody holds
- * goes first, then the one that raises the maximum flow most for each layer
- * drawn from the weight store, then an engine that holds nothing.  Returns
- * false if no order is worth its load.
+ * Chooses the next order for a service.  An order that covers layers which no
+ * engine holds comes first, then the one with the largest gain in maximum
+ * flow per layer loaded from the weight store, then one for an engine that
+ * holds nothing.  Returns false if no order is worth its load.
  */
 bool plc_choose_order(const struct plc *plc, int service, int64_t now,
 		      struct plc_candidate *best, double *flow_now,
-		      uint32_t *gap_now)
+		      uint32_t *uncovered_now)
 {
-	struct plc_candidate now_is = { .engine = PLC_NONE };
-	struct plc_scene scene;
+	struct plc_candidate current = { .engine = PLC_NONE };
+	struct plc_snapshot snapshot;
 	int first;
 	int last;
 	size_t i;
 
 	best->engine = PLC_NONE;
-	if (plc_scene_make(&scene, plc, service))
+	if (plc_snapshot_init(&snapshot, plc, service))
 		return false;
-	now_is.uncovered = plc_uncovered(&scene, &first, &last);
-	now_is.flow = plc_flow(&scene);
-	*flow_now = now_is.flow;
-	*gap_now = now_is.uncovered;
+	current.uncovered = plc_uncovered(&snapshot, &first, &last);
+	current.flow = plc_max_flow(&snapshot);
+	*flow_now = current.flow;
+	*uncovered_now = current.uncovered;
 	for (i = 0; i < plc->engine_count; i++) {
 		const struct plc_engine *engine = &plc->engines[i];
-		uint32_t most = engine->declared.last - engine->declared.first;
-		struct plc_range at = { (uint32_t)first,
-					(uint32_t)first + most };
-		struct plc_range to = { (uint32_t)last - most, (uint32_t)last };
+		uint32_t span = engine->declared.last - engine->declared.first;
+		struct plc_range from_gap_start = { (uint32_t)first,
+						    (uint32_t)first + span };
+		struct plc_range to_gap_end = { (uint32_t)last - span,
+						(uint32_t)last };
 
 		if (engine->service != service ||
-		    !plc_may_move(plc, engine, now))
+		    !plc_may_order(plc, engine, now))
 			continue;
-		plc_try(&scene, (int)i, &engine->declared, best, &now_is);
-		if (!plc->settings.allow_moves || now_is.uncovered == 0)
+		plc_try_range(&snapshot, (int)i, &engine->declared, best,
+			      &current);
+		if (!plc->settings.allow_moves || current.uncovered == 0)
 			continue;
-		if (at.last >= scene.layers)
-			at.last = scene.layers - 1;
-		if (to.first > to.last)
-			to.first = 0;
-		plc_try(&scene, (int)i, &at, best, &now_is);
-		plc_try(&scene, (int)i, &to, best, &now_is);
+		if (from_gap_start.last >= snapshot.layers)
+			from_gap_start.last = snapshot.layers - 1;
+		if (to_gap_end.first > to_gap_end.last)
+			to_gap_end.first = 0;
+		plc_try_range(&snapshot, (int)i, &from_gap_start, best,
+			      &current);
+		plc_try_range(&snapshot, (int)i, &to_gap_end, best, &current);
 	}
-	plc_scene_free(&scene);
+	plc_snapshot_free(&snapshot);
 	return best->engine != PLC_NONE;
 }
 
-/* True while an engine answers. */
+/* True while an engine answers state requests. */
 bool plc_engine_up(const struct plc_engine *engine)
 {
 	return engine->state_known && engine->failures < PLC_FAILURES_MAX;
 }
 
-/* True if two ranges are the same. */
+/* True if two ranges are equal. */
 bool plc_range_equal(const struct plc_range *a, const struct plc_range *b)
 {
 	return a->first == b->first && a->last == b->last;
 }
 
-/* True if an engine may be given an order now. */
-static bool plc_may_move(const struct plc *plc, const struct plc_engine *engine,
-			 int64_t now)
+/* True if an engine may be sent an order now. */
+static bool plc_may_order(const struct plc *plc,
+			  const struct plc_engine *engine, int64_t now)
 {
 	if (!engine->local || engine->leaving || !plc_engine_up(engine))
 		return false;
@@ -106,54 +110,57 @@
 	return engine->checks_fencing || plc->handover_until_us <= now;
 }
 
-/* Builds the stages as they are, or will be once what is ordered is there. */
-static int plc_scene_make(struct plc_scene *scene, const struct plc *plc,
-			  int service)
+/* Builds the stages as they will be once all current orders are done. */
+static int plc_snapshot_init(struct plc_snapshot *snapshot,
+			     const struct plc *plc, int service)
 {
 	size_t i;
 
-	scene->plc = plc;
-	scene->layers = plc->set->services[service].layers;
-	scene->count = (int)plc->engine_count;
-	scene->centres = 1;
-	scene->stages = calloc(plc->engine_count + 1, sizeof(*scene->stages));
-	scene->joined = NULL;
-	if (!scene->stages)
+	snapshot->plc = plc;
+	snapshot->layers = plc->set->services[service].layers;
+	snapshot->count = (int)plc->engine_count;
+	snapshot->centres = 1;
+	snapshot->stages =
+		calloc(plc->engine_count + 1, sizeof(*snapshot->stages));
+	snapshot->joined = NULL;
+	if (!snapshot->stages)
 		return PLC_E_MEMORY;
 	for (i = 0; i < plc->engine_count; i++) {
 		struct plc_range range;
 
-		if (plc->engines[i].centre >= scene->centres)
-			scene->centres = plc->engines[i].centre + 1;
+		if (plc->engines[i].centre >= snapshot->centres)
+			snapshot->centres = plc->engines[i].centre + 1;
 		if (plc->engines[i].service == service &&
-		    plc_range_now(&plc->engines[i], &range))
-			plc_set_stage(scene, i, &range);
+		    plc_expected_range(&plc->engines[i], &range))
+			plc_set_stage(snapshot, i, &range);
 		else
-			plc_set_stage(scene, i, NULL);
+			plc_set_stage(snapshot, i, NULL);
 	}
-	scene->joined = malloc((size_t)scene->centres * (size_t)scene->centres *
-			       sizeof(bool));
-	if (!scene->joined) {
-		plc_scene_free(scene);
+	snapshot->joined = malloc((size_t)snapshot->centres *
+				  (size_t)snapshot->centres * sizeof(bool));
+	if (!snapshot->joined) {
+		plc_snapshot_free(snapshot);
 		return PLC_E_MEMORY;
 	}
-	for (i = 0; i < (size_t)scene->centres * (size_t)scene->centres; i++)
-		scene->joined[i] = true;
+	for (i = 0; i < (size_t)snapshot->centres * (size_t)snapshot->centres;
+	     i++)
+		snapshot->joined[i] = true;
 	return PLC_OK;
 }
 
-static void plc_scene_free(struct plc_scene *scene)
+static void plc_snapshot_free(struct plc_snapshot *snapshot)
 {
-	free(scene->stages);
-	free(scene->joined);
+	free(snapshot->stages);
+	free(snapshot->joined);
 }
 
 /*
- * What an engine holds, or will hold.  One of another data centre is taken at
- * its word in the configuration: its own holder looks after it.
+ * Finds the range that an engine holds or will hold.  An engine of another
+ * data centre is assumed to hold its declared range, as the lease holder
+ * there manages it.
  */
-static bool plc_range_now(const struct plc_engine *engine,
-			  struct plc_range *range)
+static bool plc_expected_range(const struct plc_engine *engine,
+			       struct plc_range *range)
 {
 	if (engine->leaving)
 		return false;
@@ -171,12 +178,12 @@
 	return engine->holds;
 }
 
-/* Gives an engine's stage a range; NULL closes it. */
-static void plc_set_stage(const struct plc_scene *scene, size_t i,
+/* Sets the range of an engine's stage; NULL excludes the stage. */
+static void plc_set_stage(const struct plc_snapshot *snapshot, size_t i,
 			  const struct plc_range *range)
 {
-	const struct plc_engine *engine = &scene->plc->engines[i];
-	struct flow_stage *stage = &scene->stages[i];
+	const struct plc_engine *engine = &snapshot->plc->engines[i];
+	struct flow_stage *stage = &snapshot->stages[i];
 	uint32_t declared = engine->declared.last - engine->declared.first + 1;
 
 	stage->centre = engine->centre;
@@ -193,8 +200,9 @@
 		engine->tokens_per_s * declared / (stage->end - stage->first);
 }
 
-/* Counts the layers that no stage holds; first and last are the first gap. */
-static uint32_t plc_uncovered(const struct plc_scene *scene, int *first,
+/* Counts the layers that no stage holds; first and last are the first gap's
+ * ends. */
+static uint32_t plc_uncovered(const struct plc_snapshot *snapshot, int *first,
 			      int *last)
 {
 	uint32_t count = 0;
@@ -203,13 +211,13 @@
 
 	*first = 0;
 	*last = 0;
-	for (layer = 0; layer < scene->layers; layer++) {
+	for (layer = 0; layer < snapshot->layers; layer++) {
 		bool covered = false;
 
-		for (i = 0; i < scene->count && !covered; i++)
-			covered = scene->stages[i].rate > 0 &&
-				  scene->stages[i].first <= layer &&
-				  scene->stages[i].end > layer;
+		for (i = 0; i < snapshot->count && !covered; i++)
+			covered = snapshot->stages[i].rate > 0 &&
+				  snapshot->stages[i].first <= layer &&
+				  snapshot->stages[i].end > layer;
 		if (covered)
 			continue;
 		if (count == 0)
@@ -221,69 +229,72 @@
 	return count;
 }
 
-static double plc_flow(const struct plc_scene *scene)
+static double plc_max_flow(const struct plc_snapshot *snapshot)
 {
-	struct flow_net_in in = { .layers = scene->layers,
-				  .stages = scene->stages,
-				  .count = scene->count,
-				  .centres = scene->centres,
-				  .joined = scene->joined };
+	struct flow_net_in in = { .layers = snapshot->layers,
+				  .stages = snapshot->stages,
+				  .count = snapshot->count,
+				  .centres = snapshot->centres,
+				  .joined = snapshot->joined };
 
 	return flow_net_value(&in);
 }
 
-/* Weighs one order and keeps it if it is the best so far. */
-static void plc_try(struct plc_scene *scene, int engine,
-		    const struct plc_range *range, struct plc_candidate *best,
-		    const struct plc_candidate *now_is)
+/* Evaluates one possible order and stores it if it is the best so far. */
+static void plc_try_range(struct plc_snapshot *snapshot, int index,
+			  const struct plc_range *range,
+			  struct plc_candidate *best,
+			  const struct plc_candidate *current)
 {
-	const struct plc_engine *of = &scene->plc->engines[engine];
-	struct flow_stage before = scene->stages[engine];
-	struct plc_candidate move = { .engine = engine, .range = *range };
+	const struct plc_engine *engine = &snapshot->plc->engines[index];
+	struct flow_stage before = snapshot->stages[index];
+	struct plc_candidate candidate = { .engine = index, .range = *range };
 	int first;
 	int last;
 
-	if (of->holds && plc_range_equal(&of->held, range))
+	if (engine->holds && plc_range_equal(&engine->held, range))
 		return;
-	plc_set_stage(scene, (size_t)engine, range);
-	move.uncovered = plc_uncovered(scene, &first, &last);
-	move.flow = plc_flow(scene);
-	move.layers_to_load = plc_load(of, range);
-	move.engine_empty = !of->holds;
-	move.declared = plc_range_equal(&of->declared, range);
-	scene->stages[engine] = before;
-	if (plc_better(&move, best, now_is))
-		*best = move;
+	plc_set_stage(snapshot, (size_t)index, range);
+	candidate.uncovered = plc_uncovered(snapshot, &first, &last);
+	candidate.flow = plc_max_flow(snapshot);
+	candidate.layers_to_load = plc_layers_to_load(engine, range);
+	candidate.engine_empty = !engine->holds;
+	candidate.declared = plc_range_equal(&engine->declared, range);
+	snapshot->stages[index] = before;
+	if (plc_is_better(&candidate, best, current))
+		*best = candidate;
 }
 
-/* Says whether an order is worth it, and better than the best so far. */
-static bool plc_better(const struct plc_candidate *move,
-		       const struct plc_candidate *best,
-		       const struct plc_candidate *now_is)
+/* True if an order is worth its load and better than the best so far. */
+static bool plc_is_better(const struct plc_candidate *candidate,
+			  const struct plc_candidate *best,
+			  const struct plc_candidate *current)
 {
-	double gain = (move->flow - now_is->flow) / (move->layers_to_load + 1);
+	double gain = (candidate->flow - current->flow) /
+		      (candidate->layers_to_load + 1);
 	double best_gain =
-		(best->flow - now_is->flow) / (best->layers_to_load + 1);
+		(best->flow - current->flow) / (best->layers_to_load + 1);
 
-	if (move->uncovered > now_is->uncovered)
+	if (candidate->uncovered > current->uncovered)
 		return false;
-	if (move->uncovered == now_is->uncovered && !move->engine_empty &&
-	    move->flow < now_is->flow * PLC_MIN_GAIN)
+	if (candidate->uncovered == current->uncovered &&
+	    !candidate->engine_empty &&
+	    candidate->flow < current->flow * PLC_MIN_GAIN)
 		return false;
 	if (best->engine == PLC_NONE)
 		return true;
-	if (move->uncovered != best->uncovered)
-		return move->uncovered < best->uncovered;
+	if (candidate->uncovered != best->uncovered)
+		return candidate->uncovered < best->uncovered;
 	if (gain != best_gain)
 		return gain > best_gain;
-	if (move->declared != best->declared)
-		return move->declared;
-	return move->layers_to_load < best->layers_to_load;
+	if (candidate->declared != best->declared)
+		return candidate->declared;
+	return candidate->layers_to_load < best->layers_to_load;
 }
 
-/* How many layers an engine would draw from the weight store. */
-static uint32_t plc_load(const struct plc_engine *engine,
-			 const struct plc_range *range)
+/* Returns how many layers an engine would load from the weight store. */
+static uint32_t plc_layers_to_load(const struct plc_engine *engine,
+				   const struct plc_range *range)
 {
 	uint32_t load = 0;
 	uint32_t layer;
