--- a/src/lim.c
+++ b/src/lim.c
@@ -4,31 +4,35 @@
 
 #include "lim_int.h"
 
-#define LIM_FLOOR      0.04 /* part of a pool that is divided evenly */
-#define LIM_STEP       0.05 /* a smaller change of demand isn't told */
-#define LIM_SHARE_STEP 0.01 /* a smaller change of share isn't told */
-#define LIM_START      0.1  /* of its part, while a new instance is not known */
-#define LIM_ROUND_US   (250 * MAG_US_PER_MS)
+/* Part of an overloaded pool that is divided evenly, not by demand. */
+#define LIM_EVEN_PART	0.04
+#define LIM_DEMAND_STEP 0.05 /* a smaller change of demand isn't announced */
+#define LIM_SHARE_STEP	0.01 /* a smaller change of share isn't reported */
+/* Fraction of its part that a new instance uses until its peers know it. */
+#define LIM_INITIAL_PART 0.1
+#define LIM_PERIOD_US	 (250 * MAG_US_PER_MS)
 
 static int lim_compare(const void *a, const void *b);
-static void lim_row_set(struct lim_row *row, const struct cfg_limit *from,
-			int index);
-static void lim_start(const struct lim *lim, struct lim_row *row);
+static void lim_row_init(struct lim_row *row, const struct cfg_limit *from,
+			 int index);
+static void lim_set_initial_share(const struct lim *lim, struct lim_row *row);
 static int lim_remap(struct lim *lim, const struct lim_row *rows, size_t count);
 static float *lim_column(const struct lim *lim, const float *old,
 			 const struct lim_row *rows, size_t count);
 static void lim_announce(struct lim *lim);
-static void lim_sum(struct lim *lim, const struct peer *peer);
-static uint32_t lim_listed(struct lim *lim, const struct peer *peer);
+static void lim_sum_demand(struct lim *lim, const struct peer *peer);
+static uint32_t lim_count_parts(struct lim *lim, const struct peer *peer);
 static void lim_add_link(struct lim *lim, int link, bool local);
-static void lim_follow(struct lim *lim, const struct peer *peer, int chief);
-static void lim_window(struct lim *lim, const struct peer *peer, int64_t now);
-static double lim_least(const struct lim_row *row);
+static void lim_use_chief_totals(struct lim *lim, const struct peer *peer,
+				 int chief);
+static void lim_update_window(struct lim *lim, const struct peer *peer,
+			      int64_t now);
+static double lim_usable_fraction(const struct lim_row *row);
 
 /*
- * Makes an empty table of limits; NULL when memory is short.  instances_max
- * is the most instances that the site runs, into which a limit is divided
- * while no list is known.
+ * Creates an empty table of limits; returns NULL without memory.
+ * instances_max is the largest number of instances that the site runs.
+ * Limits are divided by it while no list of instances is known.
  */
 struct lim *lim_new(uint32_t instances_max)
 {
@@ -43,7 +47,7 @@
 	return lim;
 }
 
-/* Frees a table; NULL is allowed. */
+/* Frees a table; NULL is a no-op. */
 void lim_free(struct lim *lim)
 {
 	size_t i;
@@ -60,8 +64,9 @@
 }
 
 /*
- * Takes the limits of a new set; what is known of a limit is kept by its
- * name.  Returns LIM_E_MEMORY and keeps the old ones when memory is short.
+ * Applies the limits of a new set.  The state of a limit is carried over by
+ * its name.  Returns LIM_E_MEMORY and leaves the old limits in force without
+ * memory.
  */
 int lim_config(struct lim *lim, const struct cfg_set *set, int64_t now)
 {
@@ -73,13 +78,13 @@
 	if (!rows)
 		return LIM_E_MEMORY;
 	for (i = 0; i < count; i++)
-		lim_row_set(&rows[i], &set->limits[i], (int)i);
+		lim_row_init(&rows[i], &set->limits[i], (int)i);
 	qsort(rows, count, sizeof(*rows), lim_compare);
 	for (i = 0; i < count; i++) {
 		int old = first ? -1 : lim_find_row(lim, rows[i].hash);
 
 		if (first)
-			lim_start(lim, &rows[i]);
+			lim_set_initial_share(lim, &rows[i]);
 		if (old < 0)
 			continue;
 		rows[i].demand = lim->rows[old].demand;
@@ -100,8 +105,8 @@
 }
 
 /*
- * Notes the recent demand under a limit, in the unit of the first of its
- * fields that is set: requests/s, tokens/s, requests at once.
+ * Sets the recent demand under a limit, in the unit of the first field of the
+ * limit that is set: requests/s, tokens/s or concurrent requests.
  */
 int lim_note_demand(struct lim *lim, int limit, double demand)
 {
@@ -116,76 +121,78 @@
 	return LIM_E_UNKNOWN;
 }
 
-/* Sums up demand and works out this instance's part of each limit. */
+/* Sums up demand and computes this instance's share of each limit. */
 void lim_tick(struct lim *lim, const struct peer *peer, int64_t now)
 {
 	if (now < lim->next_tick_us)
 		return;
-	lim->next_tick_us = now + LIM_ROUND_US;
+	lim->next_tick_us = now + LIM_PERIOD_US;
 	lim_announce(lim);
-	lim_sum(lim, peer);
-	lim_window(lim, peer, now);
+	lim_sum_demand(lim, peer);
+	lim_update_window(lim, peer, now);
 	lim->share_cursor = 0;
 }
 
-/* When lim_tick has something to do next. */
+/* Returns when lim_tick is due next. */
 int64_t lim_next_deadline(const struct lim *lim)
 {
 	return lim->row_count ? lim->next_tick_us : MAG_NEVER;
 }
 
-/* Gives the next limit of which this instance's part changed. */
+/* Returns the next of this instance's shares that changed, if any. */
 bool lim_next_share(struct lim *lim, struct lim_share *share)
 {
 	while (lim->share_cursor < lim->row_count) {
 		struct lim_row *row = &lim->rows[lim->share_cursor++];
-		double now = lim_least(row);
+		double fraction = lim_usable_fraction(row);
 
 		if (row->reported >= 0 &&
-		    fabs(now - row->reported) <= LIM_SHARE_STEP * row->reported)
+		    fabs(fraction - row->reported) <=
+			    LIM_SHARE_STEP * row->reported)
 			continue;
-		row->reported = now;
+		row->reported = fraction;
 		share->limit = row->limit;
-		share->requests_per_s = now * row->requests_per_s;
-		share->tokens_per_s = now * row->tokens_per_s;
-		share->concurrent = now * row->concurrent;
+		share->requests_per_s = fraction * row->requests_per_s;
+		share->tokens_per_s = fraction * row->tokens_per_s;
+		share->concurrent = fraction * row->concurrent;
 		return true;
 	}
 	return false;
 }
 
-/* How many instances pool their parts with this one, itself included. */
+/* Returns how many instances pool their parts, this one included. */
 uint32_t lim_group_size(const struct lim *lim)
 {
 	return lim->group_size;
 }
 
-/* In how many parts each limit is held. */
+/* Returns into how many parts each limit is divided. */
 uint32_t lim_part_count(const struct lim *lim)
 {
 	return lim->part_count;
 }
 
 /*
- * The fraction of a limit that one instance may use.  A group of the
- * entitled ones holds group / entitled of it.  Demand below the pool is met
- * and the rest divided evenly; demand above it is met in proportion.  The
- * group is not empty and not larger than the entitled.
+ * Returns the fraction of a limit that one instance may use.  Its group pools
+ * group_size / part_count of the limit.  If the group's demand is below the
+ * pool, each instance gets its demand and an even part of the rest; above it,
+ * the pool is divided in proportion to demand.  group_size is at least 1 and
+ * at most part_count.
  */
-double lim_fraction(double own, double total, uint32_t group, uint32_t entitled,
-		    double limit)
+double lim_fraction(double own, double total, uint32_t group_size,
+		    uint32_t part_count, double limit)
 {
-	double pool = limit * group / entitled;
+	double pool = limit * group_size / part_count;
 
 	if (total < own)
 		total = own;
-	if (total <= (1 - LIM_FLOOR) * pool)
-		return (own + (pool - total) / group) / limit;
+	if (total <= (1 - LIM_EVEN_PART) * pool)
+		return (own + (pool - total) / group_size) / limit;
 	return pool / limit *
-	       (LIM_FLOOR / group + (1 - LIM_FLOOR) * own / total);
+	       (LIM_EVEN_PART / group_size + (1 - LIM_EVEN_PART) * own / total);
 }
 
-/* The size of a limit in the unit of its demand. */
+/* Returns the size of a limit in the unit of its demand. */
 double lim_size(const struct lim_row *row)
 {
 	if (row->requests_per_s > 0)
@@ -195,7 +202,7 @@
 	return row->concurrent > 0 ? row->concurrent : 1;
 }
 
-/* Finds the row of a limit by hash; -1 if the set lacks it. */
+/* Finds the row of a limit by hash; returns -1 if the set lacks it. */
 int lim_find_row(const struct lim *lim, uint32_t hash)
 {
 	size_t low = 0;
@@ -221,9 +228,9 @@
 	return (left > right) - (left < right);
 }
 
-/* Makes the row of a limit of which nothing is known yet. */
-static void lim_row_set(struct lim_row *row, const struct cfg_limit *from,
-			int index)
+/* Initializes the row of a limit without any known demand. */
+static void lim_row_init(struct lim_row *row, const struct cfg_limit *from,
+			 int index)
 {
 	size_t slot;
 
@@ -238,19 +245,20 @@
 }
 
 /*
- * Lets a new instance use a little until all others had the time to hear of
- * it.  They share the whole limit without it, so its whole part would come on
- * top; with nothing it would refuse the first callers that it gets.
+ * Grants a new instance a small share until all others have had time to learn
+ * of it.  Until then they divide the whole limit among themselves, so its full
+ * part would exceed the limit.  Without any share it would refuse its first
+ * callers.
  */
-static void lim_start(const struct lim *lim, struct lim_row *row)
+static void lim_set_initial_share(const struct lim *lim, struct lim_row *row)
 {
 	size_t slot;
 
 	for (slot = 0; slot < LIM_WINDOW_SLOTS; slot++)
-		row->slot_min[slot] = LIM_START / lim->instances_max;
+		row->slot_min[slot] = LIM_INITIAL_PART / lim->instances_max;
 }
 
-/* Moves what each link knows to the places of the new rows. */
+/* Reorders the values of each link to match the new rows. */
 static int lim_remap(struct lim *lim, const struct lim_row *rows, size_t count)
 {
 	size_t i;
@@ -274,7 +282,7 @@
 	return LIM_OK;
 }
 
-/* Copies one column in the order of the new rows. */
+/* Returns a link's values in the order of the new rows. */
 static float *lim_column(const struct lim *lim, const float *old,
 			 const struct lim_row *rows, size_t count)
 {
@@ -291,8 +299,9 @@
 }
 
 /*
- * Announces demand that moved by a step.  Every change of it moves a share,
- * and a share that rises waits, so noise would cost a part of the limit.
+ * Announces demand that changed by more than a step.  Each announced change
+ * changes shares, and a share rises only after a delay, so announcing noise
+ * would leave a part of the limit unused.
  */
 static void lim_announce(struct lim *lim)
 {
@@ -300,17 +309,18 @@
 
 	for (i = 0; i < lim->row_count; i++) {
 		struct lim_row *row = &lim->rows[i];
-		float off = fabsf(row->demand - row->announced);
+		float difference = fabsf(row->demand - row->announced);
 
-		if (off > LIM_STEP * fmaxf(row->demand, row->announced))
+		if (difference >
+		    LIM_DEMAND_STEP * fmaxf(row->demand, row->announced))
 			row->announced = row->demand;
 	}
 }
 
-/* Sums up who and what is in reach, or takes the sums of the first bridge. */
-static void lim_sum(struct lim *lim, const struct peer *peer)
+/* Sums up reachable instances and demand, or uses the first bridge's sums. */
+static void lim_sum_demand(struct lim *lim, const struct peer *peer)
 {
-	uint32_t listed = lim_listed(lim, peer);
+	uint32_t listed = lim_count_parts(lim, peer);
 	size_t i;
 
 	for (i = 0; i < lim->row_count; i++)
@@ -340,39 +350,40 @@
 	}
 	lim->part_count = listed;
 	if (peer_chief(peer) >= 0)
-		lim_follow(lim, peer, peer_chief(peer));
+		lim_use_chief_totals(lim, peer, peer_chief(peer));
 	if (lim->part_count < lim->group_size)
 		lim->part_count = lim->group_size;
 }
 
 /*
- * Into how many parts a limit is divided as far as this instance knows.  One
- * that is new during an outage of the platform has no list.  If it took the
- * size of its group for that of the fleet, its side of a cut would use the
- * whole limit and the other side its parts as well; if it took nothing, every
- * caller under a limit would be refused until the platform is back.  So it
- * goes by the size that peers tell, else by the last list, else by the most
- * that the site runs.
+ * Returns into how many parts this instance divides a limit.  An instance
+ * that starts while the platform is down has no list of instances.  If it
+ * used the size of its group instead, its side of a network partition would
+ * use the whole limit while the other side uses its parts as well.  If it
+ * used no share, every caller under a limit would be refused until the
+ * platform is back.  So without an own list it uses the size that peers
+ * report, else the last known list, else the largest number of instances that
+ * the site runs.
  */
-static uint32_t lim_listed(struct lim *lim, const struct peer *peer)
+static uint32_t lim_count_parts(struct lim *lim, const struct peer *peer)
 {
 	uint32_t listed = peer_listed_count(peer);
-	uint32_t told = 0;
+	uint32_t peers_listed = 0;
 	size_t i;
 
 	for (i = 0; i < peer_link_count(peer); i++) {
 		if (peer_link_up(peer, (int)i) &&
-		    peer_link_listed(peer, (int)i) > told)
-			told = peer_link_listed(peer, (int)i);
+		    peer_link_listed(peer, (int)i) > peers_listed)
+			peers_listed = peer_link_listed(peer, (int)i);
 	}
 	if (listed == 0)
-		listed = told;
+		listed = peers_listed;
 	if (listed > 0)
 		lim->last_listed = listed;
 	return lim->last_listed > 0 ? lim->last_listed : lim->instances_max;
 }
 
-/* Adds what a link told to the sums. */
+/* Adds the demand received on a link to the sums. */
 static void lim_add_link(struct lim *lim, int link, bool local)
 {
 	size_t i;
@@ -388,11 +399,13 @@
 }
 
 /*
- * Takes the sums of this data centre's first bridge.  One that doesn't see
- * the same instances as this one may not count it, so that both would use
- * this one's part: then only the part of one instance is used here.
+ * Uses the sums of this data centre's first bridge.  A bridge that doesn't
+ * see the same instances as this one may not count this instance, and both
+ * would use this instance's part.  In that case this instance uses the part
+ * of one instance only.
  */
-static void lim_follow(struct lim *lim, const struct peer *peer, int chief)
+static void lim_use_chief_totals(struct lim *lim, const struct peer *peer,
+				 int chief)
 {
 	const struct lim_link *state = NULL;
 	uint32_t listed = peer_link_listed(peer, chief);
@@ -404,8 +417,7 @@
 	if (state && state->received && state->sends_totals &&
 	    peer_link_agrees(peer, chief)) {
 		lim->group_size = peer_link_group(peer, chief);
-		lim->part_count =
-			listed; /* from a fresher list than this one */
+		lim->part_count = listed; /* the bridge's list is newer */
 	} else if (listed > lim->part_count) {
 		lim->part_count = listed;
 	}
@@ -419,12 +431,14 @@
 }
 
 /*
- * Lowers each part at once and raises it only when it was higher for as long
- * as a cut takes to be noticed and news to travel.  Those who lose what this
- * one gains would otherwise still use it, and the sum would pass the limit
- * whenever demand moves, or rises on one side of a fresh cut.
+ * Lowers each share at once, but raises it only after it was higher for as
+ * long as it takes to detect a network partition and to spread the change.
+ * Otherwise the instances that lose what this one gains would still use it,
+ * and the sum would exceed the limit whenever demand shifts between instances
+ * or rises on one side of a new partition.
  */
-static void lim_window(struct lim *lim, const struct peer *peer, int64_t now)
+static void lim_update_window(struct lim *lim, const struct peer *peer,
+			      int64_t now)
 {
 	bool next = now >= lim->slot_end_us;
 	size_t i;
@@ -445,8 +459,8 @@
 	}
 }
 
-/* The least fraction in all slots: what may be used now. */
-static double lim_least(const struct lim_row *row)
+/* Returns the smallest fraction of all slots, which may be used now. */
+static double lim_usable_fraction(const struct lim_row *row)
 {
 	double least = row->slot_min[0];
 	size_t slot;
--- a/src/lim.h
+++ b/src/lim.h
@@ -2,10 +2,11 @@
 #define LIM_H
 
 /*
- * Limits for the whole fleet, held in pieces.  Each instance is entitled to
- * one part in all listed instances.  Those who reach each other pool their
- * entitlements and divide the pool by demand, so the parts on all sides of a
- * cut sum up to the limit.  Deterministic.
+ * Limits that apply to the whole fleet, divided among its instances.  Of n
+ * listed instances each is entitled to 1/n of a limit.  Instances that reach
+ * each other pool their entitlements and divide the pool by demand, so the
+ * shares on all sides of a network partition add up to the limit.
+ * Deterministic: the caller passes the time in.
  */
 
 #include <stdbool.h>
@@ -22,8 +23,9 @@
 	LIM_E_UNKNOWN = -2,
 };
 
+/* The part of a limit that this instance may use. */
 struct lim_share {
-	int limit;
+	int limit; /* index into the set */
 	double requests_per_s;
 	double tokens_per_s;
 	double concurrent;
@@ -42,7 +44,7 @@
 bool lim_next_share(struct lim *lim, struct lim_share *share);
 uint32_t lim_group_size(const struct lim *lim);
 uint32_t lim_part_count(const struct lim *lim);
-double lim_fraction(double own, double total, uint32_t group, uint32_t entitled,
-		    double limit);
+double lim_fraction(double own, double total, uint32_t group_size,
+		    uint32_t part_count, double limit);
 
 #endif /* LIM_H */
--- a/src/lim_int.h
+++ b/src/lim_int.h
@@ -1,39 +1,36 @@
 #ifndef LIM_INT_H
 #define LIM_INT_H
 
-/* What the files of the lim family share. */
+/* Private declarations shared by the lim*.c files. */
 
 #include "lim.h"
 
-#define LIM_WINDOW_SLOTS                                                       \
-	5 /* of time, of which a raised share waits out all                    \
-	   */
+/* Slots of the time window after which a share may rise. */
+#define LIM_WINDOW_SLOTS 5
 
-/* One limit as this instance sees it. */
+/* A limit and the demand under it, as known to this instance. */
 struct lim_row {
 	uint32_t hash; /* of the limit's name */
 	int limit;     /* index into the set */
 	double requests_per_s;
 	double tokens_per_s;
 	double concurrent;
-	float demand;	 /* here, as last noted */
-	float announced; /* here, as peers are told */
-	float local;	 /* in this data centre, at its first bridge */
-	float total;	 /* of all in reach */
-	double slot_min[LIM_WINDOW_SLOTS]; /* least fraction in each slot of
-					    * time
-					    */
-	double reported; /* fraction that the owner was told; -1: none */
+	float demand;	 /* of this instance, as last measured */
+	float announced; /* of this instance, as sent to peers */
+	float local;	 /* of this data centre; complete at its first bridge */
+	float total;	 /* of all reachable instances */
+	double slot_min[LIM_WINDOW_SLOTS]; /* smallest fraction per slot */
+	double reported; /* fraction last returned as a share; -1: none */
 };
 
-/* What a link brought, and what it was told; one float a row. */
+/* The demand received from and sent to a peer; one value per row. */
 struct lim_link {
 	uint32_t epoch;
-	bool sends_totals; /* the other side is this data centre's first */
-	bool sent_totals;  /* it was told totals */
-	uint32_t cursor;   /* next row that is told again unasked */
+	bool sends_totals; /* the peer is this data centre's first bridge */
+	bool sent_totals;  /* the values in sent are totals */
+	uint32_t cursor;   /* next row to repeat even if it didn't change */
 	float *received;
-	float *sent; /* NAN: not known what it has */
+	float *sent; /* NAN: unknown what the peer has */
 };
 
 struct lim {
@@ -44,11 +41,11 @@
 	int64_t slot_end_us;
 	size_t slot;
 	int64_t next_tick_us;
-	uint32_t group_size;  /* who pool their parts, this one included */
-	uint32_t local_count; /* those of them in this data centre */
-	uint32_t part_count;  /* in how many parts a limit is held */
-	uint32_t last_listed; /* instances of the last list, own or a peer's */
-	uint32_t instances_max; /* what a site without any list may have */
+	uint32_t group_size;  /* instances that pool their parts */
+	uint32_t local_count; /* the same in this data centre only */
+	uint32_t part_count;  /* parts into which each limit is divided */
+	uint32_t last_listed; /* instances in the last list, own or a peer's */
+	uint32_t instances_max; /* used while no list is known */
 	size_t share_cursor;
 };
 
--- a/src/lim_link.c
+++ b/src/lim_link.c
@@ -4,13 +4,13 @@
 
 #include "lim_int.h"
 
-/* What instances tell each other of the demand under each limit. */
+/* Exchanges the demand under each limit between instances. */
 
-/* What a row is worth to a receiver. */
+/* Which demand of a row a receiver needs. */
 enum lim_view {
-	LIM_OWN,
-	LIM_LOCAL,
-	LIM_TOTAL,
+	LIM_OWN,   /* this instance's */
+	LIM_LOCAL, /* this data centre's */
+	LIM_TOTAL, /* of all reachable instances */
 	LIM_NOTHING
 };
 
@@ -18,13 +18,14 @@
 				 int link);
 static enum lim_view lim_view(const struct peer *peer, int link);
 static float lim_value(const struct lim_row *row, enum lim_view view);
-static void lim_choose(struct lim *lim, struct lim_link *state,
-		       enum lim_view view, uint32_t max, struct peer_msg *msg);
-static double lim_urgency(const struct lim_row *row, float value, float out);
-static void lim_put(struct lim *lim, struct lim_link *state, size_t row,
-		    float value, struct peer_msg *msg);
-
-/* Takes the demand that a message tells. */
+static void lim_choose_rows(struct lim *lim, struct lim_link *state,
+			    enum lim_view view, uint32_t max,
+			    struct peer_msg *msg);
+static double lim_deviation(const struct lim_row *row, float value, float sent);
+static void lim_add_demand(struct lim *lim, struct lim_link *state, size_t row,
+			   float value, struct peer_msg *msg);
+
+/* Stores the demand that a message carries. */
 void lim_receive(struct lim *lim, const struct peer *peer, int link,
 		 const struct peer_msg *msg)
 {
@@ -52,10 +53,10 @@
 }
 
 /*
- * Adds to a message the demand that its receiver needs: an instance tells
- * its own to the bridges of its data centre, a bridge the sum of its data
- * centre to other bridges, and the first bridge the sum of all that it
- * reaches to its data centre.
+ * Adds to a message the demand that its receiver needs.  An instance sends
+ * its own demand to the bridges of its data centre.  A bridge sends the sum of
+ * its data centre to other bridges.  The first bridge sends the sum of all
+ * instances that it reaches to its data centre.
  */
 void lim_fill_message(struct lim *lim, const struct peer *peer, int link,
 		      struct peer_msg *msg)
@@ -75,10 +76,10 @@
 			state->sent[i] = NAN;
 		state->sent_totals = totals;
 	}
-	lim_choose(lim, state, view, peer_demands_fit(peer), msg);
+	lim_choose_rows(lim, state, view, peer_demands_fit(peer), msg);
 }
 
-/* Returns the state of a link, emptied for a new incarnation. */
+/* Returns a link's state, which is reset for a new incarnation of the peer. */
 static struct lim_link *lim_link(struct lim *lim, const struct peer *peer,
 				 int link)
 {
@@ -107,7 +108,7 @@
 	return state->received && state->sent ? state : NULL;
 }
 
-/* Says what the other side of a link is told. */
+/* Returns which demand the peer on a link needs. */
 static enum lim_view lim_view(const struct peer *peer, int link)
 {
 	if (peer_link_kind(peer, link) == PEER_LINK_BRIDGE)
@@ -117,7 +118,7 @@
 	return peer_link_rail(peer, link) >= 0 ? LIM_OWN : LIM_NOTHING;
 }
 
-/* The demand of a row as one kind of receiver needs it. */
+/* Returns the demand of a row that a receiver needs. */
 static float lim_value(const struct lim_row *row, enum lim_view view)
 {
 	if (view == LIM_OWN)
@@ -126,59 +127,62 @@
 }
 
 /*
- * Puts the rows into a message of which the receiver is the furthest off,
- * and one row in turn whether or not it changed: what a lost message told
- * would else stay unknown for as long as nothing changes.
+ * Adds the rows whose value at the receiver deviates most, and one more row
+ * in turn whether or not it changed.  Otherwise the content of a lost message
+ * would stay unknown until the next change.
  */
-static void lim_choose(struct lim *lim, struct lim_link *state,
-		       enum lim_view view, uint32_t max, struct peer_msg *msg)
+static void lim_choose_rows(struct lim *lim, struct lim_link *state,
+			    enum lim_view view, uint32_t max,
+			    struct peer_msg *msg)
 {
-	double urgency[PEER_DEMANDS_MAX];
+	double deviations[PEER_DEMANDS_MAX];
 	size_t rows[PEER_DEMANDS_MAX];
 	uint32_t count = 0;
 	uint32_t i;
 	size_t r;
 
 	for (r = 0; r < lim->row_count; r++) {
-		double u = lim_urgency(&lim->rows[r],
-				       lim_value(&lim->rows[r], view),
-				       state->sent[r]);
+		double deviation = lim_deviation(&lim->rows[r],
+						 lim_value(&lim->rows[r], view),
+						 state->sent[r]);
 
-		if (u <= 0 || max == 0 ||
-		    (count == max && u <= urgency[count - 1]))
+		if (deviation <= 0 || max == 0 ||
+		    (count == max && deviation <= deviations[count - 1]))
 			continue;
 		if (count < max)
 			count++;
-		for (i = count - 1; i > 0 && urgency[i - 1] < u; i--) {
-			urgency[i] = urgency[i - 1];
+		for (i = count - 1; i > 0 && deviations[i - 1] < deviation;
+		     i--) {
+			deviations[i] = deviations[i - 1];
 			rows[i] = rows[i - 1];
 		}
-		urgency[i] = u;
+		deviations[i] = deviation;
 		rows[i] = r;
 	}
 	for (i = 0; i < count; i++)
-		lim_put(lim, state, rows[i],
-			lim_value(&lim->rows[rows[i]], view), msg);
+		lim_add_demand(lim, state, rows[i],
+			       lim_value(&lim->rows[rows[i]], view), msg);
 	if (count == max || lim->row_count == 0)
 		return;
 	r = state->cursor++ % lim->row_count;
 	if (lim_value(&lim->rows[r], view) > 0)
-		lim_put(lim, state, r, lim_value(&lim->rows[r], view), msg);
+		lim_add_demand(lim, state, r, lim_value(&lim->rows[r], view),
+			       msg);
 }
 
-/* How far a receiver is off, in parts of the limit; 0 if near enough. */
-static double lim_urgency(const struct lim_row *row, float value, float out)
+/* Returns a receiver's error as a fraction of the limit; 0 if negligible. */
+static double lim_deviation(const struct lim_row *row, float value, float sent)
 {
-	if (isnan(out))
+	if (isnan(sent))
 		return (value + 1e-6) / lim_size(row);
-	if (fabsf(value - out) <= 0.01F * fmaxf(value, out))
+	if (fabsf(value - sent) <= 0.01F * fmaxf(value, sent))
 		return 0;
-	return fabsf(value - out) / lim_size(row);
+	return fabsf(value - sent) / lim_size(row);
 }
 
-/* Adds one entry to a message and keeps what the receiver was told. */
-static void lim_put(struct lim *lim, struct lim_link *state, size_t row,
-		    float value, struct peer_msg *msg)
+/* Adds one entry to a message and stores the value as sent. */
+static void lim_add_demand(struct lim *lim, struct lim_link *state, size_t row,
+			   float value, struct peer_msg *msg)
 {
 	struct peer_demand *entry = &msg->demands[msg->demand_count++];
 
