--- a/src/spread.c
+++ b/src/spread.c
@@ -6,29 +6,29 @@
 #include "cnt.h"
 #include "spread.h"
 
-#define SPREAD_OWN (-1) /* origin of what this instance saw itself */
+#define SPREAD_LOCAL (-1) /* origin of what this instance observed itself */
 
 struct spread_record {
-	struct cds_list_head log;  /* by the time of the last change here */
-	struct cds_list_head news; /* not yet told to the owner */
-	bool has_news;
+	struct cds_list_head log;     /* oldest change first */
+	struct cds_list_head changes; /* not yet returned to the caller */
+	bool in_changes;
 	struct peer_record rec;
-	int64_t until_us;   /* quarantine */
-	uint32_t seq;	    /* place in this instance's log */
-	int origin;	    /* link that it came from */
-	uint32_t seen_here; /* leaving: enum spread_source that say so */
+	int64_t until_us; /* end of a quarantine */
+	uint32_t seq;	  /* of the last change, rises along the log */
+	int origin;	  /* link that brought the last change */
+	uint32_t sources; /* leaving: set of enum spread_source */
 };
 
-/* What is known of the other side of a link. */
+/* The acknowledged parts of both logs on a link. */
 struct spread_link {
 	uint32_t epoch;
-	uint32_t acked; /* it has our log up to here */
-	uint32_t have;	/* we have its log up to here */
+	uint32_t acked_by_peer; /* seq up to which the peer has this log */
+	uint32_t received; /* seq up to which the peer's log was received */
 };
 
 struct spread {
 	struct cds_list_head log;
-	struct cds_list_head news;
+	struct cds_list_head changes;
 	uint32_t count;
 	uint32_t max;
 	uint32_t seq;
@@ -43,19 +43,19 @@
 static struct spread_record *spread_add(struct spread *spread,
 					const struct peer_record *rec);
 static bool spread_evict(struct spread *spread);
-static void spread_drop(struct spread *spread, struct spread_record *record);
-static void spread_changed(struct spread *spread, struct spread_record *record,
-			   int origin);
+static void spread_remove(struct spread *spread, struct spread_record *record);
+static void spread_mark_changed(struct spread *spread,
+				struct spread_record *record, int origin);
 static struct spread_link *spread_link(struct spread *spread,
 				       const struct peer *peer, int link);
 static bool spread_forwards(const struct peer *peer,
 			    const struct spread_record *record, int link);
-static int spread_apply(struct spread *spread, const struct peer_record *rec,
+static int spread_merge(struct spread *spread, const struct peer_record *rec,
 			int link, int64_t now);
-static bool spread_newer(const struct spread_record *record,
-			 const struct peer_record *rec, int64_t until_us);
+static bool spread_supersedes(const struct spread_record *record,
+			      const struct peer_record *rec, int64_t until_us);
 
-/* Makes an empty log of at most max_records; NULL when memory is short. */
+/* Creates a log of at most max_records; returns NULL without memory. */
 struct spread *spread_new(uint32_t max_records)
 {
 	struct spread *spread = calloc(1, sizeof(*spread));
@@ -63,12 +63,12 @@
 	if (!spread)
 		return NULL;
 	CDS_INIT_LIST_HEAD(&spread->log);
-	CDS_INIT_LIST_HEAD(&spread->news);
+	CDS_INIT_LIST_HEAD(&spread->changes);
 	spread->max = max_records;
 	return spread;
 }
 
-/* Frees a log; NULL is allowed. */
+/* Frees a log; NULL is a no-op. */
 void spread_free(struct spread *spread)
 {
 	struct spread_record *record;
@@ -83,8 +83,9 @@
 }
 
 /*
- * Takes the set in force, which must outlive the log or the next call.
- * Records of endpoints that it lacks are the first to go when room is short.
+ * Sets the set in force, which must remain valid until the next call or as
+ * long as the log.  When the log is full, records of endpoints that the set
+ * lacks may be evicted.
  */
 void spread_config(struct spread *spread, const struct cfg_set *set)
 {
@@ -92,14 +93,14 @@
 }
 
 /*
- * Notes what this instance's own list shows of an endpoint.  Only a change
- * of the own view makes a new version: a list that lags behind what peers
- * told must not call an endpoint back.
+ * Updates what one of this instance's own sources shows of an endpoint.  Only
+ * a change of the own view creates a new version of the record: a list that
+ * is older than what peers sent must not mark the endpoint as returned.
  */
 int spread_note_leaving(struct spread *spread, const char *endpoint,
 			enum spread_source source, bool leaving)
 {
-	uint32_t seen;
+	uint32_t sources;
 	struct peer_record rec = { .kind = PEER_REC_LEAVING };
 	struct spread_record *record;
 
@@ -112,39 +113,41 @@
 		record = spread_add(spread, &rec);
 	if (!record)
 		return SPREAD_E_FULL;
-	seen = record->seen_here & ~(uint32_t)source;
+	sources = record->sources & ~(uint32_t)source;
 	if (leaving)
-		seen |= source;
-	if ((seen != 0) == (record->seen_here != 0)) {
-		record->seen_here = seen;
+		sources |= source;
+	if ((sources != 0) == (record->sources != 0)) {
+		record->sources = sources;
 		return SPREAD_OK;
 	}
-	record->seen_here = seen;
+	record->sources = sources;
 	if (record->rec.leaving == leaving)
 		return SPREAD_OK;
 	record->rec.leaving = leaving;
 	record->rec.version++;
-	spread_changed(spread, record, SPREAD_OWN);
+	spread_mark_changed(spread, record, SPREAD_LOCAL);
 	return SPREAD_OK;
 }
 
-/* Notes a fingerprint that this instance quarantined until until_us. */
+/* Adds a fingerprint that this instance quarantined until until_us. */
 int spread_note_quarantine(struct spread *spread,
-			   const uint8_t print[MAG_DIGEST_BYTES], uint32_t lost,
-			   int64_t until_us, int64_t now)
+			   const uint8_t fingerprint[MAG_DIGEST_BYTES],
+			   uint32_t endpoints_lost, int64_t until_us,
+			   int64_t now)
 {
-	struct peer_record rec = { .kind = PEER_REC_QUARANTINE, .lost = lost };
+	struct peer_record rec = { .kind = PEER_REC_QUARANTINE,
+				   .lost = endpoints_lost };
 
-	memcpy(rec.print, print, MAG_DIGEST_BYTES);
+	memcpy(rec.print, fingerprint, MAG_DIGEST_BYTES);
 	if (until_us <= now)
 		return SPREAD_OK;
 	rec.remaining_ms = (uint32_t)((until_us - now) / MAG_US_PER_MS);
-	return spread_apply(spread, &rec, SPREAD_OWN, now);
+	return spread_merge(spread, &rec, SPREAD_LOCAL, now);
 }
 
 /*
- * Takes the records of a message.  Returns how many it brought, so that the
- * caller acknowledges them soon.
+ * Merges the records of a message.  Returns how many it carried, so that the
+ * caller can acknowledge them soon.
  */
 int spread_receive(struct spread *spread, const struct peer *peer, int link,
 		   const struct peer_msg *msg, int64_t now)
@@ -155,35 +158,36 @@
 	if (!state)
 		return 0;
 	/*
-	 * An acknowledgement of an earlier incarnation's log means nothing
-	 * here; one that went back means that the peer lost its memory.
+	 * An acknowledgement for the log of an earlier incarnation of this
+	 * instance doesn't apply to this log.  An acknowledgement that is lower
+	 * than before means that the peer lost its log.
 	 */
-	state->acked = peer_hears_us(peer, msg) ? msg->news_ack : 0;
-	if (state->acked > spread->seq)
-		state->acked = 0;
+	state->acked_by_peer = peer_hears_us(peer, msg) ? msg->news_ack : 0;
+	if (state->acked_by_peer > spread->seq)
+		state->acked_by_peer = 0;
 	for (i = 0; i < msg->news_count; i++) {
-		if (spread_apply(spread, &msg->news[i], link, now))
-			return 0; /* no room: it will be sent again */
+		if (spread_merge(spread, &msg->news[i], link, now))
+			return 0; /* log full: the peer sends it again */
 	}
-	state->have = msg->news_seq;
+	state->received = msg->news_seq;
 	return (int)msg->news_count;
 }
 
-/* Adds to a message what its receiver hasn't acknowledged. */
+/* Adds the records that the receiver hasn't acknowledged to a message. */
 void spread_fill_message(struct spread *spread, const struct peer *peer,
 			 int link, int64_t now, struct peer_msg *msg)
 {
 	struct spread_link *state = spread_link(spread, peer, link);
 	struct spread_record *record;
 
-	msg->news_seq = state ? state->acked : 0;
-	msg->news_ack = state ? state->have : 0;
+	msg->news_seq = state ? state->acked_by_peer : 0;
+	msg->news_ack = state ? state->received : 0;
 	if (!state)
 		return;
 	cds_list_for_each_entry (record, &spread->log, log) {
 		struct peer_record *rec = &msg->news[msg->news_count];
 
-		if (record->seq <= state->acked)
+		if (record->seq <= state->acked_by_peer)
 			continue;
 		if (msg->news_count == PEER_NEWS_MAX)
 			return;
@@ -199,19 +203,19 @@
 	}
 }
 
-/* True if a link's other side lacks a record that goes to it. */
+/* True if the peer lacks a record that goes over this link. */
 bool spread_pending(const struct spread *spread, const struct peer *peer,
 		    int link)
 {
 	const struct spread_record *record;
-	uint32_t acked = 0;
+	uint32_t acked_by_peer = 0;
 
 	if ((size_t)link < spread->link_count &&
 	    spread->links[link].epoch == peer_link_epoch(peer, link))
-		acked = spread->links[link].acked;
+		acked_by_peer = spread->links[link].acked_by_peer;
 	cds_list_for_each_entry_reverse(record, &spread->log, log)
 	{
-		if (record->seq <= acked)
+		if (record->seq <= acked_by_peer)
 			return false;
 		if (spread_forwards(peer, record, link))
 			return true;
@@ -220,8 +224,9 @@
 }
 
 /*
- * Forgets what has ended.  An instance that becomes a bridge forwards what
- * it didn't have to before, so its whole log counts as new again.
+ * Removes quarantines that have ended.  An instance that becomes a bridge must
+ * forward records that it didn't forward before, so its whole log counts as
+ * changed again.
  */
 void spread_tick(struct spread *spread, const struct peer *peer, int64_t now)
 {
@@ -232,33 +237,34 @@
 	cds_list_for_each_entry_safe (record, next, &spread->log, log) {
 		if (record->rec.kind == PEER_REC_QUARANTINE &&
 		    record->until_us <= now)
-			spread_drop(spread, record);
+			spread_remove(spread, record);
 		else if (bridge && !spread->was_bridge)
 			record->seq = ++spread->seq;
 	}
 	spread->was_bridge = bridge;
 }
 
-/* Gives the next record that changed by what a peer said. */
-bool spread_next_change(struct spread *spread, struct spread_change *news)
+/* Returns the next changed record, if any. */
+bool spread_next_change(struct spread *spread, struct spread_change *change)
 {
 	struct spread_record *record;
 
-	if (cds_list_empty(&spread->news))
+	if (cds_list_empty(&spread->changes))
 		return false;
-	record = cds_list_entry(spread->news.next, struct spread_record, news);
-	cds_list_del(&record->news);
-	record->has_news = false;
-	news->kind = record->rec.kind;
-	memcpy(news->endpoint, record->rec.endpoint, MAG_NAME_MAX);
-	memcpy(news->fingerprint, record->rec.print, MAG_DIGEST_BYTES);
-	news->leaving = record->rec.leaving;
-	news->endpoints_lost = record->rec.lost;
-	news->until_us = record->until_us;
+	record = cds_list_entry(spread->changes.next, struct spread_record,
+				changes);
+	cds_list_del(&record->changes);
+	record->in_changes = false;
+	change->kind = record->rec.kind;
+	memcpy(change->endpoint, record->rec.endpoint, MAG_NAME_MAX);
+	memcpy(change->fingerprint, record->rec.print, MAG_DIGEST_BYTES);
+	change->leaving = record->rec.leaving;
+	change->endpoints_lost = record->rec.lost;
+	change->until_us = record->until_us;
 	return true;
 }
 
-/* How many records are kept. */
+/* Returns the number of records in the log. */
 uint32_t spread_count(const struct spread *spread)
 {
 	return spread->count;
@@ -284,7 +290,7 @@
 	return NULL;
 }
 
-/* Adds a record at the end of the log; NULL if there is no room. */
+/* Adds a record at the end of the log; returns NULL if it can't. */
 static struct spread_record *spread_add(struct spread *spread,
 					const struct peer_record *rec)
 {
@@ -300,7 +306,7 @@
 	record->rec.kind = rec->kind;
 	memcpy(record->rec.endpoint, rec->endpoint, MAG_NAME_MAX);
 	memcpy(record->rec.print, rec->print, MAG_DIGEST_BYTES);
-	record->origin = SPREAD_OWN;
+	record->origin = SPREAD_LOCAL;
 	record->seq = ++spread->seq;
 	cds_list_add_tail(&record->log, &spread->log);
 	spread->count++;
@@ -308,8 +314,8 @@
 }
 
 /*
- * Drops the oldest record that stops nothing: an endpoint that came back, or
- * one that the set in force lacks.
+ * Removes the oldest record without an effect: that of an endpoint which
+ * returned, or of one that the set in force lacks.
  */
 static bool spread_evict(struct spread *spread)
 {
@@ -323,39 +329,39 @@
 			continue;
 		if (record->rec.leaving && !spread->set)
 			continue;
-		spread_drop(spread, record);
+		spread_remove(spread, record);
 		return true;
 	}
 	return false;
 }
 
-/* Takes a record out of the log. */
-static void spread_drop(struct spread *spread, struct spread_record *record)
+/* Removes a record from the log and frees it. */
+static void spread_remove(struct spread *spread, struct spread_record *record)
 {
-	if (record->has_news)
-		cds_list_del(&record->news);
+	if (record->in_changes)
+		cds_list_del(&record->changes);
 	cds_list_del(&record->log);
 	free(record);
 	spread->count--;
 }
 
-/* Puts a changed record at the end of the log, so that it is sent again. */
-static void spread_changed(struct spread *spread, struct spread_record *record,
-			   int origin)
+/* Moves a changed record to the end of the log, so that it is sent again. */
+static void spread_mark_changed(struct spread *spread,
+				struct spread_record *record, int origin)
 {
 	record->origin = origin;
 	record->seq = ++spread->seq;
 	cds_list_del(&record->log);
 	cds_list_add_tail(&record->log, &spread->log);
-	if (record->has_news)
+	if (record->in_changes)
 		return;
-	record->has_news = true;
-	cds_list_add_tail(&record->news, &spread->news);
+	record->in_changes = true;
+	cds_list_add_tail(&record->changes, &spread->changes);
 }
 
 /*
- * Returns the state of a link, emptied if the other side is a new
- * incarnation; NULL when memory is short.
+ * Returns the state of a link, which is reset for a new incarnation of the
+ * peer; NULL without memory.
  */
 static struct spread_link *spread_link(struct spread *spread,
 				       const struct peer *peer, int link)
@@ -379,57 +385,59 @@
 }
 
 /*
- * Says whether a record goes over a link.  What an instance saw itself goes
- * to all; what it learned goes on through the bridges only, and to them, so
- * that a data centre of n instances doesn't tell itself n times.
+ * True if a record goes over a link.  A record that this instance observed
+ * itself goes to all peers.  One that it learned from a peer is forwarded by
+ * bridges, and to bridges, only, so that n instances of a data centre don't
+ * send each other the same record n times.
  */
 static bool spread_forwards(const struct peer *peer,
 			    const struct spread_record *record, int link)
 {
 	if (record->origin == link)
 		return false;
-	return record->origin == SPREAD_OWN || peer_rail(peer) >= 0 ||
+	return record->origin == SPREAD_LOCAL || peer_rail(peer) >= 0 ||
 	       peer_link_rail(peer, link) >= 0;
 }
 
-/* Merges a record; it goes on if it was news here. */
-static int spread_apply(struct spread *spread, const struct peer_record *rec,
+/* Merges a received record; a change is forwarded. */
+static int spread_merge(struct spread *spread, const struct peer_record *rec,
 			int link, int64_t now)
 {
 	struct spread_record *record = spread_find(spread, rec);
-	int64_t until = now + rec->remaining_ms * MAG_US_PER_MS;
+	int64_t until_us = now + rec->remaining_ms * MAG_US_PER_MS;
 	bool found = record != NULL;
 
 	if (!record)
 		record = spread_add(spread, rec);
 	if (!record)
 		return SPREAD_E_FULL;
-	if (found && !spread_newer(record, rec, until))
+	if (found && !spread_supersedes(record, rec, until_us))
 		return SPREAD_OK;
 	record->rec.leaving = rec->leaving;
 	record->rec.version = rec->version;
 	if (rec->lost > record->rec.lost)
 		record->rec.lost = rec->lost;
-	if (until > record->until_us)
-		record->until_us = until;
-	spread_changed(spread, record, link);
+	if (until_us > record->until_us)
+		record->until_us = until_us;
+	spread_mark_changed(spread, record, link);
 	return SPREAD_OK;
 }
 
 /*
- * Says which of two views of a record holds.  Of two changes of an endpoint
- * made at once, leaving holds: work that is kept off for a while costs less
- * than work sent to an endpoint that goes.
+ * True if a received version of a record replaces the present one.  Of two
+ * concurrent changes of an endpoint the one to leaving wins: sending an
+ * endpoint no work for a while costs less than sending work to an endpoint
+ * that goes away.
  */
-static bool spread_newer(const struct spread_record *record,
-			 const struct peer_record *rec, int64_t until_us)
+static bool spread_supersedes(const struct spread_record *record,
+			      const struct peer_record *rec, int64_t until_us)
 {
 	if (rec->kind == PEER_REC_LEAVING) {
 		if (rec->version != record->rec.version)
 			return rec->version > record->rec.version;
 		return rec->leaving && !record->rec.leaving;
 	}
-	/* Transit rounds the remaining time; a second is no news. */
+	/* Messages round the remaining time: up to 1 s is no change. */
 	return rec->lost > record->rec.lost ||
 	       until_us > record->until_us + MAG_US_PER_S;
 }
--- a/src/spread.h
+++ b/src/spread.h
@@ -2,10 +2,11 @@
 #define SPREAD_H
 
 /*
- * Records that reach every instance: endpoints that leave, fingerprints in
- * quarantine.  Each instance keeps a log of the newest version of each
- * record; a link carries what the other side hasn't acknowledged yet, so a
- * lost message or a long cut only delays a record.  Deterministic.
+ * Spreads records to every instance: leaving endpoints and quarantined
+ * fingerprints.  Each instance has a log of the newest version of each
+ * record.  A link carries what the peer hasn't acknowledged yet, so a lost
+ * message or a long partition only delays a record.  Deterministic: the caller
+ * passes the time in.
  */
 
 #include <stdbool.h>
@@ -24,13 +25,13 @@
 	SPREAD_E_MEMORY = -3,
 };
 
-/* Where an instance sees itself that an endpoint leaves. */
+/* Where an instance itself learns that an endpoint is leaving. */
 enum spread_source {
-	SPREAD_BY_CALLER = 1, /* the owner of the fleet says so */
-	SPREAD_BY_LIST = 2,   /* the platform's list does */
+	SPREAD_BY_CALLER = 1, /* reported by the fleet's caller */
+	SPREAD_BY_LIST = 2,   /* in the platform's list of endpoints */
 };
 
-/* A record as this instance has it now. */
+/* The present content of a changed record. */
 struct spread_change {
 	enum peer_record_kind kind;
 	char endpoint[MAG_NAME_MAX];
@@ -46,8 +47,9 @@
 int spread_note_leaving(struct spread *spread, const char *endpoint,
 			enum spread_source source, bool leaving);
 int spread_note_quarantine(struct spread *spread,
-			   const uint8_t print[MAG_DIGEST_BYTES], uint32_t lost,
-			   int64_t until_us, int64_t now);
+			   const uint8_t fingerprint[MAG_DIGEST_BYTES],
+			   uint32_t endpoints_lost, int64_t until_us,
+			   int64_t now);
 int spread_receive(struct spread *spread, const struct peer *peer, int link,
 		   const struct peer_msg *msg, int64_t now);
 void spread_fill_message(struct spread *spread, const struct peer *peer,
