--- a/src/shr.c
+++ b/src/shr.c
@@ -4,15 +4,15 @@
 
 #include "shr.h"
 
-#define SHR_BUCKETS 1024 /* a power of two */
-#define SHR_NONE    (-1) /* no endpoint: what is counted before one is known */
+#define SHR_BUCKETS 1024 /* must be a power of two */
+#define SHR_NONE    (-1) /* endpoint of counts that belong to none */
 
-/* One account at one service, at one endpoint or at none. */
+/* The counters of an account at a service, for one endpoint or for none. */
 struct shr_cell {
 	int account;
 	int service;
 	int endpoint;
-	int next; /* in the bucket, -1 ends it */
+	int next; /* cell in the same bucket; -1: none */
 	uint64_t counts[SHR_COUNT];
 	uint64_t runs;
 	uint64_t tokens;
@@ -36,19 +36,19 @@
 
 static struct shr_cell *shr_cell(struct shr *shr, int account, int service,
 				 int endpoint);
-static uint32_t shr_hash(int account, int service, int endpoint);
-static void shr_link(struct shr *shr, int at);
-static shr_name *shr_copy(const char *first, size_t stride, size_t count);
-static void shr_rename(struct shr *shr, const struct shr *old);
-static int shr_index(const shr_name *names, int count, const char *name,
-		     int hint);
-static const char *shr_name_of(const shr_name *names, int count, int at);
+static uint32_t shr_bucket(int account, int service, int endpoint);
+static void shr_insert(struct shr *shr, int index);
+static shr_name *shr_copy_names(const char *first, size_t stride, size_t count);
+static void shr_reindex(struct shr *shr, const struct shr *old);
+static int shr_find_name(const shr_name *names, int count, const char *name,
+			 int hint);
+static const char *shr_name_at(const shr_name *names, int count, int index);
 static void shr_write_cell(const struct shr *shr, const struct shr_cell *cell,
 			   FILE *out);
 static void shr_write_family(const struct shr *shr, FILE *out, int family);
-static uint64_t shr_value(const struct shr_cell *cell, int family);
+static uint64_t shr_counter(const struct shr_cell *cell, int family);
 
-static const char *const shr_names[] = {
+static const char *const shr_counter_names[] = {
 	[SHR_OFFERED] = "offered",
 	[SHR_ADMITTED] = "admitted",
 	[SHR_REFUSED] = "refused",
@@ -58,7 +58,7 @@
 	"stage_us",
 };
 
-/* Makes an empty table; NULL if memory is short. */
+/* Creates an empty table; returns NULL without memory. */
 struct shr *shr_new(void)
 {
 	struct shr *shr = calloc(1, sizeof(*shr));
@@ -72,7 +72,7 @@
 	return shr;
 }
 
-/* Frees a table; NULL is allowed. */
+/* Frees a table; NULL is a no-op. */
 void shr_free(struct shr *shr)
 {
 	if (!shr)
@@ -84,8 +84,8 @@
 }
 
 /*
- * Takes a new set.  What was counted stays under the names of its objects;
- * counts of objects that are gone go to "other".  Returns 0 or
+ * Applies a new set.  Counts are carried over by the names of their objects;
+ * those of removed objects are added to "other".  Returns 0 or
  * SHR_E_MEMORY.
  */
 int shr_config(struct shr *shr, const struct cfg_set *set)
@@ -98,18 +98,20 @@
 	shr->account_count = (int)set->account_count;
 	shr->service_count = (int)set->service_count;
 	shr->endpoint_count = (int)set->endpoint_count;
-	shr->accounts = shr_copy(set->account_count ? set->accounts->name : "",
-				 sizeof(*set->accounts), set->account_count);
-	shr->services = shr_copy(set->service_count ? set->services->name : "",
-				 sizeof(*set->services), set->service_count);
+	shr->accounts =
+		shr_copy_names(set->account_count ? set->accounts->name : "",
+			       sizeof(*set->accounts), set->account_count);
+	shr->services =
+		shr_copy_names(set->service_count ? set->services->name : "",
+			       sizeof(*set->services), set->service_count);
 	shr->endpoints =
-		shr_copy(set->endpoint_count ? set->endpoints->name : "",
-			 sizeof(*set->endpoints), set->endpoint_count);
+		shr_copy_names(set->endpoint_count ? set->endpoints->name : "",
+			       sizeof(*set->endpoints), set->endpoint_count);
 	if (!shr->accounts || !shr->services || !shr->endpoints) {
 		free(old);
 		return SHR_E_MEMORY;
 	}
-	shr_rename(shr, old);
+	shr_reindex(shr, old);
 	free(old->accounts);
 	free(old->services);
 	free(old->endpoints);
@@ -118,12 +120,12 @@
 }
 
 /* Counts one request of an account at a service. */
-void shr_add(struct shr *shr, int account, int service, enum shr_count what)
+void shr_add(struct shr *shr, int account, int service, enum shr_count counter)
 {
-	shr_cell(shr, account, service, SHR_NONE)->counts[what]++;
+	shr_cell(shr, account, service, SHR_NONE)->counts[counter]++;
 }
 
-/* Counts a retry that an endpoint's failure caused. */
+/* Counts a retry after a failure; endpoint is negative if none caused it. */
 void shr_add_retry(struct shr *shr, int account, int service, int endpoint)
 {
 	shr_cell(shr, account, service, SHR_NONE)->counts[SHR_RETRIED]++;
@@ -133,8 +135,8 @@
 }
 
 /*
- * Counts an attempt that ended: its tokens, and at each stage the time that
- * they took there (hop_us, a token's mean by stage; NULL if not known).
+ * Counts an attempt that has ended: its tokens and the time that they took at
+ * each stage.  hop_us is the mean time per token by stage; NULL if unknown.
  */
 void shr_add_attempt(struct shr *shr, int account, int service,
 		     const struct pick_chain *chain, uint32_t tokens,
@@ -174,27 +176,29 @@
 }
 
 /*
- * Writes all cells in the text exposition.  The number of label sets is at
- * most SHR_CELLS_MAX + 1 a family.
+ * Writes all cells in the text exposition format for metrics.  A metric family
+ * has at most SHR_CELLS_MAX + 1 label sets.
  */
 void shr_write_metrics(const struct shr *shr, FILE *out)
 {
 	int family;
 
-	for (family = 0; family < (int)MAG_ARRAY_SIZE(shr_names); family++)
+	for (family = 0; family < (int)MAG_ARRAY_SIZE(shr_counter_names);
+	     family++)
 		shr_write_family(shr, out, family);
 }
 
-/* Returns a cell, made on first use; the common one if the table is full. */
+/* Finds or adds a cell; returns the cell "other" if the table is full. */
 static struct shr_cell *shr_cell(struct shr *shr, int account, int service,
 				 int endpoint)
 {
-	uint32_t hash = shr_hash(account, service, endpoint);
+	uint32_t bucket = shr_bucket(account, service, endpoint);
 	struct shr_cell *cell;
-	int at;
+	int index;
 
-	for (at = shr->buckets[hash]; at >= 0; at = shr->cells[at].next) {
-		cell = &shr->cells[at];
+	for (index = shr->buckets[bucket]; index >= 0;
+	     index = shr->cells[index].next) {
+		cell = &shr->cells[index];
 		if (cell->account == account && cell->service == service &&
 		    cell->endpoint == endpoint)
 			return cell;
@@ -206,32 +210,33 @@
 	cell->account = account;
 	cell->service = service;
 	cell->endpoint = endpoint;
-	shr_link(shr, shr->count++);
+	shr_insert(shr, shr->count++);
 	return cell;
 }
 
-/* Returns the bucket of a cell. */
-static uint32_t shr_hash(int account, int service, int endpoint)
+/* Returns the hash bucket of a cell. */
+static uint32_t shr_bucket(int account, int service, int endpoint)
 {
-	uint32_t hash = (uint32_t)(account + 1) * UINT32_C(2654435761);
+	uint32_t bucket = (uint32_t)(account + 1) * UINT32_C(2654435761);
 
-	hash = (hash ^ (uint32_t)(service + 1)) * UINT32_C(2246822519);
-	hash = (hash ^ (uint32_t)(endpoint + 1)) * UINT32_C(3266489917);
-	return (hash >> 16) & (SHR_BUCKETS - 1);
+	bucket = (bucket ^ (uint32_t)(service + 1)) * UINT32_C(2246822519);
+	bucket = (bucket ^ (uint32_t)(endpoint + 1)) * UINT32_C(3266489917);
+	return (bucket >> 16) & (SHR_BUCKETS - 1);
 }
 
-/* Puts a cell into its bucket. */
-static void shr_link(struct shr *shr, int at)
+/* Inserts a cell into its hash bucket. */
+static void shr_insert(struct shr *shr, int index)
 {
-	struct shr_cell *cell = &shr->cells[at];
-	uint32_t hash = shr_hash(cell->account, cell->service, cell->endpoint);
+	struct shr_cell *cell = &shr->cells[index];
+	uint32_t bucket =
+		shr_bucket(cell->account, cell->service, cell->endpoint);
 
-	cell->next = shr->buckets[hash];
-	shr->buckets[hash] = at;
+	cell->next = shr->buckets[bucket];
+	shr->buckets[bucket] = index;
 }
 
-/* Copies the names of a table of objects, each the first field of its own. */
-static shr_name *shr_copy(const char *first, size_t stride, size_t count)
+/* Copies the names out of an array of objects with the given stride. */
+static shr_name *shr_copy_names(const char *first, size_t stride, size_t count)
 {
 	shr_name *names = calloc(count + 1, sizeof(*names));
 	size_t i;
@@ -241,8 +246,9 @@
 	return names;
 }
 
-/* Files every cell under the present indices of its names. */
-static void shr_rename(struct shr *shr, const struct shr *old)
+/* Adds each old cell's counts to the cell with the same names in the new set.
+ */
+static void shr_reindex(struct shr *shr, const struct shr *old)
 {
 	int i;
 	int j;
@@ -252,22 +258,24 @@
 	for (i = 0; i < old->count; i++) {
 		const struct shr_cell *from = &old->cells[i];
 		struct shr_cell *to = &shr->other;
-		int a = shr_index(shr->accounts, shr->account_count,
-				  shr_name_of(old->accounts, old->account_count,
-					      from->account),
-				  from->account);
-		int s = shr_index(shr->services, shr->service_count,
-				  shr_name_of(old->services, old->service_count,
-					      from->service),
-				  from->service);
+		int a = shr_find_name(shr->accounts, shr->account_count,
+				      shr_name_at(old->accounts,
+						  old->account_count,
+						  from->account),
+				      from->account);
+		int s = shr_find_name(shr->services, shr->service_count,
+				      shr_name_at(old->services,
+						  old->service_count,
+						  from->service),
+				      from->service);
 		int e = SHR_NONE;
 
 		if (from->endpoint >= 0)
-			e = shr_index(shr->endpoints, shr->endpoint_count,
-				      shr_name_of(old->endpoints,
-						  old->endpoint_count,
-						  from->endpoint),
-				      from->endpoint);
+			e = shr_find_name(shr->endpoints, shr->endpoint_count,
+					  shr_name_at(old->endpoints,
+						      old->endpoint_count,
+						      from->endpoint),
+					  from->endpoint);
 		if (a >= 0 && s >= 0 && (e >= 0 || from->endpoint < 0))
 			to = shr_cell(shr, a, s, e);
 		for (j = 0; j < SHR_COUNT; j++)
@@ -278,71 +286,73 @@
 	}
 }
 
-/* Returns where a name stands, -1 if it is gone. */
-static int shr_index(const shr_name *names, int count, const char *name,
-		     int hint)
+/* Returns the index of a name, searched from hint; -1 if it is gone. */
+static int shr_find_name(const shr_name *names, int count, const char *name,
+			 int hint)
 {
 	return mag_name_near(names[0], sizeof(*names), (size_t)count, name,
 			     hint);
 }
 
-/* Returns a name, "other" for what is none. */
-static const char *shr_name_of(const shr_name *names, int count, int at)
+/* Returns the name at an index; "other" if the index is invalid. */
+static const char *shr_name_at(const shr_name *names, int count, int index)
 {
-	return at >= 0 && at < count ? names[at] : "other";
+	return index >= 0 && index < count ? names[index] : "other";
 }
 
-/* Writes one cell as a JSON object; names hold no character to escape. */
+/* Writes a cell as a JSON object; names need no escaping. */
 static void shr_write_cell(const struct shr *shr, const struct shr_cell *cell,
 			   FILE *out)
 {
 	int family;
 
 	fprintf(out, "{\"account\":\"%s\",\"service\":\"%s\"",
-		shr_name_of(shr->accounts, shr->account_count, cell->account),
-		shr_name_of(shr->services, shr->service_count, cell->service));
+		shr_name_at(shr->accounts, shr->account_count, cell->account),
+		shr_name_at(shr->services, shr->service_count, cell->service));
 	if (cell->endpoint >= 0)
 		fprintf(out, ",\"endpoint\":\"%s\"",
-			shr_name_of(shr->endpoints, shr->endpoint_count,
+			shr_name_at(shr->endpoints, shr->endpoint_count,
 				    cell->endpoint));
-	for (family = 0; family < (int)MAG_ARRAY_SIZE(shr_names); family++) {
-		if (shr_value(cell, family))
-			fprintf(out, ",\"%s\":%" PRIu64, shr_names[family],
-				shr_value(cell, family));
+	for (family = 0; family < (int)MAG_ARRAY_SIZE(shr_counter_names);
+	     family++) {
+		if (shr_counter(cell, family))
+			fprintf(out, ",\"%s\":%" PRIu64,
+				shr_counter_names[family],
+				shr_counter(cell, family));
 	}
 	fprintf(out, "}");
 }
 
-/* Writes one counter of all cells; zeros are left out. */
+/* Writes one metric family with the cells where it is not zero. */
 static void shr_write_family(const struct shr *shr, FILE *out, int family)
 {
 	int i;
 
 	fprintf(out, "# TYPE magnolia_share_%s_total counter\n",
-		shr_names[family]);
+		shr_counter_names[family]);
 	for (i = 0; i <= shr->count; i++) {
 		const struct shr_cell *cell =
 			i < shr->count ? &shr->cells[i] : &shr->other;
 
-		if (!shr_value(cell, family))
+		if (!shr_counter(cell, family))
 			continue;
 		fprintf(out,
 			"magnolia_share_%s_total{account=\"%s\",service=\"%s\"",
-			shr_names[family],
-			shr_name_of(shr->accounts, shr->account_count,
+			shr_counter_names[family],
+			shr_name_at(shr->accounts, shr->account_count,
 				    cell->account),
-			shr_name_of(shr->services, shr->service_count,
+			shr_name_at(shr->services, shr->service_count,
 				    cell->service));
 		if (cell->endpoint >= 0)
 			fprintf(out, ",endpoint=\"%s\"",
-				shr_name_of(shr->endpoints, shr->endpoint_count,
+				shr_name_at(shr->endpoints, shr->endpoint_count,
 					    cell->endpoint));
-		fprintf(out, "} %" PRIu64 "\n", shr_value(cell, family));
+		fprintf(out, "} %" PRIu64 "\n", shr_counter(cell, family));
 	}
 }
 
-/* Returns one counter of a cell, in the order of shr_names. */
-static uint64_t shr_value(const struct shr_cell *cell, int family)
+/* Returns one counter of a cell, by its index in shr_counter_names. */
+static uint64_t shr_counter(const struct shr_cell *cell, int family)
 {
 	if (family < SHR_COUNT)
 		return cell->counts[family];
--- a/src/shr.h
+++ b/src/shr.h
@@ -2,9 +2,10 @@
 #define SHR_H
 
 /*
- * Shares: what each client account asked of each service and what its work
- * cost each endpoint, so that an endpoint's owner sees whose callers loaded
- * it.  One thread owns a table.
+ * Shares of client accounts in the load: counters of the requests of each
+ * account at each service, and of the work that they caused at each endpoint.
+ * They show the owner of an endpoint which accounts load it.  A table belongs
+ * to one thread.
  */
 
 #include <stdint.h>
@@ -13,7 +14,7 @@
 #include "cfg.h"
 #include "pick.h"
 
-#define SHR_CELLS_MAX 4096 /* what is beyond is counted under "other" */
+#define SHR_CELLS_MAX 4096 /* further ones are counted as "other" */
 
 struct shr;
 
@@ -22,7 +23,7 @@
 	SHR_E_MEMORY = -1,
 };
 
-/* Counted by account and service. */
+/* Request counters of an account at a service. */
 enum shr_count {
 	SHR_OFFERED,
 	SHR_ADMITTED,
@@ -34,7 +35,7 @@
 struct shr *shr_new(void);
 void shr_free(struct shr *shr);
 int shr_config(struct shr *shr, const struct cfg_set *set);
-void shr_add(struct shr *shr, int account, int service, enum shr_count what);
+void shr_add(struct shr *shr, int account, int service, enum shr_count counter);
 void shr_add_retry(struct shr *shr, int account, int service, int endpoint);
 void shr_add_attempt(struct shr *shr, int account, int service,
 		     const struct pick_chain *chain, uint32_t tokens,
