--- a/src/pace.h
+++ b/src/pace.h
@@ -2,16 +2,16 @@
 #define PACE_H
 
 /*
- * When to call the platform's service again: periods that differ a little
- * from instance to instance, and waits after a failure that differ a lot.
- * Deterministic.
+ * Times of calls to the platform's service: periods with a small random
+ * jitter, and exponential backoff with a large one after a failure.
+ * Deterministic: the caller passes the seed and the time in.
  */
 
 #include <stdint.h>
 
 #include "mag.h"
 
-/* The wait after a failure: doubles up to a bound, drawn at random. */
+/* The backoff doubles with each failure in a row, up to max_us. */
 struct pace {
 	uint64_t rng_state;
 	int64_t base_us;
@@ -19,9 +19,9 @@
 	uint32_t failures;
 };
 
-void pace_init(struct pace *backoff, uint64_t seed, int64_t base_us,
-	       int64_t bound_us);
-int64_t pace_after_failure(struct pace *backoff, int64_t now);
-int64_t pace_next_period(struct pace *backoff, int64_t now, int64_t period_us);
+void pace_init(struct pace *pace, uint64_t seed, int64_t base_us,
+	       int64_t max_us);
+int64_t pace_after_failure(struct pace *pace, int64_t now);
+int64_t pace_next_period(struct pace *pace, int64_t now, int64_t period_us);
 
 #endif /* PACE_H */
