--- a/src/flt.c
+++ b/src/flt.c
@@ -5,26 +5,26 @@
 
 #include "flt.h"
 
-#define FLT_TEXT_MAX   1024
-#define FLT_ROOM_LEAST 8
+#define FLT_TEXT_MAX	 1024
+#define FLT_MIN_CAPACITY 8
 
 struct flt_list {
 	char **texts;
 	size_t count;
-	size_t room;
-	bool lost;
+	size_t capacity;
+	bool incomplete;
 };
 
 static bool flt_grow(struct flt_list *list);
-static void flt_make_plain(char *text);
+static void flt_replace_unprintable(char *text);
 
-/* Returns an empty list, or NULL without memory. */
+/* Creates an empty list; returns NULL without memory. */
 struct flt_list *flt_new(void)
 {
 	return calloc(1, sizeof(struct flt_list));
 }
 
-/* Frees a list; NULL is taken. */
+/* Frees a list; NULL is a no-op. */
 void flt_free(struct flt_list *list)
 {
 	size_t i;
@@ -37,7 +37,7 @@
 	free(list);
 }
 
-/* Adds a fault; one that memory does not allow marks the list as not whole. */
+/* Adds a message; marks the list as incomplete without memory for it. */
 void flt_add(struct flt_list *list, const char *fmt, ...)
 {
 	char text[FLT_TEXT_MAX];
@@ -46,37 +46,37 @@
 	va_start(ap, fmt);
 	vsnprintf(text, sizeof(text), fmt, ap);
 	va_end(ap);
-	flt_make_plain(text);
+	flt_replace_unprintable(text);
 	if (!flt_grow(list)) {
-		list->lost = true;
+		list->incomplete = true;
 		return;
 	}
 	list->texts[list->count] = strdup(text);
 	if (list->texts[list->count])
 		list->count++;
 	else
-		list->lost = true;
+		list->incomplete = true;
 }
 
-/* Notes that memory ran out, so that what was read can't be judged. */
+/* Marks the list as incomplete, as memory ran out during the checks. */
 void flt_mark_incomplete(struct flt_list *list)
 {
-	list->lost = true;
+	list->incomplete = true;
 }
 
-/* Tells whether memory ran out while faults were looked for. */
+/* True if memory ran out, so an empty list doesn't mean that all is valid. */
 bool flt_is_incomplete(const struct flt_list *list)
 {
-	return list->lost;
+	return list->incomplete;
 }
 
-/* Returns how many faults were found; a NULL list holds none. */
+/* Returns the number of messages; 0 for a NULL list. */
 size_t flt_count(const struct flt_list *list)
 {
 	return list ? list->count : 0;
 }
 
-/* Returns the text of one fault; it lives as long as the list. */
+/* Returns the text of a message, which is valid as long as the list. */
 const char *flt_text(const struct flt_list *list, size_t i)
 {
 	return list->texts[i];
@@ -84,25 +84,27 @@
 
 static bool flt_grow(struct flt_list *list)
 {
-	size_t room = list->room ? 2 * list->room : FLT_ROOM_LEAST;
+	size_t capacity =
+		list->capacity ? 2 * list->capacity : FLT_MIN_CAPACITY;
 	char **grown;
 
-	if (list->count < list->room)
+	if (list->count < list->capacity)
 		return true;
-	grown = realloc(list->texts, room * sizeof(*grown));
+	grown = realloc(list->texts, capacity * sizeof(*grown));
 	if (!grown)
 		return false;
 	list->texts = grown;
-	list->room = room;
+	list->capacity = capacity;
 	return true;
 }
 
 /*
- * Replaces all that is not printable ASCII.  A text quotes what a file holds:
- * a line feed or an escape sequence in it would forge other lines on the
- * operator's terminal, and a character that is cut in two is no JSON.
+ * Replaces every byte that is not printable ASCII.  A message quotes the
+ * content of a file.  A line feed or an escape sequence in it could forge
+ * lines on the operator's terminal, and a multibyte character that is cut off
+ * is not valid in JSON.
  */
-static void flt_make_plain(char *text)
+static void flt_replace_unprintable(char *text)
 {
 	for (; *text; text++) {
 		if (*text < ' ' || *text > '~')
--- a/src/flt.h
+++ b/src/flt.h
@@ -5,8 +5,8 @@
 #include <stddef.h>
 
 /*
- * A list of faults as operators read them, one line of printable ASCII each.
- * The layers that find faults give them their own messages and numbers.
+ * A list of error messages for operators, each one line of printable ASCII.
+ * The modules that find errors define the message texts and numbers.
  */
 struct flt_list;
 
