--- a/src/watch.c
+++ b/src/watch.c
@@ -12,13 +12,15 @@
 #include "rev.h"
 #include "watch.h"
 
-#define WATCH_WAIT_US	     (20 * MAG_US_PER_S) /* one waiting watch */
-#define WATCH_LOOK_US	     (30 * MAG_US_PER_S) /* of one that is no bridge */
-#define WATCH_LOAD_PERIOD_US MAG_US_PER_S	 /* the shortest */
-#define WATCH_LOADS_PER_S    50			 /* of all instances together */
+#define WATCH_CALL_US (20 * MAG_US_PER_S) /* longest wait of one watch call */
+/* Between two reads of the head by an instance that is no bridge. */
+#define WATCH_POLL_US	     (30 * MAG_US_PER_S)
+#define WATCH_LOAD_PERIOD_US MAG_US_PER_S /* shortest period */
+#define WATCH_LOADS_PER_S    50		  /* reads by all instances together */
 #define WATCH_BACKOFF_MIN_US (200 * MAG_US_PER_MS)
 #define WATCH_BACKOFF_MAX_US (2 * MAG_US_PER_S)
-#define WATCH_STALE_US	     (5 * MAG_US_PER_S) /* age of a report without one */
+/* Assumed age of a load report that doesn't state one. */
+#define WATCH_DEFAULT_AGE_US (5 * MAG_US_PER_S)
 
 struct watch {
 	struct watch_settings settings;
@@ -27,17 +29,17 @@
 	struct front *front;
 	pthread_t config_thread;
 	pthread_t load_thread;
-	pthread_mutex_t lock; /* of stopping */
+	pthread_mutex_t stop_lock; /* protects stopping */
 	pthread_cond_t wake;
 	bool stopping;
 	unsigned int seed;
 	atomic_uint_fast64_t revision;
 	atomic_bool bridge;
-	atomic_uint listed;    /* instances that share the calls */
-	pthread_mutex_t offer; /* of rev and base, while a set is taken up */
-	bool closed;	       /* under offer: nothing is taken up any more */
+	atomic_uint instances;	     /* that share the rate of calls */
+	pthread_mutex_t config_lock; /* protects closed, rev and config */
+	bool closed;		     /* no configuration is applied any more */
 	struct rev *rev;
-	const struct cfg_set *base; /* in force; the front owns it */
+	const struct cfg_set *config; /* in force; owned by the front */
 };
 
 static void *config_main(void *arg);
@@ -45,15 +47,16 @@
 static int64_t load_period_us(struct watch *watch);
 static bool stopping(struct watch *watch);
 static void sleep_until(struct watch *watch, int64_t deadline_us);
-static int put_in_force(struct watch *watch, struct cfg_set *set);
+static int apply_config(struct watch *watch, struct cfg_set *set);
 static int wait_head(struct watch *watch, struct pub *pub);
-static int take_config(struct watch *watch, struct pub *pub);
-static int take_text(struct watch *watch, const char *text, uint64_t revision);
-static void take_loads(struct watch *watch);
-static void take_load(struct watch *watch, const json_t *load);
-static json_t *fetch(struct watch *watch, enum kv_op op, const char *field);
-
-/* Starts the threads that follow the platform; NULL if that fails. */
+static int read_config(struct watch *watch, struct pub *pub);
+static int offer_text(struct watch *watch, const char *text, uint64_t revision);
+static void read_loads(struct watch *watch);
+static void post_load(struct watch *watch, const json_t *load);
+static json_t *fetch_list(struct watch *watch, enum kv_op op,
+			  const char *field);
+
+/* Starts the threads that follow the platform; returns NULL without memory. */
 struct watch *watch_start(const struct watch_settings *settings,
 			  const struct kv_backend *backend, struct loop *loop,
 			  struct front *front)
@@ -74,8 +77,8 @@
 		free(watch);
 		return NULL;
 	}
-	pthread_mutex_init(&watch->lock, NULL);
-	pthread_mutex_init(&watch->offer, NULL);
+	pthread_mutex_init(&watch->stop_lock, NULL);
+	pthread_mutex_init(&watch->config_lock, NULL);
 	pthread_condattr_init(&attr);
 	pthread_condattr_setclock(&attr, CLOCK_MONOTONIC);
 	pthread_cond_init(&watch->wake, &attr);
@@ -87,153 +90,156 @@
 	return watch;
 }
 
-/* Ends the threads; calls that wait must have been interrupted before. */
+/* Stops the threads; the caller must have interrupted waiting calls before. */
 void watch_stop(struct watch *watch)
 {
 	if (!watch)
 		return;
-	pthread_mutex_lock(&watch->lock);
+	pthread_mutex_lock(&watch->stop_lock);
 	watch->stopping = true;
 	pthread_cond_broadcast(&watch->wake);
-	pthread_mutex_unlock(&watch->lock);
+	pthread_mutex_unlock(&watch->stop_lock);
 	pthread_join(watch->config_thread, NULL);
 	pthread_join(watch->load_thread, NULL);
 	pthread_cond_destroy(&watch->wake);
-	pthread_mutex_destroy(&watch->lock);
-	pthread_mutex_destroy(&watch->offer);
+	pthread_mutex_destroy(&watch->stop_lock);
+	pthread_mutex_destroy(&watch->config_lock);
 	rev_free(watch->rev);
 	free(watch);
 }
 
 /*
- * Puts a configuration in force here, unless one as new already is.  The
- * core and the callers' threads each get a copy of their own.  Returns
- * PUB_OK, or a negative enum pub_err if the text was not taken.
+ * Applies a configuration, unless one that is at least as new is in force.
+ * The core and the callers' threads each get their own copy of it.  Returns
+ * PUB_OK, or a negative enum pub_err if the text was not applied.
  */
 int watch_offer(struct watch *watch, const char *text, uint64_t revision)
 {
 	struct cfg_set *set;
 	int err;
 
-	pthread_mutex_lock(&watch->offer);
+	pthread_mutex_lock(&watch->config_lock);
 	err = watch->closed ? PUB_E_DOWN
-			    : rev_offer(watch->rev, watch->base, text, revision,
-					&set);
+			    : rev_offer(watch->rev, watch->config, text,
+					revision, &set);
 	if (err == PUB_OK)
-		err = put_in_force(watch, set);
-	pthread_mutex_unlock(&watch->offer);
+		err = apply_config(watch, set);
+	pthread_mutex_unlock(&watch->config_lock);
 	return err;
 }
 
 /*
- * The same with the edits that a peer made from the revision held here;
- * PUB_E_BASE if another one is in force by now.
+ * Applies the edits that a peer computed against from_revision.  Returns as
+ * watch_offer does, and PUB_E_BASE if another revision is in force by now.
  */
-int watch_offer_edits(struct watch *watch, uint64_t have, const char *edits)
+int watch_offer_edits(struct watch *watch, uint64_t from_revision,
+		      const char *edits)
 {
 	struct cfg_set *set;
 	int err;
 
-	pthread_mutex_lock(&watch->offer);
+	pthread_mutex_lock(&watch->config_lock);
 	err = watch->closed ? PUB_E_DOWN
-			    : rev_offer_edits(watch->rev, watch->base, have,
-					      edits, &set);
+			    : rev_offer_edits(watch->rev, watch->config,
+					      from_revision, edits, &set);
 	if (err == PUB_OK)
-		err = put_in_force(watch, set);
-	pthread_mutex_unlock(&watch->offer);
+		err = apply_config(watch, set);
+	pthread_mutex_unlock(&watch->config_lock);
 	return err;
 }
 
 /*
- * Takes nothing up from here on.  A stop frees the front first, as callers go
- * first; a revision that came in then would be given to what is gone, and the
- * process would crash at the end of a graceful stop.
+ * Refuses all further configurations.  A graceful stop frees the front first,
+ * as callers are closed first.  A revision that arrived after that would be
+ * passed to the freed front, and the process would crash.
  */
 void watch_close(struct watch *watch)
 {
 	if (!watch)
 		return;
-	pthread_mutex_lock(&watch->offer);
+	pthread_mutex_lock(&watch->config_lock);
 	watch->closed = true;
-	pthread_mutex_unlock(&watch->offer);
+	pthread_mutex_unlock(&watch->config_lock);
 }
 
 /*
- * Hands a set to those who use it.  The lock of offers is held, so that two
- * revisions that come at once are handed over in their order; else the older
- * could replace the newer one in the callers' threads.
+ * Passes a set to the front and the core.  The caller holds config_lock, so
+ * that two revisions that arrive at the same time are passed on in order.
+ * Otherwise the older one could replace the newer one in the callers' threads.
  */
-static int put_in_force(struct watch *watch, struct cfg_set *set)
+static int apply_config(struct watch *watch, struct cfg_set *set)
 {
 	struct core_event event = { .type = CORE_EV_CONFIG };
 
 	atomic_store(&watch->revision, set->revision);
 	if (cfg_copy(set, &event.config))
 		abort();
-	/* The front frees the set before; nobody else gives it one. */
-	watch->base = set;
+	/* The front frees the previous set; only this function sets one. */
+	watch->config = set;
 	front_set_config(watch->front, set);
 	return loop_post(watch->loop, &event) ? PUB_E_MEMORY : PUB_OK;
 }
 
 /*
- * Copies the text in force if it is at least as new as asked for.  Returns
- * 0, or -1 if it is not; the caller frees the text.
+ * Copies the text in force if its revision is at least at_least.  Returns 0,
+ * or -1 if it is older; the caller frees the text.
  */
 int watch_text(struct watch *watch, uint64_t at_least, uint64_t *revision,
 	       char **text, size_t *len)
 {
-	const char *held;
+	const char *current;
 	int rc = -1;
 
-	pthread_mutex_lock(&watch->offer);
-	held = rev_text(watch->rev);
-	if (held && rev_revision(watch->rev) >= at_least) {
-		*text = strdup(held);
-		*len = strlen(held);
+	pthread_mutex_lock(&watch->config_lock);
+	current = rev_text(watch->rev);
+	if (current && rev_revision(watch->rev) >= at_least) {
+		*text = strdup(current);
+		*len = strlen(current);
 		*revision = rev_revision(watch->rev);
 		rc = *text ? 0 : -1;
 	}
-	pthread_mutex_unlock(&watch->offer);
+	pthread_mutex_unlock(&watch->config_lock);
 	return rc;
 }
 
 /*
- * Gives the edits that lead from a revision to the one in force.  Returns 0,
- * or -1 if they are not kept; the caller frees the text.
+ * Returns the edits that lead from a revision to the one in force.  Returns
+ * 0, or -1 if they are not available; the caller frees the text.
  */
-int watch_edits(struct watch *watch, uint64_t have, uint64_t *revision,
+int watch_edits(struct watch *watch, uint64_t from_revision, uint64_t *revision,
 		char **text, size_t *len)
 {
-	pthread_mutex_lock(&watch->offer);
-	*text = rev_edits(watch->rev, have);
+	pthread_mutex_lock(&watch->config_lock);
+	*text = rev_edits(watch->rev, from_revision);
 	*revision = rev_revision(watch->rev);
-	pthread_mutex_unlock(&watch->offer);
+	pthread_mutex_unlock(&watch->config_lock);
 	*len = *text ? strlen(*text) : 0;
 	return *text ? 0 : -1;
 }
 
 /*
- * Bridges wait at the head; the others hear of a revision from them and only
- * look now and then.  A waiting watch counts as a call, and at 700 instances
- * one each would be most of what the service takes.
+ * Sets whether this instance is a bridge, and the number of instances.
+ * Bridges watch the head of the configuration; the others receive a new
+ * revision from them and only poll from time to time.  A waiting watch counts
+ * as a call: with 700 instances, one watch each would use most of the calls
+ * that the service accepts.
  */
-void watch_set_role(struct watch *watch, bool bridge, uint32_t listed)
+void watch_set_role(struct watch *watch, bool bridge, uint32_t instances)
 {
 	atomic_store(&watch->bridge, bridge);
-	atomic_store(&watch->listed, listed);
-	pthread_mutex_lock(&watch->lock);
+	atomic_store(&watch->instances, instances);
+	pthread_mutex_lock(&watch->stop_lock);
 	pthread_cond_broadcast(&watch->wake);
-	pthread_mutex_unlock(&watch->lock);
+	pthread_mutex_unlock(&watch->stop_lock);
 }
 
-/* Returns the revision in force here, 0 before the first. */
+/* Returns the revision in force; 0 before the first. */
 uint64_t watch_revision(const struct watch *watch)
 {
 	return atomic_load(&watch->revision);
 }
 
-/* Reads the head, then waits for the next one, for ever. */
+/* Reads the head and waits for the next one, until the stop. */
 static void *config_main(void *arg)
 {
 	struct watch *watch = arg;
@@ -242,15 +248,17 @@
 	int rc;
 
 	while (pub && !stopping(watch)) {
-		rc = take_config(watch, pub);
+		rc = read_config(watch, pub);
 		if (rc == PUB_OK)
 			rc = wait_head(watch, pub);
 		if (rc == PUB_OK || rc == PUB_E_ABSENT) {
 			backoff_us = WATCH_BACKOFF_MIN_US;
 			continue;
 		}
-		/* All instances come back at once after an outage; the
-		 * jitter spreads their calls over the service's rate. */
+		/*
+		 * After an outage all instances retry at the same time; the
+		 * jitter spreads their calls to stay within the service's rate.
+		 */
 		sleep_until(watch, clk_now_us() + backoff_us / 2 +
 					   rand_r(&watch->seed) % backoff_us);
 		backoff_us *= 2;
@@ -261,7 +269,7 @@
 	return NULL;
 }
 
-/* Follows the load reports, which lag anyway. */
+/* Polls the load reports; they are delayed anyway, so a watch isn't needed. */
 static void *load_main(void *arg)
 {
 	struct watch *watch = arg;
@@ -270,7 +278,7 @@
 	pace_init(&pace, watch->settings.seed, WATCH_BACKOFF_MIN_US,
 		  WATCH_BACKOFF_MAX_US);
 	while (!stopping(watch)) {
-		take_loads(watch);
+		read_loads(watch);
 		sleep_until(watch, pace_next_period(&pace, clk_now_us(),
 						    load_period_us(watch)));
 	}
@@ -278,14 +286,15 @@
 }
 
 /*
- * A fleet that grows asks each instance to look less often.  At one look a
- * second each, 700 instances would use a third of the reads that the platform
- * takes, and the bookings' calls would be refused for their rate.
+ * Returns the period of reads of the load reports, which grows with the number
+ * of instances.  At one read per second each, 700 instances would use a third
+ * of the reads that the platform accepts, and calls for reservations would be
+ * refused by its rate limit.
  */
 static int64_t load_period_us(struct watch *watch)
 {
-	int64_t period = (int64_t)atomic_load(&watch->listed) * MAG_US_PER_S /
-			 WATCH_LOADS_PER_S;
+	int64_t period = (int64_t)atomic_load(&watch->instances) *
+			 MAG_US_PER_S / WATCH_LOADS_PER_S;
 
 	return period > WATCH_LOAD_PERIOD_US ? period : WATCH_LOAD_PERIOD_US;
 }
@@ -294,9 +303,9 @@
 {
 	bool value;
 
-	pthread_mutex_lock(&watch->lock);
+	pthread_mutex_lock(&watch->stop_lock);
 	value = watch->stopping;
-	pthread_mutex_unlock(&watch->lock);
+	pthread_mutex_unlock(&watch->stop_lock);
 	return value;
 }
 
@@ -307,23 +316,23 @@
 		.tv_nsec = deadline_us % MAG_US_PER_S * 1000,
 	};
 
-	pthread_mutex_lock(&watch->lock);
+	pthread_mutex_lock(&watch->stop_lock);
 	if (!watch->stopping)
-		pthread_cond_timedwait(&watch->wake, &watch->lock, &until);
-	pthread_mutex_unlock(&watch->lock);
+		pthread_cond_timedwait(&watch->wake, &watch->stop_lock, &until);
+	pthread_mutex_unlock(&watch->stop_lock);
 }
 
-/* Waits at the head as a bridge, or for the time of the next look. */
+/* Waits for a new head as a bridge, or until the next poll otherwise. */
 static int wait_head(struct watch *watch, struct pub *pub)
 {
 	if (atomic_load(&watch->bridge))
-		return pub_watch(pub, clk_now_us() + WATCH_WAIT_US);
-	sleep_until(watch, clk_now_us() + WATCH_LOOK_US);
+		return pub_watch(pub, clk_now_us() + WATCH_CALL_US);
+	sleep_until(watch, clk_now_us() + WATCH_POLL_US);
 	return PUB_OK;
 }
 
-/* Reads the head and puts it in force if it is newer than what is. */
-static int take_config(struct watch *watch, struct pub *pub)
+/* Reads the head and applies it if it is newer than the one in force. */
+static int read_config(struct watch *watch, struct pub *pub)
 {
 	uint64_t revision = 0;
 	char *text = NULL;
@@ -334,13 +343,13 @@
 	if (rc == PUB_E_ABSENT)
 		return PUB_OK;
 	if (rc == PUB_OK)
-		rc = take_text(watch, text, revision);
+		rc = offer_text(watch, text, revision);
 	free(text);
 	return rc;
 }
 
-/* Offers what the platform holds; a peer may have been faster. */
-static int take_text(struct watch *watch, const char *text, uint64_t revision)
+/* Applies the platform's text; a peer may have sent the same one already. */
+static int offer_text(struct watch *watch, const char *text, uint64_t revision)
 {
 	int rc = watch_offer(watch, text, revision);
 
@@ -349,24 +358,24 @@
 	return rc == PUB_E_HOSTILE ? PUB_E_DAMAGED : rc;
 }
 
-static void take_loads(struct watch *watch)
+static void read_loads(struct watch *watch)
 {
-	json_t *loads = fetch(watch, KV_LOADS, "loads");
+	json_t *loads = fetch_list(watch, KV_LOADS, "loads");
 	json_t *load;
 	size_t i;
 
 	json_array_foreach (loads, i, load) {
-		take_load(watch, load);
+		post_load(watch, load);
 	}
 	json_decref(loads);
 }
 
-static void take_load(struct watch *watch, const json_t *load)
+static void post_load(struct watch *watch, const json_t *load)
 {
 	struct core_event event = { .type = CORE_EV_LOAD };
 	const char *name = json_string_value(json_object_get(load, "endpoint"));
 	const json_t *age = json_object_get(load, "age_ms");
-	int64_t age_us = WATCH_STALE_US;
+	int64_t age_us = WATCH_DEFAULT_AGE_US;
 
 	if (json_is_integer(age))
 		age_us = json_integer_value(age) * MAG_US_PER_MS;
@@ -381,8 +390,8 @@
 	loop_post(watch->loop, &event);
 }
 
-/* Gets one list of the platform; NULL if there is none now. */
-static json_t *fetch(struct watch *watch, enum kv_op op, const char *field)
+/* Reads one list from the platform; returns NULL if that fails. */
+static json_t *fetch_list(struct watch *watch, enum kv_op op, const char *field)
 {
 	struct kv_call call = {
 		.op = op,
--- a/src/watch.h
+++ b/src/watch.h
@@ -1,7 +1,7 @@
 #ifndef WATCH_H
 #define WATCH_H
 
-/* Takes up each accepted configuration, and what the platform lists. */
+/* Follows the configuration and the load reports of the platform. */
 
 #include "front.h"
 #include "kv.h"
@@ -18,12 +18,13 @@
 			  const struct kv_backend *backend, struct loop *loop,
 			  struct front *front);
 uint64_t watch_revision(const struct watch *watch);
-void watch_set_role(struct watch *watch, bool bridge, uint32_t listed);
+void watch_set_role(struct watch *watch, bool bridge, uint32_t instances);
 int watch_text(struct watch *watch, uint64_t at_least, uint64_t *revision,
 	       char **text, size_t *len);
 int watch_offer(struct watch *watch, const char *text, uint64_t revision);
-int watch_offer_edits(struct watch *watch, uint64_t have, const char *edits);
-int watch_edits(struct watch *watch, uint64_t have, uint64_t *revision,
+int watch_offer_edits(struct watch *watch, uint64_t from_revision,
+		      const char *edits);
+int watch_edits(struct watch *watch, uint64_t from_revision, uint64_t *revision,
 		char **text, size_t *len);
 void watch_close(struct watch *watch);
 void watch_stop(struct watch *watch);
