--- a/src/lim.c
+++ b/src/lim.c
@@ -265,18 +265,18 @@
 
 	for (i = 0; i < lim->link_count; i++) {
 		struct lim_link *link = &lim->links[i];
-		float *in = lim_column(lim, link->received, rows, count);
-		float *out = lim_column(lim, link->sent, rows, count);
+		float *received = lim_column(lim, link->received, rows, count);
+		float *sent = lim_column(lim, link->sent, rows, count);
 
-		if (!in || !out) {
-			free(in);
-			free(out);
+		if (!received || !sent) {
+			free(received);
+			free(sent);
 			return LIM_E_MEMORY;
 		}
 		free(link->received);
 		free(link->sent);
-		link->received = in;
-		link->sent = out;
+		link->received = received;
+		link->sent = sent;
 		link->cursor = 0;
 	}
 	return LIM_OK;
--- a/src/plc.c
+++ b/src/plc.c
@@ -5,7 +5,7 @@
 #include "log.h"
 #include "plc_int.h"
 
-#define PLC_LINK_UNKNOWN 1e18 /* tokens a second */
+#define PLC_LINK_UNKNOWN 1e18 /* tokens/s; no limit by the link */
 
 static void plc_set_engine(struct plc *plc, struct plc_engine *engine,
 			   int endpoint);
--- a/src/spread.c
+++ b/src/spread.c
@@ -203,7 +203,7 @@
 	}
 }
 
-/* True if the peer lacks a record that goes over this link. */
+/* True if the peer lacks a record that is sent over this link. */
 bool spread_pending(const struct spread *spread, const struct peer *peer,
 		    int link)
 {
@@ -385,8 +385,8 @@
 }
 
 /*
- * True if a record goes over a link.  A record that this instance observed
- * itself goes to all peers.  One that it learned from a peer is forwarded by
+ * True if a record is sent over a link.  A record that this instance observed
+ * itself is sent to all peers.  One that it learned from a peer is forwarded by
  * bridges, and to bridges, only, so that n instances of a data centre don't
  * send each other the same record n times.
  */
--- a/src/spread.h
+++ b/src/spread.h
@@ -57,7 +57,7 @@
 bool spread_pending(const struct spread *spread, const struct peer *peer,
 		    int link);
 void spread_tick(struct spread *spread, const struct peer *peer, int64_t now);
-bool spread_next_change(struct spread *spread, struct spread_change *news);
+bool spread_next_change(struct spread *spread, struct spread_change *change);
 uint32_t spread_count(const struct spread *spread);
 
 #endif /* SPREAD_H */
