--- a/src/fleet.c
+++ b/src/fleet.c
@@ -118,7 +118,7 @@
 		       int64_t now)
 {
 	fleet->now = now;
-	if (spread_note_leaving(fleet->spread, endpoint, SPREAD_BY_OWNER,
+	if (spread_note_leaving(fleet->spread, endpoint, SPREAD_BY_CALLER,
 				leaving))
 		return FLEET_E_NAME;
 	fleet_hurry(fleet);
@@ -202,11 +202,11 @@
 	fleet->now = now;
 	if (peer_receive(fleet->peer, msg, now, &link))
 		return FLEET_E_DROPPED;
-	if (spread_take(fleet->spread, fleet->peer, link, msg, now) > 0) {
+	if (spread_receive(fleet->spread, fleet->peer, link, msg, now) > 0) {
 		peer_hurry(fleet->peer, link, now);
 		fleet_hurry(fleet);
 	}
-	lim_take(fleet->lim, fleet->peer, link, msg);
+	lim_receive(fleet->lim, fleet->peer, link, msg);
 	fleet_see_revision(fleet, link, now);
 	return FLEET_OK;
 }
@@ -221,8 +221,8 @@
 		return false;
 	memcpy(address, peer_link_address(fleet->peer, link), MAG_ADDR_MAX);
 	peer_fill(fleet->peer, link, fleet->now, msg);
-	spread_fill(fleet->spread, fleet->peer, link, fleet->now, msg);
-	lim_fill(fleet->lim, fleet->peer, link, msg);
+	spread_fill_message(fleet->spread, fleet->peer, link, fleet->now, msg);
+	lim_fill_message(fleet->lim, fleet->peer, link, msg);
 	if (msg->news_count > 0)
 		peer_hurry(fleet->peer, link, fleet->now + FLEET_RESEND_US);
 	return true;
@@ -293,13 +293,13 @@
 /* How many instances pool limits with this one, itself included. */
 uint32_t fleet_group(const struct fleet *fleet)
 {
-	return lim_group(fleet->lim);
+	return lim_group_size(fleet->lim);
 }
 
 /* How many instances the platform's list holds. */
 uint32_t fleet_listed(const struct fleet *fleet)
 {
-	return lim_entitled(fleet->lim);
+	return lim_part_count(fleet->lim);
 }
 
 /*
@@ -434,11 +434,11 @@
 	fleet->list_running = false;
 	if (reply->status != KV_OK ||
 	    fleet_list_parse(reply->value, reply->len, &list)) {
-		fleet->list_due_us = pace_fail(&fleet->pace, now);
+		fleet->list_due_us = pace_after_failure(&fleet->pace, now);
 		return;
 	}
 	fleet->list_due_us =
-		pace_spread(&fleet->pace, now, fleet_poll_us(fleet));
+		pace_next_period(&fleet->pace, now, fleet_poll_us(fleet));
 	peer_list(fleet->peer, list.entries, list.entry_count, now);
 	for (i = 0; i < list.endpoint_count; i++)
 		spread_note_leaving(fleet->spread, list.endpoints[i].name,
@@ -468,9 +468,9 @@
 
 static bool fleet_news_record(struct fleet *fleet, struct fleet_news *news)
 {
-	struct spread_news record;
+	struct spread_change record;
 
-	if (!spread_next_news(fleet->spread, &record))
+	if (!spread_next_change(fleet->spread, &record))
 		return false;
 	if (record.kind == PEER_REC_LEAVING) {
 		news->type = FLEET_NEWS_LEAVING;
@@ -482,9 +482,9 @@
 		return true;
 	}
 	news->type = FLEET_NEWS_QUARANTINE;
-	news->quarantine.endpoints_lost = record.lost;
+	news->quarantine.endpoints_lost = record.endpoints_lost;
 	news->quarantine.until_us = record.until_us;
-	memcpy(news->quarantine.print, record.print, MAG_DIGEST_BYTES);
+	memcpy(news->quarantine.print, record.fingerprint, MAG_DIGEST_BYTES);
 	return true;
 }
 
--- a/src/flt.h
+++ b/src/flt.h
@@ -5,8 +5,8 @@
 #include <stddef.h>
 
 /*
- * A list of faults as operators read them, one line of printable ASCII each.
- * The layers that find faults give them their own messages and numbers.
+ * A list of error messages for operators, each one line of printable ASCII.
+ * The modules that find errors define the message texts and numbers.
  */
 struct flt_list;
 
@@ -14,8 +14,8 @@
 void flt_free(struct flt_list *list);
 void flt_add(struct flt_list *list, const char *fmt, ...)
 	__attribute__((format(printf, 2, 3)));
-void flt_lose(struct flt_list *list);
-bool flt_lost(const struct flt_list *list);
+void flt_mark_incomplete(struct flt_list *list);
+bool flt_is_incomplete(const struct flt_list *list);
 size_t flt_count(const struct flt_list *list);
 const char *flt_text(const struct flt_list *list, size_t i);
 
--- a/src/lim_link.c
+++ b/src/lim_link.c
@@ -4,13 +4,13 @@
 
 #include "lim_int.h"
 
-/* What instances tell each other of the demand under each limit. */
+/* Exchanges the demand under each limit between instances. */
 
-/* What a row is worth to a receiver. */
+/* Which demand of a row a receiver needs. */
 enum lim_view {
-	LIM_OWN,
-	LIM_LOCAL,
-	LIM_TOTAL,
+	LIM_OWN,   /* this instance's */
+	LIM_LOCAL, /* this data centre's */
+	LIM_TOTAL, /* of all reachable instances */
 	LIM_NOTHING
 };
 
@@ -18,15 +18,16 @@
 				 int link);
 static enum lim_view lim_view(const struct peer *peer, int link);
 static float lim_value(const struct lim_row *row, enum lim_view view);
-static void lim_choose(struct lim *lim, struct lim_link *state,
-		       enum lim_view view, uint32_t max, struct peer_msg *msg);
-static double lim_urgency(const struct lim_row *row, float value, float out);
-static void lim_put(struct lim *lim, struct lim_link *state, size_t row,
-		    float value, struct peer_msg *msg);
-
-/* Takes the demand that a message tells. */
-void lim_take(struct lim *lim, const struct peer *peer, int link,
-	      const struct peer_msg *msg)
+static void lim_choose_rows(struct lim *lim, struct lim_link *state,
+			    enum lim_view view, uint32_t max,
+			    struct peer_msg *msg);
+static double lim_deviation(const struct lim_row *row, float value, float sent);
+static void lim_add_demand(struct lim *lim, struct lim_link *state, size_t row,
+			   float value, struct peer_msg *msg);
+
+/* Stores the demand that a message carries. */
+void lim_receive(struct lim *lim, const struct peer *peer, int link,
+		 const struct peer_msg *msg)
 {
 	struct lim_link *state = lim_link(lim, peer, link);
 	bool totals = msg->flags & PEER_F_RAIL0;
@@ -35,49 +36,50 @@
 	if (!state)
 		return;
 	if (totals != state->sends_totals)
-		memset(state->in, 0, lim->row_count * sizeof(*state->in));
+		memset(state->received, 0,
+		       lim->row_count * sizeof(*state->received));
 	state->sends_totals = totals;
 	if (msg->flags & PEER_F_GAP) {
 		for (i = 0; i < lim->row_count; i++)
-			state->out[i] = NAN;
+			state->sent[i] = NAN;
 	}
 	for (i = 0; i < msg->demand_count; i++) {
-		int row = lim_find(lim, msg->demands[i].limit);
+		int row = lim_find_row(lim, msg->demands[i].limit);
 		float demand = msg->demands[i].demand;
 
 		if (row >= 0 && isfinite(demand) && demand >= 0)
-			state->in[row] = demand;
+			state->received[row] = demand;
 	}
 }
 
 /*
- * Adds to a message the demand that its receiver needs: an instance tells
- * its own to the bridges of its data centre, a bridge the sum of its data
- * centre to other bridges, and the first bridge the sum of all that it
- * reaches to its data centre.
+ * Adds to a message the demand that its receiver needs.  An instance sends
+ * its own demand to the bridges of its data centre.  A bridge sends the sum of
+ * its data centre to other bridges.  The first bridge sends the sum of all
+ * instances that it reaches to its data centre.
  */
-void lim_fill(struct lim *lim, const struct peer *peer, int link,
-	      struct peer_msg *msg)
+void lim_fill_message(struct lim *lim, const struct peer *peer, int link,
+		      struct peer_msg *msg)
 {
 	struct lim_link *state = lim_link(lim, peer, link);
 	enum lim_view view = lim_view(peer, link);
 	bool totals = view == LIM_TOTAL;
 	size_t i;
 
-	msg->group = view == LIM_LOCAL ? lim->local : lim->group;
+	msg->group = view == LIM_LOCAL ? lim->local_count : lim->group_size;
 	if (totals)
-		msg->listed = lim->entitled;
+		msg->listed = lim->part_count;
 	if (!state || view == LIM_NOTHING)
 		return;
-	if (totals != state->told_totals) {
+	if (totals != state->sent_totals) {
 		for (i = 0; i < lim->row_count; i++)
-			state->out[i] = NAN;
-		state->told_totals = totals;
+			state->sent[i] = NAN;
+		state->sent_totals = totals;
 	}
-	lim_choose(lim, state, view, peer_demands_fit(peer), msg);
+	lim_choose_rows(lim, state, view, peer_demands_fit(peer), msg);
 }
 
-/* Returns the state of a link, emptied for a new incarnation. */
+/* Returns a link's state, which is reset for a new incarnation of the peer. */
 static struct lim_link *lim_link(struct lim *lim, const struct peer *peer,
 				 int link)
 {
@@ -95,18 +97,18 @@
 		lim->link_count = count;
 	}
 	state = &lim->links[link];
-	if (state->in && state->out && state->epoch == epoch)
+	if (state->received && state->sent && state->epoch == epoch)
 		return state;
-	free(state->in);
-	free(state->out);
+	free(state->received);
+	free(state->sent);
 	memset(state, 0, sizeof(*state));
 	state->epoch = epoch;
-	state->in = calloc(lim->row_count + 1, sizeof(*state->in));
-	state->out = calloc(lim->row_count + 1, sizeof(*state->out));
-	return state->in && state->out ? state : NULL;
+	state->received = calloc(lim->row_count + 1, sizeof(*state->received));
+	state->sent = calloc(lim->row_count + 1, sizeof(*state->sent));
+	return state->received && state->sent ? state : NULL;
 }
 
-/* Says what the other side of a link is told. */
+/* Returns which demand the peer on a link needs. */
 static enum lim_view lim_view(const struct peer *peer, int link)
 {
 	if (peer_link_kind(peer, link) == PEER_LINK_BRIDGE)
@@ -116,7 +118,7 @@
 	return peer_link_rail(peer, link) >= 0 ? LIM_OWN : LIM_NOTHING;
 }
 
-/* The demand of a row as one kind of receiver needs it. */
+/* Returns the demand of a row that a receiver needs. */
 static float lim_value(const struct lim_row *row, enum lim_view view)
 {
 	if (view == LIM_OWN)
@@ -125,63 +127,66 @@
 }
 
 /*
- * Puts the rows into a message of which the receiver is the furthest off,
- * and one row in turn whether or not it changed: what a lost message told
- * would else stay unknown for as long as nothing changes.
+ * Adds the rows whose value at the receiver deviates most, and one more row
+ * in turn whether or not it changed.  Otherwise the content of a lost message
+ * would stay unknown until the next change.
  */
-static void lim_choose(struct lim *lim, struct lim_link *state,
-		       enum lim_view view, uint32_t max, struct peer_msg *msg)
+static void lim_choose_rows(struct lim *lim, struct lim_link *state,
+			    enum lim_view view, uint32_t max,
+			    struct peer_msg *msg)
 {
-	double urgency[PEER_DEMANDS_MAX];
+	double deviations[PEER_DEMANDS_MAX];
 	size_t rows[PEER_DEMANDS_MAX];
 	uint32_t count = 0;
 	uint32_t i;
 	size_t r;
 
 	for (r = 0; r < lim->row_count; r++) {
-		double u = lim_urgency(&lim->rows[r],
-				       lim_value(&lim->rows[r], view),
-				       state->out[r]);
+		double deviation = lim_deviation(&lim->rows[r],
+						 lim_value(&lim->rows[r], view),
+						 state->sent[r]);
 
-		if (u <= 0 || max == 0 ||
-		    (count == max && u <= urgency[count - 1]))
+		if (deviation <= 0 || max == 0 ||
+		    (count == max && deviation <= deviations[count - 1]))
 			continue;
 		if (count < max)
 			count++;
-		for (i = count - 1; i > 0 && urgency[i - 1] < u; i--) {
-			urgency[i] = urgency[i - 1];
+		for (i = count - 1; i > 0 && deviations[i - 1] < deviation;
+		     i--) {
+			deviations[i] = deviations[i - 1];
 			rows[i] = rows[i - 1];
 		}
-		urgency[i] = u;
+		deviations[i] = deviation;
 		rows[i] = r;
 	}
 	for (i = 0; i < count; i++)
-		lim_put(lim, state, rows[i],
-			lim_value(&lim->rows[rows[i]], view), msg);
+		lim_add_demand(lim, state, rows[i],
+			       lim_value(&lim->rows[rows[i]], view), msg);
 	if (count == max || lim->row_count == 0)
 		return;
 	r = state->cursor++ % lim->row_count;
 	if (lim_value(&lim->rows[r], view) > 0)
-		lim_put(lim, state, r, lim_value(&lim->rows[r], view), msg);
+		lim_add_demand(lim, state, r, lim_value(&lim->rows[r], view),
+			       msg);
 }
 
-/* How far a receiver is off, in parts of the limit; 0 if near enough. */
-static double lim_urgency(const struct lim_row *row, float value, float out)
+/* Returns a receiver's error as a fraction of the limit; 0 if negligible. */
+static double lim_deviation(const struct lim_row *row, float value, float sent)
 {
-	if (isnan(out))
+	if (isnan(sent))
 		return (value + 1e-6) / lim_size(row);
-	if (fabsf(value - out) <= 0.01F * fmaxf(value, out))
+	if (fabsf(value - sent) <= 0.01F * fmaxf(value, sent))
 		return 0;
-	return fabsf(value - out) / lim_size(row);
+	return fabsf(value - sent) / lim_size(row);
 }
 
-/* Adds one entry to a message and keeps what the receiver was told. */
-static void lim_put(struct lim *lim, struct lim_link *state, size_t row,
-		    float value, struct peer_msg *msg)
+/* Adds one entry to a message and stores the value as sent. */
+static void lim_add_demand(struct lim *lim, struct lim_link *state, size_t row,
+			   float value, struct peer_msg *msg)
 {
 	struct peer_demand *entry = &msg->demands[msg->demand_count++];
 
 	entry->limit = lim->rows[row].hash;
 	entry->demand = value;
-	state->out[row] = value;
+	state->sent[row] = value;
 }
--- a/src/plc.c
+++ b/src/plc.c
@@ -5,34 +5,38 @@
 #include "log.h"
 #include "plc_int.h"
 
-#define PLC_LINK_UNKNOWN 1e18 /* tokens a second */
-
-static void plc_fill(struct plc *plc, struct plc_engine *engine, int endpoint);
-static int plc_centres(struct plc *plc, const struct cfg_set *set);
-static int plc_centre(const struct plc *plc, const char *name);
-static void plc_lease_step(struct plc *plc, int64_t now);
-static void plc_lease_taken(struct plc *plc, uint64_t fence, int64_t now);
-static void plc_start_over(struct plc_engine *engine, int64_t now);
+#define PLC_LINK_UNKNOWN 1e18 /* tokens/s; no limit by the link */
+
+static void plc_set_engine(struct plc *plc, struct plc_engine *engine,
+			   int endpoint);
+static int plc_index_centres(struct plc *plc, const struct cfg_set *set);
+static int plc_centre_index(const struct plc *plc, const char *name);
+static void plc_check_lease(struct plc *plc, int64_t now);
+static void plc_lease_granted(struct plc *plc, uint64_t fence, int64_t now);
+static void plc_reset_engine(struct plc_engine *engine, int64_t now);
 static void plc_lease_lost(struct plc *plc, const char *why, int64_t now);
-static void plc_forget_orders(struct plc *plc);
-static void plc_ask_states(struct plc *plc, int64_t now);
+static void plc_drop_orders(struct plc *plc);
+static void plc_request_states(struct plc *plc, int64_t now);
 static void plc_decide(struct plc *plc, int64_t now);
-static bool plc_all_read(const struct plc *plc);
-static int plc_loads(const struct plc *plc);
-static void plc_want(struct plc *plc, const struct plc_move *move,
-		     double flow_now, uint32_t gap_now, int64_t now);
-static void plc_send(struct plc *plc, struct plc_engine *engine,
-		     enum plc_order_kind kind, int64_t now);
-static void plc_state_read(struct plc *plc, struct plc_engine *engine,
-			   const struct plc_order_result *result, int64_t now);
-static void plc_state_taken(struct plc *plc, struct plc_engine *engine,
+static bool plc_all_states_known(const struct plc *plc);
+static int plc_load_count(const struct plc *plc);
+static void plc_schedule_load(struct plc *plc,
+			      const struct plc_candidate *candidate,
+			      double flow_now, uint32_t uncovered_now,
+			      int64_t now);
+static void plc_queue_order(struct plc *plc, struct plc_engine *engine,
+			    enum plc_order_kind kind, int64_t now);
+static void plc_handle_state(struct plc *plc, struct plc_engine *engine,
+			     const struct plc_order_result *result,
+			     int64_t now);
+static void plc_store_state(struct plc *plc, struct plc_engine *engine,
 			    const struct plc_order_result *result);
-static void plc_follow_up(struct plc *plc, struct plc_engine *engine,
-			  int64_t now);
+static void plc_check_target(struct plc *plc, struct plc_engine *engine,
+			     int64_t now);
 static void plc_load_done(struct plc *plc, struct plc_engine *engine,
 			  const struct plc_order_result *result, int64_t now);
 
-/* Makes the placement of one data centre; NULL when memory is short. */
+/* Creates the placement of one data centre; returns NULL without memory. */
 struct plc *plc_new(const struct plc_settings *settings, int64_t now)
 {
 	struct plc *plc = calloc(1, sizeof(*plc));
@@ -41,9 +45,10 @@
 		return NULL;
 	plc->settings = *settings;
 	/*
-	 * A restarted instance is another holder: under its old name it would
-	 * get its old fencing number again, and could not be told from what
-	 * it sent before.
+	 * The incarnation makes a restarted instance a different lease holder.
+	 * Under the same name it would receive its old fencing number again,
+	 * and engines could not tell its orders from those that it sent before
+	 * the restart.
 	 */
 	snprintf(plc->holder, sizeof(plc->holder), "%s#%llu",
 		 settings->instance, (unsigned long long)settings->incarnation);
@@ -51,7 +56,7 @@
 	return plc;
 }
 
-/* Frees a placement; NULL is allowed. */
+/* Frees a placement; NULL is a no-op. */
 void plc_free(struct plc *plc)
 {
 	if (!plc)
@@ -63,8 +68,8 @@
 }
 
 /*
- * Takes a new set, which must stay until the next call; what is known of an
- * engine is kept by its name.
+ * Applies a new set, which must remain valid until the next call.  The state
+ * of an engine is carried over by its name.
  */
 int plc_config(struct plc *plc, const struct cfg_set *set, int64_t now)
 {
@@ -77,12 +82,12 @@
 	size_t i;
 	size_t j = 0;
 
-	if (!engines || !orders || plc_centres(plc, set)) {
+	if (!engines || !orders || plc_index_centres(plc, set)) {
 		free(engines);
 		free(orders);
 		return PLC_E_MEMORY;
 	}
-	plc_forget_orders(plc);
+	plc_drop_orders(plc);
 	old = plc->engines;
 	plc->set = set;
 	plc->engines = engines;
@@ -94,12 +99,12 @@
 		if (set->service_count == 0 ||
 		    set->services[from->service].kind != CFG_MODEL)
 			continue;
-		/* Both stand in the order of names, as every set does. */
+		/* Both are sorted by name, as in every set. */
 		while (j < old_count && strcmp(old[j].name, from->name) < 0)
 			j++;
 		if (j < old_count && strcmp(old[j].name, from->name) == 0)
 			*to = old[j];
-		plc_fill(plc, to, (int)i);
+		plc_set_engine(plc, to, (int)i);
 		plc->engine_count++;
 	}
 	free(old);
@@ -109,7 +114,7 @@
 	return PLC_OK;
 }
 
-/* Notes that an endpoint leaves, or no longer does. */
+/* Records whether an endpoint is leaving. */
 void plc_note_leaving(struct plc *plc, const char *endpoint, bool leaving)
 {
 	size_t i;
@@ -121,9 +126,9 @@
 }
 
 /*
- * Ends the placement of this instance.  The lease is given back only if no
- * order is under way, as its successor would take it for one that has no
- * order in the network; else it lapses.
+ * Stops placement in this instance.  The lease is released only if no order
+ * is in flight: the next holder relies on a released lease to have no order
+ * left in the network.  Otherwise the lease expires.
  */
 void plc_stop(struct plc *plc, int64_t now)
 {
@@ -137,28 +142,28 @@
 	plc_lease_lost(plc, "stopping", now);
 	plc->drop_pending = true;
 	for (i = 0; i < plc->engine_count; i++) {
-		if (plc->engines[i].running &&
-		    plc->engines[i].running_kind == PLC_LOAD)
+		if (plc->engines[i].pending_id &&
+		    plc->engines[i].pending_kind == PLC_LOAD)
 			plc->drop_pending = false;
 	}
 }
 
-/* Runs what is due: the lease, questions for states, decisions. */
+/* Runs what is due: lease calls, state requests and placement decisions. */
 void plc_tick(struct plc *plc, int64_t now)
 {
 	if (!plc->settings.enabled || plc->stopping)
 		return;
-	plc_lease_step(plc, now);
+	plc_check_lease(plc, now);
 	if (plc->lease != PLC_LEASE_HELD || !plc->set)
 		return;
-	plc_ask_states(plc, now);
+	plc_request_states(plc, now);
 	if (now >= plc->decide_due_us) {
-		plc->decide_due_us = now + PLC_DECIDE_US;
+		plc->decide_due_us = now + PLC_DECIDE_PERIOD_US;
 		plc_decide(plc, now);
 	}
 }
 
-/* When plc_tick has something to do next. */
+/* Returns when plc_tick is due next. */
 int64_t plc_next_deadline(const struct plc *plc)
 {
 	int64_t next = MAG_NEVER;
@@ -176,7 +181,7 @@
 	return next;
 }
 
-/* Gives the next call for the lease. */
+/* Returns the next lease call that the caller must make, if any. */
 bool plc_next_call(struct plc *plc, struct kv_call *call)
 {
 	bool drop = plc->drop_pending;
@@ -186,7 +191,7 @@
 	memset(call, 0, sizeof(*call));
 	call->id = drop ? 2 : 1;
 	call->op = drop ? KV_LEASE_DROP : KV_LEASE_TAKE;
-	call->ttl_ms = (uint32_t)(PLC_TTL_US / MAG_US_PER_MS);
+	call->ttl_ms = (uint32_t)(PLC_LEASE_TTL_US / MAG_US_PER_MS);
 	snprintf(call->key, sizeof(call->key), "place/%s",
 		 plc->settings.data_centre);
 	call->value = strdup(plc->holder);
@@ -198,7 +203,7 @@
 	return true;
 }
 
-/* Takes the end of a call; the value stays the caller's. */
+/* Handles the reply to a lease call; the caller still owns the value. */
 int plc_reply(struct plc *plc, const struct kv_reply *reply, int64_t now)
 {
 	if (reply->id != 1)
@@ -206,15 +211,15 @@
 	if (!plc->call_running)
 		return PLC_E_UNKNOWN;
 	plc->call_running = false;
-	plc->lease_due_us = now + PLC_RETRY_US;
+	plc->lease_due_us = now + PLC_LEASE_RETRY_US;
 	if (reply->status == KV_OK && !plc->stopping)
-		plc_lease_taken(plc, reply->version, now);
+		plc_lease_granted(plc, reply->version, now);
 	else if (reply->status == KV_CONFLICT && plc->lease == PLC_LEASE_HELD)
 		plc_lease_lost(plc, "another instance holds it", now);
 	return PLC_OK;
 }
 
-/* Gives the next order or question for an engine. */
+/* Returns the next order or state request to send to an engine. */
 bool plc_next_order(struct plc *plc, struct plc_order *order)
 {
 	if (plc->order_next == plc->order_count) {
@@ -226,7 +231,7 @@
 	return true;
 }
 
-/* Takes the end of an order or question. */
+/* Handles the result of an order or a state request. */
 int plc_order_done(struct plc *plc, const struct plc_order_result *result,
 		   int64_t now)
 {
@@ -235,11 +240,11 @@
 	for (i = 0; i < plc->engine_count; i++) {
 		struct plc_engine *engine = &plc->engines[i];
 
-		if (engine->running != result->id || result->id == 0)
+		if (engine->pending_id != result->id || result->id == 0)
 			continue;
-		engine->running = 0;
-		if (engine->running_kind == PLC_READ_STATE)
-			plc_state_read(plc, engine, result, now);
+		engine->pending_id = 0;
+		if (engine->pending_kind == PLC_READ_STATE)
+			plc_handle_state(plc, engine, result, now);
 		else
 			plc_load_done(plc, engine, result, now);
 		return PLC_OK;
@@ -247,8 +252,9 @@
 	return PLC_E_UNKNOWN;
 }
 
-/* Copies what the operators say of an engine. */
-static void plc_fill(struct plc *plc, struct plc_engine *engine, int endpoint)
+/* Copies the configuration of an engine. */
+static void plc_set_engine(struct plc *plc, struct plc_engine *engine,
+			   int endpoint)
 {
 	const struct cfg_endpoint *from = &plc->set->endpoints[endpoint];
 	const struct cfg_service *service = &plc->set->services[from->service];
@@ -256,22 +262,23 @@
 	memcpy(engine->name, from->name, MAG_NAME_MAX);
 	memcpy(engine->address, from->address, MAG_ADDR_MAX);
 	engine->service = from->service;
-	engine->centre = plc_centre(plc, from->data_centre);
-	engine->own = strcmp(from->data_centre, plc->settings.data_centre) == 0;
+	engine->centre = plc_centre_index(plc, from->data_centre);
+	engine->local =
+		strcmp(from->data_centre, plc->settings.data_centre) == 0;
 	engine->checks_fencing = from->checks_fencing;
 	if (from->state == CFG_DRAIN)
 		engine->leaving = true;
 	engine->declared.first = from->first_layer;
 	engine->declared.last = from->last_layer;
-	engine->rate = from->tokens_per_s;
-	engine->link = PLC_LINK_UNKNOWN;
+	engine->tokens_per_s = from->tokens_per_s;
+	engine->link_tokens_per_s = PLC_LINK_UNKNOWN;
 	if (from->link_bytes_per_s && service->activation_bytes)
-		engine->link = (double)from->link_bytes_per_s /
-			       service->activation_bytes;
+		engine->link_tokens_per_s = (double)from->link_bytes_per_s /
+					    service->activation_bytes;
 }
 
-/* Numbers the data centres by the first endpoint that names each. */
-static int plc_centres(struct plc *plc, const struct cfg_set *set)
+/* Numbers the data centres in the order in which endpoints name them. */
+static int plc_index_centres(struct plc *plc, const struct cfg_set *set)
 {
 	const char **centres =
 		calloc(set->endpoint_count + 1, sizeof(*centres));
@@ -285,14 +292,14 @@
 	for (i = 0; i < set->endpoint_count; i++) {
 		const char *name = set->endpoints[i].data_centre;
 
-		if (plc_centre(plc, name) == plc->centre_count)
+		if (plc_centre_index(plc, name) == plc->centre_count)
 			centres[plc->centre_count++] = name;
 	}
 	return PLC_OK;
 }
 
-/* Returns the number of a data centre, their count if it has none yet. */
-static int plc_centre(const struct plc *plc, const char *name)
+/* Returns a data centre's index, or their count if it has none yet. */
+static int plc_centre_index(const struct plc *plc, const char *name)
 {
 	int i;
 
@@ -303,8 +310,8 @@
 	return i;
 }
 
-/* Takes, renews or gives up the lease. */
-static void plc_lease_step(struct plc *plc, int64_t now)
+/* Gives up an expired lease, and calls for a new one or a renewal when due. */
+static void plc_check_lease(struct plc *plc, int64_t now)
 {
 	if (plc->lease == PLC_LEASE_HELD && now >= plc->lease_until_us)
 		plc_lease_lost(plc, "not renewed in time", now);
@@ -316,16 +323,17 @@
 }
 
 /*
- * Takes the lease or its renewal.  It counts from when the call was made, as
- * the platform may have granted it at any moment since.
+ * Handles a granted or renewed lease.  Its time runs from the moment of the
+ * call, as the platform may have granted it at any time since then.
  */
-static void plc_lease_taken(struct plc *plc, uint64_t fence, int64_t now)
+static void plc_lease_granted(struct plc *plc, uint64_t fence, int64_t now)
 {
 	bool renewed = plc->lease == PLC_LEASE_HELD && plc->fence == fence;
 	size_t i;
 
-	plc->lease_until_us = plc->lease_call_us + PLC_TTL_US - PLC_MARGIN_US;
-	plc->lease_due_us = plc->lease_call_us + PLC_RENEW_US;
+	plc->lease_until_us =
+		plc->lease_call_us + PLC_LEASE_TTL_US - PLC_CLOCK_MARGIN_US;
+	plc->lease_due_us = plc->lease_call_us + PLC_LEASE_RENEW_US;
 	if (renewed)
 		return;
 	if (plc->lease_until_us <= now)
@@ -333,139 +341,145 @@
 	plc->lease = PLC_LEASE_HELD;
 	plc->fence = fence;
 	/*
-	 * An engine that ignores fencing numbers would carry out an order of
-	 * the holder before, sent just as its lease ended and delivered late,
-	 * on top of this one's.  After this wait all such orders are past
-	 * their deadlines.
+	 * The previous holder may have sent an order just as its lease ended,
+	 * and an engine that ignores fencing numbers would carry it out late,
+	 * after an order of this instance.  After this wait all such orders
+	 * are past their deadlines.
 	 */
-	plc->waited_until_us = now + PLC_TTL_US + PLC_ORDER_US + PLC_MARGIN_US;
+	plc->handover_until_us = now + PLC_LEASE_TTL_US + PLC_ORDER_TIMEOUT_US +
+				 PLC_CLOCK_MARGIN_US;
 	for (i = 0; i < plc->engine_count; i++)
-		plc_start_over(&plc->engines[i], now);
+		plc_reset_engine(&plc->engines[i], now);
 	plc->decide_due_us = now;
 	log_event(LOG_PLC_LEASE, "dc=%s fence=%llu held=1",
 		  plc->settings.data_centre, (unsigned long long)fence);
 }
 
-/* Forgets an engine's state; an order still under way may yet land. */
-static void plc_start_over(struct plc_engine *engine, int64_t now)
+/* Resets an engine's state; an order in flight may still take effect. */
+static void plc_reset_engine(struct plc_engine *engine, int64_t now)
 {
-	if (engine->running && engine->running_kind == PLC_LOAD)
-		engine->quiet_until_us = now + PLC_ORDER_US;
-	engine->running = 0;
-	engine->known = false;
-	engine->wanted = false;
+	if (engine->pending_id && engine->pending_kind == PLC_LOAD)
+		engine->no_order_until_us = now + PLC_ORDER_TIMEOUT_US;
+	engine->pending_id = 0;
+	engine->state_known = false;
+	engine->load_due = false;
 	engine->failures = 0;
 	engine->next_read_us = now;
 }
 
-/* Gives up the lease: from here on nothing is sent. */
+/* Gives up the lease: no order is sent from now on. */
 static void plc_lease_lost(struct plc *plc, const char *why, int64_t now)
 {
 	plc->lease = PLC_LEASE_NONE;
-	plc_forget_orders(plc);
-	plc->lease_due_us = now + PLC_RETRY_US;
+	plc_drop_orders(plc);
+	plc->lease_due_us = now + PLC_LEASE_RETRY_US;
 	log_event(LOG_PLC_LEASE, "dc=%s fence=%llu held=0 why=\"%s\"",
 		  plc->settings.data_centre, (unsigned long long)plc->fence,
 		  why);
 }
 
-/* Drops what the owner hasn't taken yet. */
-static void plc_forget_orders(struct plc *plc)
+/* Drops the orders that the caller hasn't fetched yet. */
+static void plc_drop_orders(struct plc *plc)
 {
 	size_t i;
 	size_t j;
 
 	for (i = plc->order_next; i < plc->order_count; i++) {
 		for (j = 0; j < plc->engine_count; j++) {
-			if (plc->engines[j].running == plc->orders[i].id)
-				plc->engines[j].running = 0;
+			if (plc->engines[j].pending_id == plc->orders[i].id)
+				plc->engines[j].pending_id = 0;
 		}
 	}
 	plc->order_count = 0;
 	plc->order_next = 0;
 }
 
-/* Asks the engines for their states, each at its time. */
-static void plc_ask_states(struct plc *plc, int64_t now)
+/* Queues a state request for each engine whose next one is due. */
+static void plc_request_states(struct plc *plc, int64_t now)
 {
 	size_t i;
 
 	for (i = 0; i < plc->engine_count; i++) {
 		struct plc_engine *engine = &plc->engines[i];
 
-		if (engine->own && !engine->running &&
+		if (engine->local && !engine->pending_id &&
 		    now >= engine->next_read_us)
-			plc_send(plc, engine, PLC_READ_STATE, now);
+			plc_queue_order(plc, engine, PLC_READ_STATE, now);
 	}
 }
 
-/* Decides on at most one order for each service. */
+/* Decides on at most one order per service. */
 static void plc_decide(struct plc *plc, int64_t now)
 {
-	struct plc_move move;
-	uint32_t gap = 0;
+	struct plc_candidate candidate;
+	uint32_t uncovered = 0;
 	double flow = 0;
 	size_t i;
 
-	if (!plc_all_read(plc))
+	if (!plc_all_states_known(plc))
 		return;
 	for (i = 0; i < plc->set->service_count; i++) {
 		if (plc->set->services[i].kind != CFG_MODEL ||
-		    plc_loads(plc) >= PLC_LOADS_MAX)
+		    plc_load_count(plc) >= PLC_LOADS_MAX)
 			continue;
-		if (plc_choose(plc, (int)i, now, &move, &flow, &gap))
-			plc_want(plc, &move, flow, gap, now);
+		if (plc_choose_order(plc, (int)i, now, &candidate, &flow,
+				     &uncovered))
+			plc_schedule_load(plc, &candidate, flow, uncovered,
+					  now);
 	}
 }
 
-/* True once each engine's state was read, or its engine found down. */
-static bool plc_all_read(const struct plc *plc)
+/* True once each local engine has reported its state or is down. */
+static bool plc_all_states_known(const struct plc *plc)
 {
 	size_t i;
 
 	for (i = 0; i < plc->engine_count; i++) {
 		const struct plc_engine *engine = &plc->engines[i];
 
-		if (engine->own && !engine->known &&
+		if (engine->local && !engine->state_known &&
 		    engine->failures < PLC_FAILURES_MAX)
 			return false;
 	}
 	return true;
 }
 
-/* How many loads are due or under way. */
-static int plc_loads(const struct plc *plc)
+/* Returns how many loads are due or in progress. */
+static int plc_load_count(const struct plc *plc)
 {
 	int count = 0;
 	size_t i;
 
 	for (i = 0; i < plc->engine_count; i++)
-		count += plc->engines[i].own &&
-			 (plc->engines[i].wanted || plc->engines[i].loading);
+		count += plc->engines[i].local &&
+			 (plc->engines[i].load_due || plc->engines[i].loading);
 	return count;
 }
 
-/* Notes what an engine is to hold; its state is read once more first. */
-static void plc_want(struct plc *plc, const struct plc_move *move,
-		     double flow_now, uint32_t gap_now, int64_t now)
+/* Sets an engine's target range; its state is read again before the order. */
+static void plc_schedule_load(struct plc *plc,
+			      const struct plc_candidate *candidate,
+			      double flow_now, uint32_t uncovered_now,
+			      int64_t now)
 {
-	struct plc_engine *engine = &plc->engines[move->engine];
+	struct plc_engine *engine = &plc->engines[candidate->engine];
 
-	engine->wanted = true;
-	engine->want = move->range;
-	engine->load_until_us = now + PLC_LOAD_US;
+	engine->load_due = true;
+	engine->target = candidate->range;
+	engine->load_until_us = now + PLC_LOAD_TIMEOUT_US;
 	engine->next_read_us = now;
 	log_event(LOG_PLC_DECIDED,
 		  "engine=%s model=%s layers=%u-%u load=%u uncovered=%u->%u "
 		  "flow=%.0f->%.0f",
 		  engine->name, plc->set->services[engine->service].name,
-		  move->range.first, move->range.last, move->load, gap_now,
-		  move->uncovered, flow_now, move->flow);
+		  candidate->range.first, candidate->range.last,
+		  candidate->layers_to_load, uncovered_now,
+		  candidate->uncovered, flow_now, candidate->flow);
 }
 
-/* Leaves an order or a question for the shell. */
-static void plc_send(struct plc *plc, struct plc_engine *engine,
-		     enum plc_order_kind kind, int64_t now)
+/* Queues an order or a state request for the caller to send. */
+static void plc_queue_order(struct plc *plc, struct plc_engine *engine,
+			    enum plc_order_kind kind, int64_t now)
 {
 	struct plc_order *order = &plc->orders[plc->order_count];
 
@@ -479,39 +493,39 @@
 	memcpy(order->address, engine->address, MAG_ADDR_MAX);
 	memcpy(order->model, plc->set->services[engine->service].name,
 	       MAG_NAME_MAX);
-	order->first_layer = engine->want.first;
-	order->last_layer = engine->want.last;
+	order->first_layer = engine->target.first;
+	order->last_layer = engine->target.last;
 	order->fence = plc->fence;
 	order->send_before_us = plc->lease_until_us;
-	order->deadline_us = now + PLC_ORDER_US;
-	engine->running = order->id;
-	engine->running_kind = kind;
-	engine->next_read_us = now + PLC_READ_US;
+	order->deadline_us = now + PLC_ORDER_TIMEOUT_US;
+	engine->pending_id = order->id;
+	engine->pending_kind = kind;
+	engine->next_read_us = now + PLC_STATE_POLL_US;
 }
 
-/* Takes an engine's state, and sends the order that waited for it. */
-static void plc_state_read(struct plc *plc, struct plc_engine *engine,
-			   const struct plc_order_result *result, int64_t now)
+/* Handles the reply to a state request, and queues an order that is due. */
+static void plc_handle_state(struct plc *plc, struct plc_engine *engine,
+			     const struct plc_order_result *result, int64_t now)
 {
 	if (result->status != PLC_DONE) {
 		engine->failures++;
-		engine->next_read_us = now + PLC_WATCH_US;
+		engine->next_read_us = now + PLC_LOADING_POLL_US;
 		if (engine->failures == PLC_FAILURES_MAX) {
-			engine->wanted = false;
+			engine->load_due = false;
 			log_event(LOG_PLC_DOWN, "engine=%s", engine->name);
 		}
 		return;
 	}
-	plc_state_taken(plc, engine, result);
-	plc_follow_up(plc, engine, now);
+	plc_store_state(plc, engine, result);
+	plc_check_target(plc, engine, now);
 }
 
-static void plc_state_taken(struct plc *plc, struct plc_engine *engine,
+static void plc_store_state(struct plc *plc, struct plc_engine *engine,
 			    const struct plc_order_result *result)
 {
 	const char *model = plc->set->services[engine->service].name;
 
-	engine->known = true;
+	engine->state_known = true;
 	engine->failures = 0;
 	engine->loading = result->loading;
 	engine->holds = !result->loading && strcmp(result->model, model) == 0;
@@ -519,40 +533,42 @@
 	engine->held.last = result->last_layer;
 }
 
-/* Compares the state with what is wanted, and acts on the difference. */
-static void plc_follow_up(struct plc *plc, struct plc_engine *engine,
-			  int64_t now)
+/* Compares the state with the target, and queues an order if they differ. */
+static void plc_check_target(struct plc *plc, struct plc_engine *engine,
+			     int64_t now)
 {
-	bool there = engine->holds && plc_same(&engine->held, &engine->want);
+	bool reached = engine->holds &&
+		       plc_range_equal(&engine->held, &engine->target);
 
-	if (!engine->wanted)
+	if (!engine->load_due)
 		return;
-	if (there || now >= engine->load_until_us) {
-		engine->wanted = false;
+	if (reached || now >= engine->load_until_us) {
+		engine->load_due = false;
 		log_event(LOG_PLC_PLACED, "engine=%s layers=%u-%u reached=%d",
-			  engine->name, engine->want.first, engine->want.last,
-			  there);
+			  engine->name, engine->target.first,
+			  engine->target.last, reached);
 		return;
 	}
-	engine->next_read_us = now + PLC_WATCH_US;
-	if (engine->loading || now < engine->quiet_until_us ||
+	engine->next_read_us = now + PLC_LOADING_POLL_US;
+	if (engine->loading || now < engine->no_order_until_us ||
 	    plc->lease != PLC_LEASE_HELD || now >= plc->lease_until_us)
 		return;
-	plc_send(plc, engine, PLC_LOAD, now);
+	plc_queue_order(plc, engine, PLC_LOAD, now);
 }
 
-/* Takes the end of an order. */
+/* Handles the result of an order. */
 static void plc_load_done(struct plc *plc, struct plc_engine *engine,
 			  const struct plc_order_result *result, int64_t now)
 {
-	engine->next_read_us = now + PLC_WATCH_US;
-	engine->quiet_until_us = now + PLC_WATCH_US;
-	if (result->status == PLC_LOST)
-		engine->quiet_until_us = now + PLC_ORDER_US;
+	engine->next_read_us = now + PLC_LOADING_POLL_US;
+	engine->no_order_until_us = now + PLC_LOADING_POLL_US;
+	if (result->status == PLC_NO_ANSWER)
+		engine->no_order_until_us = now + PLC_ORDER_TIMEOUT_US;
 	log_event(LOG_PLC_ORDERED, "engine=%s layers=%u-%u fence=%llu end=%d",
-		  engine->name, engine->want.first, engine->want.last,
+		  engine->name, engine->target.first, engine->target.last,
 		  (unsigned long long)plc->fence, (int)result->status);
-	/* A higher number exists, so another instance holds the lease. */
+	/* Only a later holder of the lease can have a higher number. */
 	if (result->status == PLC_REFUSED && plc->lease == PLC_LEASE_HELD)
-		plc_lease_lost(plc, "an engine knows a higher number", now);
+		plc_lease_lost(
+			plc, "an engine has seen a higher fencing number", now);
 }
--- a/src/req_run.c
+++ b/src/req_run.c
@@ -126,8 +126,8 @@
 		result.first_token_us =
 			req->first_token_us - req->dispatched_us;
 	pick_ended(core->pick, &req->chain, &result, core->now);
-	shr_ran(core->shr, req->account, req->service, &req->chain,
-		result.tokens, req->hop_us);
+	shr_add_attempt(core->shr, req->account, req->service, &req->chain,
+			result.tokens, req->hop_us);
 	req->chain_held = false;
 	if (req->tokens > req->tokens_before_attempt) {
 		/* Only a chain that produced tokens has useful caches. */
@@ -159,7 +159,7 @@
 	    !adm_may_retry(core->adm, req->account, req->service, endpoint,
 			   core->now))
 		return false;
-	shr_retried_at(core->shr, req->account, req->service, endpoint);
+	shr_add_retry(core->shr, req->account, req->service, endpoint);
 	return true;
 }
 
--- a/src/spread.h
+++ b/src/spread.h
@@ -2,10 +2,11 @@
 #define SPREAD_H
 
 /*
- * Records that reach every instance: endpoints that leave, fingerprints in
- * quarantine.  Each instance keeps a log of the newest version of each
- * record; a link carries what the other side hasn't acknowledged yet, so a
- * lost message or a long cut only delays a record.  Deterministic.
+ * Spreads records to every instance: leaving endpoints and quarantined
+ * fingerprints.  Each instance has a log of the newest version of each
+ * record.  A link carries what the peer hasn't acknowledged yet, so a lost
+ * message or a long partition only delays a record.  Deterministic: the caller
+ * passes the time in.
  */
 
 #include <stdbool.h>
@@ -24,19 +25,19 @@
 	SPREAD_E_MEMORY = -3,
 };
 
-/* Where an instance sees itself that an endpoint leaves. */
+/* Where an instance itself learns that an endpoint is leaving. */
 enum spread_source {
-	SPREAD_BY_OWNER = 1, /* the owner of the fleet says so */
-	SPREAD_BY_LIST = 2,  /* the platform's list does */
+	SPREAD_BY_CALLER = 1, /* reported by the fleet's caller */
+	SPREAD_BY_LIST = 2,   /* in the platform's list of endpoints */
 };
 
-/* A record as this instance has it now. */
-struct spread_news {
+/* The present content of a changed record. */
+struct spread_change {
 	enum peer_record_kind kind;
 	char endpoint[MAG_NAME_MAX];
 	bool leaving;
-	uint8_t print[MAG_DIGEST_BYTES];
-	uint32_t lost;
+	uint8_t fingerprint[MAG_DIGEST_BYTES];
+	uint32_t endpoints_lost;
 	int64_t until_us;
 };
 
@@ -46,16 +47,17 @@
 int spread_note_leaving(struct spread *spread, const char *endpoint,
 			enum spread_source source, bool leaving);
 int spread_note_quarantine(struct spread *spread,
-			   const uint8_t print[MAG_DIGEST_BYTES], uint32_t lost,
-			   int64_t until_us, int64_t now);
-int spread_take(struct spread *spread, const struct peer *peer, int link,
-		const struct peer_msg *msg, int64_t now);
-void spread_fill(struct spread *spread, const struct peer *peer, int link,
-		 int64_t now, struct peer_msg *msg);
+			   const uint8_t fingerprint[MAG_DIGEST_BYTES],
+			   uint32_t endpoints_lost, int64_t until_us,
+			   int64_t now);
+int spread_receive(struct spread *spread, const struct peer *peer, int link,
+		   const struct peer_msg *msg, int64_t now);
+void spread_fill_message(struct spread *spread, const struct peer *peer,
+			 int link, int64_t now, struct peer_msg *msg);
 bool spread_pending(const struct spread *spread, const struct peer *peer,
 		    int link);
 void spread_tick(struct spread *spread, const struct peer *peer, int64_t now);
-bool spread_next_news(struct spread *spread, struct spread_news *news);
+bool spread_next_change(struct spread *spread, struct spread_change *change);
 uint32_t spread_count(const struct spread *spread);
 
 #endif /* SPREAD_H */
