--- a/bench/bench_ledger.c
+++ b/bench/bench_ledger.c
@@ -262,7 +262,7 @@
 	while (ldg_next_result(routers[router], &result)) {
 		struct sim_booking *b = &bookings[result.req];
 
-		if (result.verdict == LDG_GO)
+		if (result.verdict == LDG_DISPATCH)
 			b->go_us = sim_now;
 		else
 			b->refused = true;
--- a/regress/check_ldg.c
+++ b/regress/check_ldg.c
@@ -89,7 +89,7 @@
 static int64_t drv_now;
 static FILE *drv_out;
 
-static void drv_drain(int router);
+static void drv_collect_output(int router);
 
 static int drv_router(const char *name)
 {
@@ -118,7 +118,7 @@
 	abort();
 }
 
-static void drv_carry_out(struct drv_call *c)
+static void drv_execute(struct drv_call *c)
 {
 	struct drv_value *v = drv_value(c->call.key);
 
@@ -150,7 +150,7 @@
 }
 
 /* Takes the calls and results that a router left. */
-static void drv_drain(int router)
+static void drv_collect_output(int router)
 {
 	static const char *const names[] = {
 		"go",	"taken-over", "replay",	 "in-progress",
@@ -167,7 +167,7 @@
 			names[res.verdict]);
 		if (res.verdict == LDG_REPLAY)
 			fprintf(drv_out, " %d %s", res.status,
-				res.answer_kept ? res.answer : "(not kept)");
+				res.answer_stored ? res.answer : "(not kept)");
 		if (res.retry_at_us)
 			fprintf(drv_out, " retry at %" PRId64,
 				res.retry_at_us / MAG_US_PER_MS);
@@ -219,13 +219,13 @@
 	case FAULT_NONE:
 		break;
 	}
-	drv_carry_out(c);
+	drv_execute(c);
 	if (c->fault == FAULT_LOSE)
 		c->reply.status = KV_LOST;
 }
 
 /* The sender of a late write hears nothing; the write itself stays. */
-static void drv_lose_late(struct drv_call *c)
+static void drv_lose_late_reply(struct drv_call *c)
 {
 	struct drv_router *r = &routers[c->router];
 	struct kv_reply lost = { .id = c->call.id, .status = KV_LOST };
@@ -243,11 +243,11 @@
 		if (!routers[i].ldg || routers[i].paused)
 			continue;
 		ldg_tick(routers[i].ldg, drv_now);
-		drv_drain(i);
+		drv_collect_output(i);
 	}
 }
 
-static bool drv_ready(const struct drv_call *c)
+static bool drv_is_due(const struct drv_call *c)
 {
 	return c->phase != CALL_FREE && c->at_us <= drv_now &&
 	       !(c->phase != CALL_SENT && routers[c->router].paused);
@@ -262,10 +262,10 @@
 	while (drv_now < end) {
 		drv_now += MAG_US_PER_MS;
 		for (i = 0; i < DRV_CALLS; i++) {
-			if (!drv_ready(&calls[i]))
+			if (!drv_is_due(&calls[i]))
 				continue;
 			if (calls[i].phase == CALL_LATE)
-				drv_lose_late(&calls[i]);
+				drv_lose_late_reply(&calls[i]);
 			else
 				drv_step_call(&calls[i]);
 		}
@@ -284,10 +284,10 @@
 		    calls[i].at_us <= drv_now)
 			drv_finish(&calls[i]);
 	}
-	drv_drain(router);
+	drv_collect_output(router);
 }
 
-static void drv_land(void)
+static void drv_land_late_writes(void)
 {
 	int i;
 
@@ -296,7 +296,7 @@
 
 		if (c->phase != CALL_LATE)
 			continue;
-		drv_carry_out(c);
+		drv_execute(c);
 		fprintf(drv_out, "%5" PRId64 " late write of %s %s\n",
 			drv_now / MAG_US_PER_MS, routers[c->router].name,
 			c->reply.status == KV_OK ? "landed" : "conflicts");
@@ -305,7 +305,7 @@
 	}
 }
 
-static bool drv_has(const char **words, int count, const char *word)
+static bool drv_has_flag(const char **words, int count, const char *word)
 {
 	int i;
 
@@ -337,8 +337,8 @@
 	int i;
 
 	claim.req = strtoull(words[2], NULL, 10);
-	claim.timed = drv_has(words, count, "timed");
-	claim.may_resend = drv_has(words, count, "resend");
+	claim.timed = drv_has_flag(words, count, "timed");
+	claim.may_resend = drv_has_flag(words, count, "resend");
 	claim.window_s =
 		(uint32_t)drv_option(words, count, "window", DRV_WINDOW_S);
 	claim.deadline_us =
@@ -357,7 +357,7 @@
 	if (err)
 		fprintf(drv_out, "%5" PRId64 " %s %s error %d\n",
 			drv_now / MAG_US_PER_MS, words[1], words[2], err);
-	drv_drain(router);
+	drv_collect_output(router);
 }
 
 /* The endpoint runs the work of a request; counts the runs of its key. */
@@ -366,20 +366,20 @@
 	uint64_t req = strtoull(words[2], NULL, 10);
 	int router = drv_router(words[1]);
 	unsigned int total = 0;
-	int mine = -1;
+	int own = -1;
 	int i;
 
 	for (i = 0; claims[i].key[0]; i++) {
 		if (claims[i].router == router && claims[i].req == req)
-			mine = i;
+			own = i;
 	}
-	claims[mine].runs++;
+	claims[own].runs++;
 	for (i = 0; claims[i].key[0]; i++) {
-		if (strcmp(claims[i].key, claims[mine].key) == 0)
+		if (strcmp(claims[i].key, claims[own].key) == 0)
 			total += claims[i].runs;
 	}
 	fprintf(drv_out, "%5" PRId64 " %s %s runs %s, run %u of its key\n",
-		drv_now / MAG_US_PER_MS, words[1], words[2], claims[mine].key,
+		drv_now / MAG_US_PER_MS, words[1], words[2], claims[own].key,
 		total);
 }
 
@@ -421,7 +421,7 @@
 	r->ldg = ldg_new(&set);
 }
 
-static void drv_outcome(const char **words, int count)
+static void drv_end_request(const char **words, int count)
 {
 	struct ldg *ldg = routers[drv_router(words[1])].ldg;
 	uint64_t req = strtoull(words[2], NULL, 10);
@@ -436,7 +436,7 @@
 	} else if (strcmp(words[0], "release") == 0) {
 		err = ldg_release(ldg, req, drv_now);
 	} else {
-		err = ldg_hold(ldg, req, drv_now);
+		err = ldg_mark_ambiguous(ldg, req, drv_now);
 	}
 	if (err)
 		fprintf(drv_out, "%5" PRId64 " %s %s error %d\n",
@@ -494,7 +494,7 @@
 	} else if (strcmp(name, "fault") == 0) {
 		drv_fault(words);
 	} else if (strcmp(name, "land") == 0) {
-		drv_land();
+		drv_land_late_writes();
 	} else if (strcmp(name, "run") == 0) {
 		drv_run(strtoll(words[1], NULL, 10));
 	} else if (strcmp(name, "show") == 0) {
@@ -505,7 +505,7 @@
 	} else if (strcmp(name, "set") == 0) {
 		drv_set(words);
 	} else {
-		drv_outcome(words, count);
+		drv_end_request(words, count);
 	}
 }
 
--- a/src/cnt.h
+++ b/src/cnt.h
@@ -17,14 +17,14 @@
 	CNT_COUNTER(CNT_REQ_UNKNOWN, "requests_unknown_total", "requests answered with outcome unknown") \
 	\
 	/* ldg, in the order of enum ldg_verdict */ \
-	CNT_COUNTER(CNT_LDG_GO, "records_reserved_total", "keyed requests that were reserved") \
+	CNT_COUNTER(CNT_LDG_RESERVED, "records_reserved_total", "keyed requests that were reserved") \
 	CNT_COUNTER(CNT_LDG_TAKEN_OVER, "records_taken_over_total", "keyed requests that took an ambiguous record over") \
 	CNT_COUNTER(CNT_LDG_REPLAY, "records_replayed_total", "keyed requests answered from the record") \
 	CNT_COUNTER(CNT_LDG_IN_PROGRESS, "records_in_progress_total", "keyed requests told that another one is in progress") \
-	CNT_COUNTER(CNT_LDG_HELD, "records_held_total", "keyed requests told that an earlier one may have run") \
+	CNT_COUNTER(CNT_LDG_AMBIGUOUS, "records_held_total", "keyed requests told that an earlier one may have run") \
 	CNT_COUNTER(CNT_LDG_MISMATCH, "records_mismatch_total", "keys that came with another body") \
 	CNT_COUNTER(CNT_LDG_NOT_RUN, "records_not_run_total", "keyed requests refused, proved that nothing ran") \
-	CNT_COUNTER(CNT_LDG_CANNOT_TELL, "records_cannot_tell_total", "keyed requests refused with the records out of reach") \
+	CNT_COUNTER(CNT_LDG_UNKNOWN, "records_cannot_tell_total", "keyed requests refused with the records out of reach") \
 	\
 	/* flow, pick */ \
 	\
--- a/src/ldg.c
+++ b/src/ldg.c
@@ -4,12 +4,13 @@
 #include "ldg_int.h"
 
 static int ldg_check_key(const struct ldg_claim *claim, int64_t *expiry_ms);
-static struct ldg_att *ldg_sent(const struct ldg *ldg, uint64_t req);
-static void ldg_drop_held(struct ldg *ldg, int64_t now);
-static void ldg_expire(struct ldg *ldg, struct ldg_shard *shard, int64_t now);
-static void ldg_call_overdue(struct ldg *ldg, struct ldg_shard *shard,
-			     int64_t now);
-static void ldg_forget(struct ldg *ldg);
+static struct ldg_att *ldg_find_dispatched(const struct ldg *ldg, uint64_t req);
+static void ldg_expire_ambiguous(struct ldg *ldg, int64_t now);
+static void ldg_expire_claims(struct ldg *ldg, struct ldg_shard *shard,
+			      int64_t now);
+static void ldg_expire_call(struct ldg *ldg, struct ldg_shard *shard,
+			    int64_t now);
+static void ldg_evict_idle_shards(struct ldg *ldg);
 
 /* The records of one instance; nothing is read until the first claim. */
 struct ldg *ldg_new(const struct ldg_settings *settings)
@@ -25,7 +26,7 @@
 	ldg->rng = settings->incarnation;
 	ldg->table = calloc(ldg->set.shards, sizeof(struct ldg_shard *));
 	CDS_INIT_LIST_HEAD(&ldg->shards);
-	CDS_INIT_LIST_HEAD(&ldg->held);
+	CDS_INIT_LIST_HEAD(&ldg->ambiguous);
 	CDS_INIT_LIST_HEAD(&ldg->calls);
 	CDS_INIT_LIST_HEAD(&ldg->results);
 	for (i = 0; i < LDG_BUCKETS; i++) {
@@ -64,14 +65,14 @@
 
 /*
  * Asks for the one dispatch of an intent; exactly one result follows for the
- * request, unless it is released or held before.  Returns LDG_E_KEY_OLD or
- * LDG_E_KEY_FORM for a timed key that is refused, LDG_E_FULL if too many
+ * request, unless it is released or held before.  Returns LDG_E_KEY_EXPIRED or
+ * LDG_E_KEY_FORMAT for a timed key that is refused, LDG_E_FULL if too many
  * attempts are in memory here; then no result follows, and this attempt
  * reserved nothing.
  */
 int ldg_reserve(struct ldg *ldg, const struct ldg_claim *claim, int64_t now)
 {
-	const struct ldg_att *live = ldg_att_live(ldg, claim->intent);
+	const struct ldg_att *live = ldg_att_find_active(ldg, claim->intent);
 	int64_t expiry_ms = 0;
 	int err = claim->timed ? ldg_check_key(claim, &expiry_ms) : LDG_OK;
 
@@ -84,11 +85,12 @@
 		bool same = memcmp(live->fingerprint, claim->fingerprint,
 				   MAG_DIGEST_BYTES) == 0;
 
-		ldg_tell(ldg, claim->req, same ? LDG_IN_PROGRESS : LDG_MISMATCH,
-			 NULL, now + LDG_BUSY_RETRY_US);
-	} else if (ldg->down && now < ldg->down_until_us) {
-		ldg_tell(ldg, claim->req, LDG_CANNOT_TELL, NULL,
-			 ldg->down_until_us);
+		ldg_add_result(ldg, claim->req,
+			       same ? LDG_IN_PROGRESS : LDG_MISMATCH, NULL,
+			       now + LDG_BUSY_RETRY_US);
+	} else if (ldg->down && now < ldg->next_probe_us) {
+		ldg_add_result(ldg, claim->req, LDG_UNKNOWN, NULL,
+			       ldg->next_probe_us);
 	} else {
 		ldg_att_new(ldg, claim, expiry_ms, now);
 	}
@@ -103,19 +105,19 @@
 int ldg_settle(struct ldg *ldg, uint64_t req, const struct ldg_outcome *outcome,
 	       int64_t now)
 {
-	struct ldg_att *att = ldg_sent(ldg, req);
+	struct ldg_att *att = ldg_find_dispatched(ldg, req);
 
 	if (!att)
 		return LDG_E_UNKNOWN_ID;
 	att->status = outcome->status;
-	att->answer_kept =
+	att->answer_stored =
 		outcome->answer && outcome->answer_len <= LDG_ANSWER_MAX;
-	if (att->answer_kept) {
+	if (att->answer_stored) {
 		att->answer = calloc(1, outcome->answer_len + 1);
 		memcpy(att->answer, outcome->answer, outcome->answer_len);
 		att->answer_len = outcome->answer_len;
 	}
-	ldg_att_queue(ldg, att, ATT_SETTLING, now + ldg->pace_us);
+	ldg_att_queue(ldg, att, ATT_SETTLING, now + ldg->swap_interval_us);
 	return LDG_OK;
 }
 
@@ -128,10 +130,10 @@
 	struct ldg_att *att = ldg_att_find(ldg, req);
 
 	if (att && att->state == ATT_WAITING) {
-		ldg_att_give_up(ldg, att, now);
+		ldg_att_cancel(ldg, att, now);
 		return LDG_OK;
 	}
-	att = ldg_sent(ldg, req);
+	att = ldg_find_dispatched(ldg, req);
 	if (!att)
 		return LDG_E_UNKNOWN_ID;
 	ldg_att_queue(ldg, att, ATT_RELEASING, now);
@@ -141,15 +143,15 @@
 /*
  * Something may have been sent and the outcome is lost; the caller was told
  * unknown.  A repeat is told so too, or takes over with a downstream key.
- * For LDG_HELD_KEEP_US the end may still be told by settle or release.
+ * For LDG_LATE_OUTCOME_US the end may still be told by settle or release.
  */
-int ldg_hold(struct ldg *ldg, uint64_t req, int64_t now)
+int ldg_mark_ambiguous(struct ldg *ldg, uint64_t req, int64_t now)
 {
 	struct ldg_att *att = ldg_att_find(ldg, req);
 
 	if (!att || att->state != ATT_DISPATCHED)
 		return LDG_E_UNKNOWN_ID;
-	ldg_att_queue(ldg, att, ATT_HOLDING, now);
+	ldg_att_queue(ldg, att, ATT_MARKING_AMBIGUOUS, now);
 	return LDG_OK;
 }
 
@@ -163,14 +165,14 @@
 	struct ldg_shard *next;
 
 	cds_list_for_each_entry_safe (shard, next, &ldg->shards, node) {
-		ldg_expire(ldg, shard, now);
-		ldg_call_overdue(ldg, shard, now);
+		ldg_expire_claims(ldg, shard, now);
+		ldg_expire_call(ldg, shard, now);
 		ldg_shard_advance(ldg, shard, now);
 		if (shard->single && !shard->att_count && !shard->call_id)
 			ldg_shard_free(ldg, shard);
 	}
-	ldg_drop_held(ldg, now);
-	ldg_forget(ldg);
+	ldg_expire_ambiguous(ldg, now);
+	ldg_evict_idle_shards(ldg);
 }
 
 /* Takes the end of a call; one that was given up before is ignored. */
@@ -224,7 +226,7 @@
 	int64_t next = MAG_NEVER;
 
 	cds_list_for_each_entry (shard, &ldg->shards, node) {
-		int64_t wake = ldg_shard_wake(ldg, shard);
+		int64_t wake = ldg_shard_next_deadline(ldg, shard);
 
 		if (wake < next)
 			next = wake;
@@ -236,7 +238,7 @@
  * don't count, their records are written. */
 bool ldg_idle(const struct ldg *ldg)
 {
-	return ldg->att_count == ldg->held_count;
+	return ldg->att_count == ldg->ambiguous_count;
 }
 
 /*
@@ -246,54 +248,55 @@
  */
 static int ldg_check_key(const struct ldg_claim *claim, int64_t *expiry_ms)
 {
-	int64_t mint_ms;
+	int64_t timestamp_ms;
 
-	if (ldg_key_mint_ms(claim->key, &mint_ms) < 0 ||
-	    mint_ms > claim->wall_ms + LDG_SKEW_MS)
-		return LDG_E_KEY_FORM;
-	*expiry_ms = mint_ms + (int64_t)claim->window_s * 1000;
-	return claim->wall_ms > *expiry_ms ? LDG_E_KEY_OLD : LDG_OK;
+	if (ldg_key_timestamp_ms(claim->key, &timestamp_ms) < 0 ||
+	    timestamp_ms > claim->wall_ms + LDG_MAX_SKEW_MS)
+		return LDG_E_KEY_FORMAT;
+	*expiry_ms = timestamp_ms + (int64_t)claim->window_s * 1000;
+	return claim->wall_ms > *expiry_ms ? LDG_E_KEY_EXPIRED : LDG_OK;
 }
 
 /* The attempt of a request whose end may still be told, or NULL. */
-static struct ldg_att *ldg_sent(const struct ldg *ldg, uint64_t req)
+static struct ldg_att *ldg_find_dispatched(const struct ldg *ldg, uint64_t req)
 {
 	struct ldg_att *att = ldg_att_find(ldg, req);
 
 	if (!att)
 		return NULL;
-	if (att->state == ATT_DISPATCHED || att->state == ATT_HOLDING ||
-	    att->state == ATT_HELD)
+	if (att->state == ATT_DISPATCHED ||
+	    att->state == ATT_MARKING_AMBIGUOUS || att->state == ATT_AMBIGUOUS)
 		return att;
 	return NULL;
 }
 
 /* Forgets held attempts whose end didn't come; the record stays as it is. */
-static void ldg_drop_held(struct ldg *ldg, int64_t now)
+static void ldg_expire_ambiguous(struct ldg *ldg, int64_t now)
 {
 	struct ldg_att *att;
 	struct ldg_att *next;
 
-	cds_list_for_each_entry_safe (att, next, &ldg->held, node) {
+	cds_list_for_each_entry_safe (att, next, &ldg->ambiguous, node) {
 		if (att->due_us > now)
 			return;
 		ldg_att_free(ldg, att);
 	}
 }
 
-static void ldg_expire(struct ldg *ldg, struct ldg_shard *shard, int64_t now)
+static void ldg_expire_claims(struct ldg *ldg, struct ldg_shard *shard,
+			      int64_t now)
 {
 	struct ldg_att *att;
 	struct ldg_att *next;
 
-	cds_list_for_each_entry_safe (att, next, &shard->work, node) {
+	cds_list_for_each_entry_safe (att, next, &shard->queue, node) {
 		if (att->state == ATT_WAITING && att->deadline_us <= now)
 			ldg_att_refuse(ldg, att, now);
 	}
 }
 
-static void ldg_call_overdue(struct ldg *ldg, struct ldg_shard *shard,
-			     int64_t now)
+static void ldg_expire_call(struct ldg *ldg, struct ldg_shard *shard,
+			    int64_t now)
 {
 	struct kv_reply lost = { .id = shard->call_id, .status = KV_LOST };
 
@@ -302,7 +305,7 @@
 }
 
 /* Forgets idle shards while more records are in memory than may be. */
-static void ldg_forget(struct ldg *ldg)
+static void ldg_evict_idle_shards(struct ldg *ldg)
 {
 	struct ldg_shard *shard;
 	uint32_t count = 0;
@@ -317,6 +320,6 @@
 		if (ldg_shard_busy(shard) || shard->step != STEP_READY)
 			continue;
 		count -= ldg_shard_count(shard);
-		ldg_shard_forget(shard);
+		ldg_shard_evict(shard);
 	}
 }
--- a/src/ldg.h
+++ b/src/ldg.h
@@ -22,9 +22,9 @@
 
 enum ldg_err {
 	LDG_OK = 0,
-	LDG_E_KEY_OLD = -1,  /* a timed key from before the window */
-	LDG_E_KEY_FORM = -2, /* the route asks for UUIDv7 */
-	LDG_E_FULL = -3,     /* too many reservations wait here */
+	LDG_E_KEY_EXPIRED = -1, /* a timed key from before the window */
+	LDG_E_KEY_FORMAT = -2,	/* the route asks for UUIDv7 */
+	LDG_E_FULL = -3,	/* too many reservations wait here */
 	LDG_E_UNKNOWN_ID = -4,
 };
 
@@ -51,14 +51,14 @@
 };
 
 enum ldg_verdict {
-	LDG_GO,		 /* reserved under this attempt's own nonce */
+	LDG_DISPATCH,	 /* reserved under this attempt's own nonce */
 	LDG_TAKEN_OVER,	 /* may resend with the downstream key */
 	LDG_REPLAY,	 /* settled: here is the stored answer */
 	LDG_IN_PROGRESS, /* another attempt holds it */
-	LDG_HELD,	 /* an ambiguous attempt holds it: unknown */
+	LDG_AMBIGUOUS,	 /* an ambiguous attempt holds it: unknown */
 	LDG_MISMATCH,	 /* the key stands for another body */
 	LDG_NOT_RUN,	 /* service down; proved that nothing ran */
-	LDG_CANNOT_TELL, /* service down; an earlier attempt may have run */
+	LDG_UNKNOWN,	 /* service down; an earlier attempt may have run */
 };
 
 struct ldg_result {
@@ -67,7 +67,7 @@
 	int status; /* LDG_REPLAY: status of the stored answer */
 	char *answer;
 	size_t answer_len;
-	bool answer_kept; /* false: it was too long to keep */
+	bool answer_stored; /* false: it was too long to keep */
 	int64_t retry_at_us;
 };
 
@@ -84,7 +84,7 @@
 int ldg_settle(struct ldg *ldg, uint64_t req, const struct ldg_outcome *outcome,
 	       int64_t now);
 int ldg_release(struct ldg *ldg, uint64_t req, int64_t now);
-int ldg_hold(struct ldg *ldg, uint64_t req, int64_t now);
+int ldg_mark_ambiguous(struct ldg *ldg, uint64_t req, int64_t now);
 
 void ldg_tick(struct ldg *ldg, int64_t now);
 void ldg_reply(struct ldg *ldg, const struct kv_reply *reply, int64_t now);
--- a/src/ldg_att.c
+++ b/src/ldg_att.c
@@ -13,7 +13,7 @@
 {
 	struct ldg_att *att = calloc(1, sizeof(*att));
 
-	att->shard = ldg_shard_of(ldg, claim->intent);
+	att->shard = ldg_shard_get(ldg, claim->intent);
 	att->req = claim->req;
 	memcpy(att->intent, claim->intent, MAG_DIGEST_BYTES);
 	memcpy(att->fingerprint, claim->fingerprint, MAG_DIGEST_BYTES);
@@ -28,7 +28,7 @@
 	att->deadline_us = claim->deadline_us;
 	att->state = ATT_WAITING;
 	att->due_us = now;
-	cds_list_add_tail(&att->node, &att->shard->work);
+	cds_list_add_tail(&att->node, &att->shard->queue);
 	cds_list_add_tail(&att->by_req, &ldg->by_req[att->req % LDG_BUCKETS]);
 	cds_list_add_tail(&att->by_intent,
 			  &ldg->by_intent[att->intent[0] % LDG_BUCKETS]);
@@ -49,7 +49,8 @@
 }
 
 /* The attempt of this instance that waits, or is out, for an intent. */
-const struct ldg_att *ldg_att_live(const struct ldg *ldg, const uint8_t *intent)
+const struct ldg_att *ldg_att_find_active(const struct ldg *ldg,
+					  const uint8_t *intent)
 {
 	const struct ldg_att *att;
 
@@ -66,8 +67,8 @@
 {
 	if (att->state != ATT_DISPATCHED)
 		cds_list_del(&att->node);
-	if (att->state == ATT_HELD)
-		ldg->held_count--;
+	if (att->state == ATT_AMBIGUOUS)
+		ldg->ambiguous_count--;
 	cds_list_del(&att->by_req);
 	cds_list_del(&att->by_intent);
 	att->shard->att_count--;
@@ -83,12 +84,12 @@
 void ldg_att_queue(struct ldg *ldg, struct ldg_att *att,
 		   enum ldg_att_state state, int64_t due_us)
 {
-	if (att->state == ATT_HELD) {
+	if (att->state == ATT_AMBIGUOUS) {
 		cds_list_del(&att->node);
-		ldg->held_count--;
+		ldg->ambiguous_count--;
 	}
-	if (att->state == ATT_HELD || att->state == ATT_DISPATCHED)
-		cds_list_add_tail(&att->node, &att->shard->work);
+	if (att->state == ATT_AMBIGUOUS || att->state == ATT_DISPATCHED)
+		cds_list_add_tail(&att->node, &att->shard->queue);
 	att->state = state;
 	att->due_us = due_us;
 }
@@ -98,32 +99,33 @@
  * unless this instance was paused meanwhile.  Past its deadline the caller
  * may have asked again and been told that nothing ran.
  */
-void ldg_att_go(struct ldg *ldg, struct ldg_att *att, int64_t now)
+void ldg_att_dispatch(struct ldg *ldg, struct ldg_att *att, int64_t now)
 {
-	enum ldg_verdict verdict = att->taken_over ? LDG_TAKEN_OVER : LDG_GO;
+	enum ldg_verdict verdict =
+		att->taken_over ? LDG_TAKEN_OVER : LDG_DISPATCH;
 
-	att->unsure = false;
+	att->swap_unanswered = false;
 	if (att->deadline_us <= now) {
-		ldg_tell(ldg, att->req,
-			 att->taken_over ? LDG_CANNOT_TELL : LDG_NOT_RUN, NULL,
-			 now + LDG_BUSY_RETRY_US);
+		ldg_add_result(ldg, att->req,
+			       att->taken_over ? LDG_UNKNOWN : LDG_NOT_RUN,
+			       NULL, now + LDG_BUSY_RETRY_US);
 		att->state = ATT_RELEASING;
 		att->due_us = now;
 		return;
 	}
 	cds_list_del(&att->node);
 	att->state = ATT_DISPATCHED;
-	ldg_tell(ldg, att->req, verdict, NULL, 0);
+	ldg_add_result(ldg, att->req, verdict, NULL, 0);
 }
 
 /* The record is ambiguous; the attempt's end may still come for a while. */
-void ldg_att_park(struct ldg *ldg, struct ldg_att *att, int64_t now)
+void ldg_att_set_ambiguous(struct ldg *ldg, struct ldg_att *att, int64_t now)
 {
 	cds_list_del(&att->node);
-	att->state = ATT_HELD;
-	att->due_us = now + LDG_HELD_KEEP_US;
-	cds_list_add_tail(&att->node, &ldg->held);
-	ldg->held_count++;
+	att->state = ATT_AMBIGUOUS;
+	att->due_us = now + LDG_LATE_OUTCOME_US;
+	cds_list_add_tail(&att->node, &ldg->ambiguous);
+	ldg->ambiguous_count++;
 }
 
 /*
@@ -132,10 +134,10 @@
  * never sends, and every repeat would be told that it may have run; so it
  * stays here until the segment's version has moved on without it.
  */
-void ldg_att_give_up(struct ldg *ldg, struct ldg_att *att, int64_t now)
+void ldg_att_cancel(struct ldg *ldg, struct ldg_att *att, int64_t now)
 {
-	if (att->unsure || att->in_batch) {
-		att->state = ATT_VOIDING;
+	if (att->swap_unanswered || att->in_batch) {
+		att->state = ATT_CANCELLING;
 		att->due_us = now;
 	} else {
 		ldg_att_free(ldg, att);
@@ -150,35 +152,35 @@
 void ldg_att_refuse(struct ldg *ldg, struct ldg_att *att, int64_t now)
 {
 	const struct ldg_shard *shard = att->shard;
-	enum ldg_verdict verdict = LDG_CANNOT_TELL;
+	enum ldg_verdict verdict = LDG_UNKNOWN;
 	int64_t retry_at_us = now + LDG_BUSY_RETRY_US;
 
-	if (shard->step == STEP_READY && shard->seen_us >= att->arrived_us &&
-	    !att->unsure && !att->in_batch) {
+	if (shard->step == STEP_READY && shard->view_us >= att->arrived_us &&
+	    !att->swap_unanswered && !att->in_batch) {
 		const struct ldg_rec *rec = ldg_shard_find(shard, att->intent);
 
-		if (ldg_judge(ldg, att, rec, now) == LDG_GO)
+		if (ldg_evaluate(ldg, att, rec, now) == LDG_DISPATCH)
 			verdict = LDG_NOT_RUN;
 	}
-	if (ldg->down && ldg->down_until_us > now)
-		retry_at_us = ldg->down_until_us;
-	ldg_tell(ldg, att->req, verdict, NULL, retry_at_us);
-	ldg_att_give_up(ldg, att, now);
+	if (ldg->down && ldg->next_probe_us > now)
+		retry_at_us = ldg->next_probe_us;
+	ldg_add_result(ldg, att->req, verdict, NULL, retry_at_us);
+	ldg_att_cancel(ldg, att, now);
 }
 
 /* Leaves a result; rec is the one that a replay answers from, or NULL. */
-void ldg_tell(struct ldg *ldg, uint64_t req, enum ldg_verdict verdict,
-	      const struct ldg_rec *rec, int64_t retry_at_us)
+void ldg_add_result(struct ldg *ldg, uint64_t req, enum ldg_verdict verdict,
+		    const struct ldg_rec *rec, int64_t retry_at_us)
 {
 	struct ldg_result_node *out = calloc(1, sizeof(*out));
 
-	cnt_add((enum cnt_id)(CNT_LDG_GO + (int)verdict), 1);
+	cnt_add((enum cnt_id)(CNT_LDG_RESERVED + (int)verdict), 1);
 	out->result.req = req;
 	out->result.verdict = verdict;
 	out->result.retry_at_us = retry_at_us;
 	if (verdict == LDG_REPLAY) {
 		out->result.status = rec->status;
-		out->result.answer_kept = rec->answer_kept;
+		out->result.answer_stored = rec->answer_stored;
 		out->result.answer_len = rec->answer_len;
 		if (rec->answer) {
 			out->result.answer = calloc(1, rec->answer_len + 1);
--- a/src/ldg_batch.c
+++ b/src/ldg_batch.c
@@ -8,10 +8,10 @@
 static bool ldg_batch_may_reserve(const struct ldg *ldg,
 				  const struct ldg_shard *shard,
 				  const struct ldg_att *att, int64_t now);
-static bool ldg_batch_is_behind(const struct ldg_shard *shard,
-				const struct ldg_att *att);
-static bool ldg_batch_moved_on(const struct ldg_shard *shard,
-			       const struct ldg_att *att);
+static bool ldg_batch_has_earlier(const struct ldg_shard *shard,
+				  const struct ldg_att *att);
+static bool ldg_batch_superseded(const struct ldg_shard *shard,
+				 const struct ldg_att *att);
 static bool ldg_batch_add(struct ldg *ldg, struct ldg_shard *shard,
 			  struct ldg_att *att, int64_t now);
 
@@ -25,7 +25,7 @@
 	struct ldg_att *next;
 	bool need_read = false;
 
-	cds_list_for_each_entry_safe (att, next, &shard->work, node) {
+	cds_list_for_each_entry_safe (att, next, &shard->queue, node) {
 		if (att->state == ATT_WAITING &&
 		    !ldg_batch_answer_one(ldg, shard, att, now))
 			need_read = true;
@@ -44,7 +44,7 @@
 	uint32_t count = 0;
 	bool write = false;
 
-	cds_list_for_each_entry_safe (att, next, &shard->work, node) {
+	cds_list_for_each_entry_safe (att, next, &shard->queue, node) {
 		if (count == ldg->set.batch_max)
 			break;
 		if (ldg_batch_find(&shard->batch, att->intent))
@@ -54,7 +54,7 @@
 			continue;
 		if (ldg_batch_add(ldg, shard, att, now)) {
 			att->in_batch = true;
-			att->batch_state = att->state;
+			att->batched_state = att->state;
 			write = true;
 			count++;
 		} else {
@@ -77,26 +77,26 @@
 		cds_list_del(&rec->order);
 		ldg_seg_put(seg, rec);
 	}
-	cds_list_for_each_entry_safe (att, next, &shard->work, node) {
+	cds_list_for_each_entry_safe (att, next, &shard->queue, node) {
 		if (!att->in_batch)
 			continue;
 		att->in_batch = false;
-		if (att->state != att->batch_state)
+		if (att->state != att->batched_state)
 			continue; /* given up meanwhile: to be released */
 		if (att->state == ATT_WAITING)
-			ldg_att_go(ldg, att, now);
-		else if (att->state == ATT_HOLDING)
-			ldg_att_park(ldg, att, now);
+			ldg_att_dispatch(ldg, att, now);
+		else if (att->state == ATT_MARKING_AMBIGUOUS)
+			ldg_att_set_ambiguous(ldg, att, now);
 		else
 			ldg_att_free(ldg, att);
 	}
 }
 
 /*
- * The swap didn't land, or nobody knows (unsure): the attempts go into the
+ * The swap didn't land, or nobody knows (unanswered): the attempts go into the
  * next one.
  */
-void ldg_batch_drop(struct ldg_shard *shard, bool unsure)
+void ldg_batch_abort(struct ldg_shard *shard, bool unanswered)
 {
 	const struct ldg_seg *seg = ldg_shard_current(shard);
 	struct ldg_rec *rec;
@@ -107,14 +107,14 @@
 		cds_list_del(&rec->order);
 		ldg_rec_free(rec);
 	}
-	cds_list_for_each_entry (att, &shard->work, node) {
+	cds_list_for_each_entry (att, &shard->queue, node) {
 		if (!att->in_batch)
 			continue;
 		att->in_batch = false;
-		if (unsure && att->batch_state == ATT_WAITING) {
-			att->unsure = true;
-			att->unsure_number = seg->number;
-			att->unsure_version = seg->version;
+		if (unanswered && att->batched_state == ATT_WAITING) {
+			att->swap_unanswered = true;
+			att->unanswered_segment = seg->number;
+			att->unanswered_version = seg->version;
 		}
 	}
 }
@@ -128,23 +128,23 @@
 	int64_t retry_at_us = 0;
 
 	if (ldg_owns(att, rec)) {
-		ldg_att_go(ldg, att, now);
+		ldg_att_dispatch(ldg, att, now);
 		return true;
 	}
-	verdict = ldg_judge(ldg, att, rec, now);
-	if (verdict == LDG_GO || verdict == LDG_TAKEN_OVER)
+	verdict = ldg_evaluate(ldg, att, rec, now);
+	if (verdict == LDG_DISPATCH || verdict == LDG_TAKEN_OVER)
 		return true;
-	if (rec->state != REC_SETTLED && ldg_batch_is_behind(shard, att))
+	if (rec->state != REC_SETTLED && ldg_batch_has_earlier(shard, att))
 		return true;
 	/* A settled record never changes; any other may have, since. */
-	if (rec->state != REC_SETTLED && shard->seen_us < att->arrived_us)
+	if (rec->state != REC_SETTLED && shard->view_us < att->arrived_us)
 		return false;
 	if (verdict == LDG_IN_PROGRESS)
 		retry_at_us = now + LDG_BUSY_RETRY_US;
-	if (verdict == LDG_HELD)
-		retry_at_us = now + LDG_HELD_RETRY_US;
-	ldg_tell(ldg, att->req, verdict, rec, retry_at_us);
-	ldg_att_give_up(ldg, att, now);
+	if (verdict == LDG_AMBIGUOUS)
+		retry_at_us = now + LDG_AMBIGUOUS_RETRY_US;
+	ldg_add_result(ldg, att->req, verdict, rec, retry_at_us);
+	ldg_att_cancel(ldg, att, now);
 	return true;
 }
 
@@ -153,21 +153,21 @@
 				  const struct ldg_att *att, int64_t now)
 {
 	const struct ldg_rec *rec = ldg_shard_find(shard, att->intent);
-	enum ldg_verdict verdict = ldg_judge(ldg, att, rec, now);
+	enum ldg_verdict verdict = ldg_evaluate(ldg, att, rec, now);
 
-	return verdict == LDG_GO || verdict == LDG_TAKEN_OVER;
+	return verdict == LDG_DISPATCH || verdict == LDG_TAKEN_OVER;
 }
 
 /*
  * True if this instance is about to write the end of an earlier attempt on
  * the same intent: a repeat that follows at once hears that end.
  */
-static bool ldg_batch_is_behind(const struct ldg_shard *shard,
-				const struct ldg_att *att)
+static bool ldg_batch_has_earlier(const struct ldg_shard *shard,
+				  const struct ldg_att *att)
 {
 	const struct ldg_att *other;
 
-	cds_list_for_each_entry (other, &shard->work, node) {
+	cds_list_for_each_entry (other, &shard->queue, node) {
 		if (other == att)
 			return false;
 		if (memcmp(other->intent, att->intent, MAG_DIGEST_BYTES) == 0)
@@ -177,14 +177,14 @@
 }
 
 /* True if the unanswered swap of an attempt can't land any more. */
-static bool ldg_batch_moved_on(const struct ldg_shard *shard,
-			       const struct ldg_att *att)
+static bool ldg_batch_superseded(const struct ldg_shard *shard,
+				 const struct ldg_att *att)
 {
 	const struct ldg_seg *seg = ldg_shard_current(shard);
 
-	if (!att->unsure || seg->number > att->unsure_number)
+	if (!att->swap_unanswered || seg->number > att->unanswered_segment)
 		return true;
-	return seg->version > att->unsure_version;
+	return seg->version > att->unanswered_version;
 }
 
 /* Returns false if an attempt has nothing left to write. */
@@ -192,11 +192,12 @@
 			  struct ldg_att *att, int64_t now)
 {
 	const struct ldg_rec *old = ldg_shard_find(shard, att->intent);
-	struct ldg_rec *rec = ldg_apply(ldg, att, old, now);
+	struct ldg_rec *rec = ldg_build_record(ldg, att, old, now);
 
 	if (rec) {
 		cds_list_add_tail(&rec->order, &shard->batch);
 		return true;
 	}
-	return att->state == ATT_VOIDING && !ldg_batch_moved_on(shard, att);
+	return att->state == ATT_CANCELLING &&
+	       !ldg_batch_superseded(shard, att);
 }
--- a/src/ldg_call.c
+++ b/src/ldg_call.c
@@ -19,12 +19,12 @@
 			  int64_t now);
 static void ldg_call_next(struct ldg *ldg, struct ldg_shard *shard,
 			  int64_t now);
-static void ldg_call_empty(struct ldg *ldg, struct ldg_shard *shard,
-			   int64_t now);
+static void ldg_call_empty_segment(struct ldg *ldg, struct ldg_shard *shard,
+				   int64_t now);
 static void ldg_reply_by_target(struct ldg *ldg, struct ldg_shard *shard,
 				const struct kv_reply *reply, int64_t now);
-static void ldg_reply_empty(struct ldg_shard *shard,
-			    const struct kv_reply *reply);
+static void ldg_reply_empty_segment(struct ldg_shard *shard,
+				    const struct kv_reply *reply);
 static void ldg_reply_head(struct ldg_shard *shard,
 			   const struct kv_reply *reply);
 static void ldg_reply_head_swap(struct ldg_shard *shard,
@@ -36,11 +36,11 @@
 static void ldg_shard_next_segment(struct ldg_shard *shard);
 static void ldg_shard_back_off(struct ldg *ldg, struct ldg_shard *shard,
 			       int64_t now);
-static bool ldg_shard_unseen(const struct ldg_shard *shard);
-static void ldg_slow_down(struct ldg *ldg, int64_t now);
-static void ldg_answered(struct ldg *ldg);
-static void ldg_unanswered(struct ldg *ldg, struct ldg_shard *shard,
-			   const struct kv_reply *reply, int64_t now);
+static bool ldg_shard_view_outdated(const struct ldg_shard *shard);
+static void ldg_increase_swap_interval(struct ldg *ldg, int64_t now);
+static void ldg_on_answer(struct ldg *ldg);
+static void ldg_on_no_answer(struct ldg *ldg, struct ldg_shard *shard,
+			     const struct kv_reply *reply, int64_t now);
 
 /* Starts the next call of a shard, if it has work and may. */
 void ldg_shard_advance(struct ldg *ldg, struct ldg_shard *shard, int64_t now)
@@ -68,16 +68,16 @@
 	bool answered = reply->status != KV_UNSENT && reply->status != KV_LOST;
 
 	shard->call_id = 0;
-	ldg->calls_out--;
+	ldg->calls_in_flight--;
 	if (answered)
-		ldg_answered(ldg);
+		ldg_on_answer(ldg);
 	if (reply->status == KV_LIMITED) {
 		ldg_shard_back_off(ldg, shard, now);
-		ldg_slow_down(ldg, now);
+		ldg_increase_swap_interval(ldg, now);
 	}
 	ldg_reply_by_target(ldg, shard, reply, now);
 	if (!answered)
-		ldg_unanswered(ldg, shard, reply, now);
+		ldg_on_no_answer(ldg, shard, reply, now);
 	else if (shard->step == STEP_READY)
 		ldg_batch_answer(ldg, shard, now);
 }
@@ -101,7 +101,7 @@
 			ldg_reply_read(ldg, shard, reply);
 		break;
 	case TARGET_EXPIRED:
-		ldg_reply_empty(shard, reply);
+		ldg_reply_empty_segment(shard, reply);
 		break;
 	}
 }
@@ -114,7 +114,7 @@
 {
 	if (!ldg->down)
 		return true;
-	return now >= ldg->down_until_us && ldg->calls_out == 0;
+	return now >= ldg->next_probe_us && ldg->calls_in_flight == 0;
 }
 
 static void ldg_call_start(struct ldg *ldg, struct ldg_shard *shard,
@@ -125,10 +125,10 @@
 	cds_list_add_tail(&out->node, &ldg->calls);
 	shard->call_id = out->call.id;
 	shard->call_op = out->call.op;
-	shard->call_begun_us = now;
+	shard->call_started_us = now;
 	/* A shell that never answers must not stop the shard for good. */
 	shard->call_deadline_us = now + 2 * ldg->set.call_timeout_us;
-	ldg->calls_out++;
+	ldg->calls_in_flight++;
 }
 
 static void ldg_call_segment(struct ldg *ldg, struct ldg_shard *shard,
@@ -178,8 +178,8 @@
 }
 
 /* Empties a segment that the head no longer counts as live. */
-static void ldg_call_empty(struct ldg *ldg, struct ldg_shard *shard,
-			   int64_t now)
+static void ldg_call_empty_segment(struct ldg *ldg, struct ldg_shard *shard,
+				   int64_t now)
 {
 	const struct ldg_seg *seg =
 		cds_list_first_entry(&shard->expired, struct ldg_seg, node);
@@ -200,23 +200,23 @@
 {
 	bool need_read = ldg_batch_answer(ldg, shard, now);
 
-	if (cds_list_empty(&shard->work)) {
-		if (shard->head_due)
+	if (cds_list_empty(&shard->queue)) {
+		if (shard->head_dirty)
 			ldg_call_head(ldg, shard, KV_CAS, now);
 		else if (!cds_list_empty(&shard->expired))
-			ldg_call_empty(ldg, shard, now);
+			ldg_call_empty_segment(ldg, shard, now);
 		return;
 	}
 	if (!ldg_take_turn(ldg, shard, now) && !need_read)
 		return;
 	/* A swap from an old version costs a write; a read costs less. */
-	if (shard->contended && now - shard->seen_us > LDG_FRESH_US)
+	if (shard->contended && now - shard->view_us > LDG_VIEW_MAX_AGE_US)
 		need_read = true;
 	if (need_read) {
 		shard->step = STEP_STALE;
 		ldg_call_segment(ldg, shard, KV_GET, now);
 	} else {
-		shard->has_turn = false;
+		shard->may_swap = false;
 		if (ldg_batch_build(ldg, shard, now))
 			ldg_call_swap(ldg, shard, now);
 	}
@@ -228,12 +228,12 @@
  */
 static bool ldg_take_turn(struct ldg *ldg, struct ldg_shard *shard, int64_t now)
 {
-	if (shard->has_turn)
+	if (shard->may_swap)
 		return true;
 	if (now < ldg->next_swap_us)
 		return false;
-	shard->has_turn = true;
-	ldg->next_swap_us = now + ldg->pace_us;
+	shard->may_swap = true;
+	ldg->next_swap_us = now + ldg->swap_interval_us;
 	cds_list_del(&shard->node);
 	cds_list_add_tail(&shard->node, &ldg->shards);
 	return true;
@@ -265,7 +265,7 @@
 	if (reply->status == KV_OK)
 		shard->head_version = reply->version;
 	if (reply->status != KV_LIMITED)
-		shard->head_due = false;
+		shard->head_dirty = false;
 }
 
 /*
@@ -280,7 +280,7 @@
 
 	if (reply->status == KV_ABSENT) {
 		shard->step = STEP_READY;
-		shard->seen_us = shard->call_begun_us;
+		shard->view_us = shard->call_started_us;
 		return;
 	}
 	if (reply->status != KV_OK)
@@ -292,7 +292,7 @@
 			log_event(LOG_LDG_BAD_SEGMENT, "shard=%s segment=%u",
 				  shard->name, seg->number);
 			ldg_seg_free(seg);
-			ldg->failures = LDG_FAILURES_DOWN;
+			ldg->consecutive_failures = LDG_DOWN_FAILURES;
 			return;
 		}
 		seg->version = reply->version;
@@ -305,12 +305,12 @@
 		}
 	}
 	shard->step = STEP_READY;
-	shard->seen_us = shard->call_begun_us;
+	shard->view_us = shard->call_started_us;
 }
 
 /* A conflict says that another instance emptied it first. */
-static void ldg_reply_empty(struct ldg_shard *shard,
-			    const struct kv_reply *reply)
+static void ldg_reply_empty_segment(struct ldg_shard *shard,
+				    const struct kv_reply *reply)
 {
 	struct ldg_seg *seg =
 		cds_list_first_entry(&shard->expired, struct ldg_seg, node);
@@ -327,25 +327,25 @@
 	if (reply->status == KV_OK) {
 		ldg_shard_current(shard)->version = reply->version;
 		ldg_batch_commit(ldg, shard, now);
-		shard->seen_us = shard->call_begun_us;
+		shard->view_us = shard->call_started_us;
 		shard->backoff_us = 0;
-		ldg->pace_us -= ldg->pace_us / 8;
+		ldg->swap_interval_us -= ldg->swap_interval_us / 8;
 		if (shard->batch_seals) {
 			ldg_shard_next_segment(shard);
 			ldg_shard_trim(shard, ldg->wall_offset_ms +
 						      now / MAG_US_PER_MS);
-			shard->head_due = true;
+			shard->head_dirty = true;
 		}
 		return;
 	}
-	ldg_batch_drop(shard, reply->status == KV_LOST);
+	ldg_batch_abort(shard, reply->status == KV_LOST);
 	if (reply->status == KV_CONFLICT || reply->status == KV_LOST)
 		shard->step = STEP_STALE;
 	/*
 	 * Reads have a rate of their own, and a view from after the claim is
 	 * what proves that nothing ran.
 	 */
-	if (reply->status == KV_LIMITED && ldg_shard_unseen(shard))
+	if (reply->status == KV_LIMITED && ldg_shard_view_outdated(shard))
 		shard->step = STEP_STALE;
 	if (reply->status == KV_CONFLICT) {
 		shard->contended = true;
@@ -376,13 +376,13 @@
 }
 
 /* True if a claim that waits is younger than the view of the segments. */
-static bool ldg_shard_unseen(const struct ldg_shard *shard)
+static bool ldg_shard_view_outdated(const struct ldg_shard *shard)
 {
 	const struct ldg_att *att;
 
-	cds_list_for_each_entry (att, &shard->work, node) {
+	cds_list_for_each_entry (att, &shard->queue, node) {
 		if (att->state == ATT_WAITING &&
-		    att->arrived_us > shard->seen_us)
+		    att->arrived_us > shard->view_us)
 			return true;
 	}
 	return false;
@@ -392,21 +392,23 @@
  * The service refuses calls for their rate, which all instances share.  Fewer
  * swaps, each with more work in it, get more bookings through than retries.
  */
-static void ldg_slow_down(struct ldg *ldg, int64_t now)
+static void ldg_increase_swap_interval(struct ldg *ldg, int64_t now)
 {
-	ldg->pace_us = ldg->pace_us + ldg->pace_us / 2 + LDG_PACE_US;
-	if (ldg->pace_us > LDG_PACE_MAX_US)
-		ldg->pace_us = LDG_PACE_MAX_US;
-	ldg->next_swap_us = now + ldg->pace_us;
+	ldg->swap_interval_us = ldg->swap_interval_us +
+				ldg->swap_interval_us / 2 +
+				LDG_SWAP_INTERVAL_STEP_US;
+	if (ldg->swap_interval_us > LDG_SWAP_INTERVAL_MAX_US)
+		ldg->swap_interval_us = LDG_SWAP_INTERVAL_MAX_US;
+	ldg->next_swap_us = now + ldg->swap_interval_us;
 }
 
-static void ldg_answered(struct ldg *ldg)
+static void ldg_on_answer(struct ldg *ldg)
 {
 	if (ldg->down)
 		log_event(LOG_LDG_UP, "instance=%s", ldg->set.instance);
 	ldg->down = false;
 	ldg->down_backoff_us = 0;
-	ldg->failures = 0;
+	ldg->consecutive_failures = 0;
 }
 
 /*
@@ -414,22 +416,23 @@
  * call that couldn't be made, mean an outage, and then callers hear at once
  * that the records can't be reached instead of waiting for each call's end.
  */
-static void ldg_unanswered(struct ldg *ldg, struct ldg_shard *shard,
-			   const struct kv_reply *reply, int64_t now)
+static void ldg_on_no_answer(struct ldg *ldg, struct ldg_shard *shard,
+			     const struct kv_reply *reply, int64_t now)
 {
 	struct ldg_shard *other;
 
-	ldg->failures += reply->status == KV_UNSENT ? LDG_FAILURES_DOWN : 1;
-	if (ldg->failures < LDG_FAILURES_DOWN)
+	ldg->consecutive_failures +=
+		reply->status == KV_UNSENT ? LDG_DOWN_FAILURES : 1;
+	if (ldg->consecutive_failures < LDG_DOWN_FAILURES)
 		return;
 	if (!ldg->down)
 		log_event(LOG_LDG_DOWN, "instance=%s", ldg->set.instance);
 	ldg->down = true;
-	ldg->down_backoff_us =
-		ldg->down_backoff_us ? ldg->down_backoff_us * 2 : LDG_DOWN_US;
-	if (ldg->down_backoff_us > LDG_DOWN_MAX_US)
-		ldg->down_backoff_us = LDG_DOWN_MAX_US;
-	ldg->down_until_us = now + ldg->down_backoff_us;
+	ldg->down_backoff_us = ldg->down_backoff_us ? ldg->down_backoff_us * 2
+						    : LDG_DOWN_BACKOFF_US;
+	if (ldg->down_backoff_us > LDG_DOWN_BACKOFF_MAX_US)
+		ldg->down_backoff_us = LDG_DOWN_BACKOFF_MAX_US;
+	ldg->next_probe_us = now + ldg->down_backoff_us;
 	cds_list_for_each_entry (other, &ldg->shards, node) {
 		if (other == shard || !other->call_id)
 			ldg_shard_refuse_waiting(ldg, other, now);
--- a/src/ldg_int.h
+++ b/src/ldg_int.h
@@ -11,23 +11,23 @@
 
 #include "ldg.h"
 
-#define LDG_BUCKETS	   64
-#define LDG_ATTEMPTS_MAX   8192	  /* bounds the memory of this instance */
-#define LDG_RECS_MAX	   100000 /* idle shards are forgotten beyond */
-#define LDG_SKEW_MS	   INT64_C(60000) /* furthest two clocks may differ */
-#define LDG_AMBIGUOUS_KEPT 8 /* windows that an ambiguous record stays */
-#define LDG_HELD_KEEP_US   (60 * MAG_US_PER_S) /* for a late end */
-#define LDG_BACKOFF_US	   (5 * MAG_US_PER_MS)
-#define LDG_BACKOFF_MAX_US (80 * MAG_US_PER_MS)
-#define LDG_PACE_US	   (2 * MAG_US_PER_MS)
-#define LDG_PACE_MAX_US	   (100 * MAG_US_PER_MS)
-#define LDG_DOWN_US	   (100 * MAG_US_PER_MS)
-#define LDG_DOWN_MAX_US	   (250 * MAG_US_PER_MS)
-#define LDG_FAILURES_DOWN  2 /* lost answers in a row that mean an outage */
-#define LDG_FRESH_US	   (2 * MAG_US_PER_MS)
-#define LDG_GRACE_MS	   1000 /* after a dispatcher's deadline */
-#define LDG_BUSY_RETRY_US  MAG_US_PER_S
-#define LDG_HELD_RETRY_US  (5 * MAG_US_PER_S)
+#define LDG_BUCKETS		  64
+#define LDG_ATTEMPTS_MAX	  8192 /* bounds the memory of this instance */
+#define LDG_RECS_MAX		  100000 /* idle shards are forgotten beyond */
+#define LDG_MAX_SKEW_MS		  INT64_C(60000) /* furthest two clocks may differ */
+#define LDG_AMBIGUOUS_WINDOWS	  8 /* windows that an ambiguous record stays */
+#define LDG_LATE_OUTCOME_US	  (60 * MAG_US_PER_S) /* for a late end */
+#define LDG_BACKOFF_US		  (5 * MAG_US_PER_MS)
+#define LDG_BACKOFF_MAX_US	  (80 * MAG_US_PER_MS)
+#define LDG_SWAP_INTERVAL_STEP_US (2 * MAG_US_PER_MS)
+#define LDG_SWAP_INTERVAL_MAX_US  (100 * MAG_US_PER_MS)
+#define LDG_DOWN_BACKOFF_US	  (100 * MAG_US_PER_MS)
+#define LDG_DOWN_BACKOFF_MAX_US	  (250 * MAG_US_PER_MS)
+#define LDG_DOWN_FAILURES	  2 /* lost answers in a row that mean an outage */
+#define LDG_VIEW_MAX_AGE_US	  (2 * MAG_US_PER_MS)
+#define LDG_GRACE_MS		  1000 /* after a dispatcher's deadline */
+#define LDG_BUSY_RETRY_US	  MAG_US_PER_S
+#define LDG_AMBIGUOUS_RETRY_US	  (5 * MAG_US_PER_S)
 
 /* Names the one dispatch that a reservation allows. */
 struct ldg_nonce {
@@ -59,7 +59,7 @@
 	int status;
 	char *answer;
 	size_t answer_len;
-	bool answer_kept;
+	bool answer_stored;
 };
 
 struct ldg_seg {
@@ -77,9 +77,9 @@
 	ATT_DISPATCHED, /* the caller of the module was told to go */
 	ATT_SETTLING,
 	ATT_RELEASING,
-	ATT_HOLDING,
-	ATT_VOIDING, /* given up; a swap of it may yet land */
-	ATT_HELD,    /* ambiguous on record; its end may yet be told */
+	ATT_MARKING_AMBIGUOUS,
+	ATT_CANCELLING, /* given up; a swap of it may yet land */
+	ATT_AMBIGUOUS,	/* ambiguous on record; its end may yet be told */
 };
 
 struct ldg_att {
@@ -92,7 +92,7 @@
 	uint8_t fingerprint[MAG_DIGEST_BYTES];
 	struct ldg_nonce nonce;
 	enum ldg_att_state state;
-	enum ldg_att_state batch_state; /* when it went into the swap */
+	enum ldg_att_state batched_state; /* when it went into the swap */
 	bool in_batch;
 	bool may_resend;
 	bool taken_over;
@@ -102,14 +102,15 @@
 	int64_t wall_offset_ms; /* wall clock less monotonic clock */
 	int64_t arrived_us;
 	int64_t deadline_us;
-	int64_t due_us; /* latest start of the swap that carries it */
-	bool unsure;	/* a swap that holds it went unanswered */
-	uint32_t unsure_number;
-	uint64_t unsure_version; /* that the unanswered swap would replace */
+	int64_t due_us;	      /* latest start of the swap that carries it */
+	bool swap_unanswered; /* a swap that holds it went unanswered */
+	uint32_t unanswered_segment;
+	uint64_t
+		unanswered_version; /* that the unanswered swap would replace */
 	int status;
 	char *answer;
 	size_t answer_len;
-	bool answer_kept;
+	bool answer_stored;
 };
 
 enum ldg_step {
@@ -133,21 +134,21 @@
 	struct cds_list_head segs; /* sealed ones, then the current one */
 	uint32_t first;		   /* the oldest live segment */
 	uint64_t head_version;
-	bool head_due;
+	bool head_dirty;
 	struct cds_list_head expired; /* segments to be emptied */
-	struct cds_list_head work;    /* attempts, oldest first */
+	struct cds_list_head queue;   /* attempts, oldest first */
 	struct cds_list_head batch;   /* records of the swap under way */
 	bool batch_seals;
 	uint64_t call_id; /* 0: none under way */
 	enum kv_op call_op;
 	enum ldg_target call_target;
-	int64_t call_begun_us;
+	int64_t call_started_us;
 	int64_t call_deadline_us;
-	int64_t seen_us; /* the view of the segments is no older */
+	int64_t view_us; /* the view of the segments is no older */
 	int64_t retry_us;
 	int64_t backoff_us;
 	uint32_t att_count;
-	bool has_turn;	/* may swap now; the instance paces its swaps */
+	bool may_swap;	/* may swap now; the instance paces its swaps */
 	bool contended; /* the last cached version was another's */
 };
 
@@ -168,20 +169,22 @@
 	struct cds_list_head by_req[LDG_BUCKETS];
 	struct cds_list_head by_intent[LDG_BUCKETS];
 	size_t att_count;
-	struct cds_list_head held; /* attempts in ATT_HELD, oldest first */
-	size_t held_count;
+	struct cds_list_head
+		ambiguous; /* attempts in ATT_AMBIGUOUS, oldest first */
+	size_t ambiguous_count;
 	struct cds_list_head calls;
 	struct cds_list_head results;
 	uint64_t next_call;
 	uint64_t next_nonce;
 	uint64_t rng;
 	int64_t wall_offset_ms;
-	unsigned int calls_out;
-	int64_t pace_us; /* least time between two swaps of this instance */
+	unsigned int calls_in_flight;
+	int64_t swap_interval_us; /* least time between two swaps of this
+				     instance */
 	int64_t next_swap_us;
-	int failures; /* calls in a row without an answer */
+	int consecutive_failures; /* calls in a row without an answer */
 	bool down;
-	int64_t down_until_us;
+	int64_t next_probe_us;
 	int64_t down_backoff_us;
 };
 
@@ -200,24 +203,24 @@
 /* ldg_json.c */
 int ldg_json_read(struct ldg_seg *seg, const char *text, size_t len);
 char *ldg_json_write(const struct ldg_seg *seg,
-		     const struct cds_list_head *batch, size_t seal_beyond,
+		     const struct cds_list_head *batch, size_t seal_threshold,
 		     bool *seals);
 char *ldg_json_write_empty(void);
 int ldg_json_read_head(const char *text, size_t len, uint32_t *first,
 		       uint32_t *last);
 char *ldg_json_write_head(uint32_t first, uint32_t last);
 
-/* ldg_judge.c */
+/* ldg_evaluate.c */
 bool ldg_owns(const struct ldg_att *att, const struct ldg_rec *rec);
-enum ldg_verdict ldg_judge(const struct ldg *ldg, const struct ldg_att *att,
-			   const struct ldg_rec *rec, int64_t now);
-struct ldg_rec *ldg_apply(const struct ldg *ldg, struct ldg_att *att,
-			  const struct ldg_rec *rec, int64_t now);
+enum ldg_verdict ldg_evaluate(const struct ldg *ldg, const struct ldg_att *att,
+			      const struct ldg_rec *rec, int64_t now);
+struct ldg_rec *ldg_build_record(const struct ldg *ldg, struct ldg_att *att,
+				 const struct ldg_rec *rec, int64_t now);
 
 /* ldg_shard.c */
-struct ldg_shard *ldg_shard_of(struct ldg *ldg, const uint8_t *intent);
+struct ldg_shard *ldg_shard_get(struct ldg *ldg, const uint8_t *intent);
 void ldg_shard_free(struct ldg *ldg, struct ldg_shard *shard);
-void ldg_shard_forget(struct ldg_shard *shard);
+void ldg_shard_evict(struct ldg_shard *shard);
 void ldg_shard_trim(struct ldg_shard *shard, int64_t wall_ms);
 uint32_t ldg_shard_count(const struct ldg_shard *shard);
 struct ldg_seg *ldg_shard_current(const struct ldg_shard *shard);
@@ -225,7 +228,8 @@
 			       const uint8_t *intent);
 bool ldg_shard_busy(const struct ldg_shard *shard);
 bool ldg_shard_due(const struct ldg_shard *shard, int64_t now);
-int64_t ldg_shard_wake(const struct ldg *ldg, const struct ldg_shard *shard);
+int64_t ldg_shard_next_deadline(const struct ldg *ldg,
+				const struct ldg_shard *shard);
 void ldg_shard_refuse_waiting(struct ldg *ldg, struct ldg_shard *shard,
 			      int64_t now);
 
@@ -238,25 +242,25 @@
 bool ldg_batch_answer(struct ldg *ldg, struct ldg_shard *shard, int64_t now);
 bool ldg_batch_build(struct ldg *ldg, struct ldg_shard *shard, int64_t now);
 void ldg_batch_commit(struct ldg *ldg, struct ldg_shard *shard, int64_t now);
-void ldg_batch_drop(struct ldg_shard *shard, bool unsure);
+void ldg_batch_abort(struct ldg_shard *shard, bool unanswered);
 
 /* ldg_att.c */
 struct ldg_att *ldg_att_new(struct ldg *ldg, const struct ldg_claim *claim,
 			    int64_t expiry_ms, int64_t now);
 struct ldg_att *ldg_att_find(const struct ldg *ldg, uint64_t req);
-const struct ldg_att *ldg_att_live(const struct ldg *ldg,
-				   const uint8_t *intent);
+const struct ldg_att *ldg_att_find_active(const struct ldg *ldg,
+					  const uint8_t *intent);
 void ldg_att_free(struct ldg *ldg, struct ldg_att *att);
 void ldg_att_queue(struct ldg *ldg, struct ldg_att *att,
 		   enum ldg_att_state state, int64_t due_us);
-void ldg_att_go(struct ldg *ldg, struct ldg_att *att, int64_t now);
-void ldg_att_park(struct ldg *ldg, struct ldg_att *att, int64_t now);
-void ldg_att_give_up(struct ldg *ldg, struct ldg_att *att, int64_t now);
+void ldg_att_dispatch(struct ldg *ldg, struct ldg_att *att, int64_t now);
+void ldg_att_set_ambiguous(struct ldg *ldg, struct ldg_att *att, int64_t now);
+void ldg_att_cancel(struct ldg *ldg, struct ldg_att *att, int64_t now);
 void ldg_att_refuse(struct ldg *ldg, struct ldg_att *att, int64_t now);
-void ldg_tell(struct ldg *ldg, uint64_t req, enum ldg_verdict verdict,
-	      const struct ldg_rec *rec, int64_t retry_at_us);
+void ldg_add_result(struct ldg *ldg, uint64_t req, enum ldg_verdict verdict,
+		    const struct ldg_rec *rec, int64_t retry_at_us);
 
 /* ldg_key.c */
-int ldg_key_mint_ms(const char *key, int64_t *mint_ms);
+int ldg_key_timestamp_ms(const char *key, int64_t *timestamp_ms);
 
 #endif /* LDG_INT_H */
--- a/src/ldg_json.c
+++ b/src/ldg_json.c
@@ -57,11 +57,11 @@
 
 /*
  * Writes the value that a segment has with the records of a batch in it.
- * The value seals the segment if it is longer than seal_beyond.  The caller
+ * The value seals the segment if it is longer than seal_threshold.  The caller
  * frees it.
  */
 char *ldg_json_write(const struct ldg_seg *seg,
-		     const struct cds_list_head *batch, size_t seal_beyond,
+		     const struct cds_list_head *batch, size_t seal_threshold,
 		     bool *seals)
 {
 	json_t *root = json_object();
@@ -78,7 +78,7 @@
 	json_object_set_new(root, "format", json_integer(LDG_FORMAT));
 	json_object_set_new(root, "records", recs);
 	text = json_dumps(root, JSON_COMPACT);
-	*seals = text && strlen(text) > seal_beyond;
+	*seals = text && strlen(text) > seal_threshold;
 	if (*seals) {
 		free(text);
 		json_object_set_new(root, "sealed", json_true());
@@ -238,7 +238,7 @@
 		return 0;
 	size = strlen(text);
 	rec->answer = calloc(1, size + 1);
-	rec->answer_kept = true;
+	rec->answer_stored = true;
 	return sodium_base642bin((uint8_t *)rec->answer, size, text, size, NULL,
 				 &rec->answer_len, NULL, LDG_BASE64);
 }
--- a/src/ldg_judge.c
+++ b/src/ldg_judge.c
@@ -3,21 +3,23 @@
 
 #include "ldg_int.h"
 
-static enum ldg_verdict ldg_judge_reserved(const struct ldg *ldg,
-					   const struct ldg_att *att,
-					   const struct ldg_rec *rec,
-					   int64_t now);
+static enum ldg_verdict ldg_evaluate_reserved(const struct ldg *ldg,
+					      const struct ldg_att *att,
+					      const struct ldg_rec *rec,
+					      int64_t now);
 static bool ldg_same_nonce(const struct ldg_att *att,
 			   const struct ldg_rec *rec);
 static int64_t ldg_wall_ms(const struct ldg_att *att, int64_t now);
-static struct ldg_rec *ldg_apply_reserve(const struct ldg *ldg,
-					 struct ldg_att *att,
-					 const struct ldg_rec *rec);
-static struct ldg_rec *ldg_apply_settle(const struct ldg_att *att,
-					const struct ldg_rec *rec, int64_t now);
-static struct ldg_rec *ldg_apply_end(const struct ldg_att *att,
-				     const struct ldg_rec *rec,
-				     enum ldg_rec_state state, int64_t now);
+static struct ldg_rec *ldg_build_reserved(const struct ldg *ldg,
+					  struct ldg_att *att,
+					  const struct ldg_rec *rec);
+static struct ldg_rec *ldg_build_settled(const struct ldg_att *att,
+					 const struct ldg_rec *rec,
+					 int64_t now);
+static struct ldg_rec *ldg_build_unsettled(const struct ldg_att *att,
+					   const struct ldg_rec *rec,
+					   enum ldg_rec_state state,
+					   int64_t now);
 static int64_t ldg_expiry_ms(const struct ldg_att *att, int64_t now);
 
 /* Tells whether a record is reserved under the attempt's own nonce. */
@@ -28,47 +30,48 @@
 
 /*
  * What a record of another attempt means for a claim on its intent.
- * LDG_GO and LDG_TAKEN_OVER say that a swap may try to reserve it.
+ * LDG_DISPATCH and LDG_TAKEN_OVER say that a swap may try to reserve it.
  */
-enum ldg_verdict ldg_judge(const struct ldg *ldg, const struct ldg_att *att,
-			   const struct ldg_rec *rec, int64_t now)
+enum ldg_verdict ldg_evaluate(const struct ldg *ldg, const struct ldg_att *att,
+			      const struct ldg_rec *rec, int64_t now)
 {
 	if (!rec || rec->state == REC_RELEASED)
-		return LDG_GO;
+		return LDG_DISPATCH;
 	if (memcmp(rec->fingerprint, att->fingerprint, MAG_DIGEST_BYTES) != 0)
 		return LDG_MISMATCH;
 	if (rec->state == REC_SETTLED)
 		return LDG_REPLAY;
 	if (rec->state == REC_AMBIGUOUS)
-		return att->may_resend ? LDG_TAKEN_OVER : LDG_HELD;
-	return ldg_judge_reserved(ldg, att, rec, now);
+		return att->may_resend ? LDG_TAKEN_OVER : LDG_AMBIGUOUS;
+	return ldg_evaluate_reserved(ldg, att, rec, now);
 }
 
 /*
  * The record that the swap has to hold for an attempt's sake, or NULL if the
  * record that stands, which may be none, is to stay as it is.
  */
-struct ldg_rec *ldg_apply(const struct ldg *ldg, struct ldg_att *att,
-			  const struct ldg_rec *rec, int64_t now)
+struct ldg_rec *ldg_build_record(const struct ldg *ldg, struct ldg_att *att,
+				 const struct ldg_rec *rec, int64_t now)
 {
 	switch (att->state) {
 	case ATT_WAITING:
-		return ldg_apply_reserve(ldg, att, rec);
+		return ldg_build_reserved(ldg, att, rec);
 	case ATT_SETTLING:
-		return ldg_apply_settle(att, rec, now);
+		return ldg_build_settled(att, rec, now);
 	case ATT_RELEASING:
-	case ATT_VOIDING:
+	case ATT_CANCELLING:
 		/*
 		 * After a takeover this attempt sent nothing, but the one
 		 * before it may have: released would let the key run again.
 		 */
 		if (rec && rec->takeovers > 0)
-			return ldg_apply_end(att, rec, REC_AMBIGUOUS, now);
-		return ldg_apply_end(att, rec, REC_RELEASED, now);
-	case ATT_HOLDING:
-		return ldg_apply_end(att, rec, REC_AMBIGUOUS, now);
+			return ldg_build_unsettled(att, rec, REC_AMBIGUOUS,
+						   now);
+		return ldg_build_unsettled(att, rec, REC_RELEASED, now);
+	case ATT_MARKING_AMBIGUOUS:
+		return ldg_build_unsettled(att, rec, REC_AMBIGUOUS, now);
 	case ATT_DISPATCHED:
-	case ATT_HELD:
+	case ATT_AMBIGUOUS:
 		break;
 	}
 	return NULL;
@@ -80,18 +83,18 @@
  * that it sent nothing, so the most that they allow is to ask again under a
  * downstream key.
  */
-static enum ldg_verdict ldg_judge_reserved(const struct ldg *ldg,
-					   const struct ldg_att *att,
-					   const struct ldg_rec *rec,
-					   int64_t now)
+static enum ldg_verdict ldg_evaluate_reserved(const struct ldg *ldg,
+					      const struct ldg_att *att,
+					      const struct ldg_rec *rec,
+					      int64_t now)
 {
 	bool ours = strcmp(rec->instance, ldg->set.instance) == 0;
-	bool gone = ours && rec->nonce.incarnation != ldg->set.incarnation;
-	bool late = ldg_wall_ms(att, now) > rec->deadline_ms + LDG_GRACE_MS;
+	bool restarted = ours && rec->nonce.incarnation != ldg->set.incarnation;
+	bool overdue = ldg_wall_ms(att, now) > rec->deadline_ms + LDG_GRACE_MS;
 
-	if (!gone && !late)
+	if (!restarted && !overdue)
 		return LDG_IN_PROGRESS;
-	return att->may_resend ? LDG_TAKEN_OVER : LDG_HELD;
+	return att->may_resend ? LDG_TAKEN_OVER : LDG_AMBIGUOUS;
 }
 
 static bool ldg_same_nonce(const struct ldg_att *att, const struct ldg_rec *rec)
@@ -105,9 +108,9 @@
 	return att->wall_offset_ms + now / MAG_US_PER_MS;
 }
 
-static struct ldg_rec *ldg_apply_reserve(const struct ldg *ldg,
-					 struct ldg_att *att,
-					 const struct ldg_rec *rec)
+static struct ldg_rec *ldg_build_reserved(const struct ldg *ldg,
+					  struct ldg_att *att,
+					  const struct ldg_rec *rec)
 {
 	struct ldg_rec *new = calloc(1, sizeof(*new));
 
@@ -129,8 +132,8 @@
  * The outcome of work that ran is true under whatever nonce the record
  * stands by now; only an outcome that is already there stays.
  */
-static struct ldg_rec *ldg_apply_settle(const struct ldg_att *att,
-					const struct ldg_rec *rec, int64_t now)
+static struct ldg_rec *ldg_build_settled(const struct ldg_att *att,
+					 const struct ldg_rec *rec, int64_t now)
 {
 	struct ldg_rec *new;
 
@@ -140,8 +143,8 @@
 	new->state = REC_SETTLED;
 	new->expiry_ms = ldg_expiry_ms(att, now);
 	new->status = att->status;
-	new->answer_kept = att->answer_kept;
-	if (att->answer_kept) {
+	new->answer_stored = att->answer_stored;
+	if (att->answer_stored) {
 		new->answer = calloc(1, att->answer_len + 1);
 		memcpy(new->answer, att->answer, att->answer_len);
 		new->answer_len = att->answer_len;
@@ -149,9 +152,10 @@
 	return new;
 }
 
-static struct ldg_rec *ldg_apply_end(const struct ldg_att *att,
-				     const struct ldg_rec *rec,
-				     enum ldg_rec_state state, int64_t now)
+static struct ldg_rec *ldg_build_unsettled(const struct ldg_att *att,
+					   const struct ldg_rec *rec,
+					   enum ldg_rec_state state,
+					   int64_t now)
 {
 	struct ldg_rec *new;
 
--- a/src/ldg_key.c
+++ b/src/ldg_key.c
@@ -5,10 +5,10 @@
 
 #include "ldg_int.h"
 
-#define UUID_LEN	36
-#define UUID_MINT_HEX	12 /* the first 48 bits: milliseconds since 1970 */
-#define UUID_VERSION_AT 14
-#define UUID_VARIANT_AT 19
+#define UUID_LEN	   36
+#define UUID_TIMESTAMP_HEX 12 /* the first 48 bits: milliseconds since 1970 */
+#define UUID_VERSION_AT	   14
+#define UUID_VARIANT_AT	   19
 
 static void ldg_hash_field(crypto_generichash_state *hash, const char *field);
 static int ldg_hex_value(char c);
@@ -47,25 +47,25 @@
 
 /*
  * Reads the time at which a UUIDv7 (RFC 9562) was minted, in milliseconds of
- * wall clock.  Returns LDG_E_KEY_FORM if the key is no UUIDv7.
+ * wall clock.  Returns LDG_E_KEY_FORMAT if the key is no UUIDv7.
  */
-int ldg_key_mint_ms(const char *key, int64_t *mint_ms)
+int ldg_key_timestamp_ms(const char *key, int64_t *timestamp_ms)
 {
-	int64_t mint = 0;
+	int64_t timestamp = 0;
 	int i;
 
 	if (strlen(key) != UUID_LEN || key[UUID_VERSION_AT] != '7' ||
 	    !strchr("89abAB", key[UUID_VARIANT_AT]))
-		return LDG_E_KEY_FORM;
+		return LDG_E_KEY_FORMAT;
 	for (i = 0; i < UUID_LEN; i++) {
 		bool dash = i == 8 || i == 13 || i == 18 || i == 23;
 
 		if (dash ? key[i] != '-' : !isxdigit((unsigned char)key[i]))
-			return LDG_E_KEY_FORM;
-		if (!dash && i <= UUID_MINT_HEX)
-			mint = mint * 16 + ldg_hex_value(key[i]);
+			return LDG_E_KEY_FORMAT;
+		if (!dash && i <= UUID_TIMESTAMP_HEX)
+			timestamp = timestamp * 16 + ldg_hex_value(key[i]);
 	}
-	*mint_ms = mint;
+	*timestamp_ms = timestamp;
 	return LDG_OK;
 }
 
--- a/src/ldg_seg.c
+++ b/src/ldg_seg.c
@@ -76,10 +76,10 @@
  */
 bool ldg_rec_droppable(const struct ldg_rec *rec, int64_t wall_ms)
 {
-	int64_t last_ms = rec->expiry_ms + 2 * LDG_SKEW_MS;
+	int64_t last_ms = rec->expiry_ms + 2 * LDG_MAX_SKEW_MS;
 
 	if (!rec->timed && rec->state <= REC_AMBIGUOUS)
-		last_ms += (LDG_AMBIGUOUS_KEPT - 1) * rec->window_ms;
+		last_ms += (LDG_AMBIGUOUS_WINDOWS - 1) * rec->window_ms;
 	return wall_ms > last_ms;
 }
 
--- a/src/ldg_shard.c
+++ b/src/ldg_shard.c
@@ -9,12 +9,12 @@
 static struct ldg_shard *ldg_shard_new(struct ldg *ldg, const char *name);
 static struct ldg_shard *ldg_shard_single(struct ldg *ldg,
 					  const uint8_t *intent);
-static bool ldg_shard_expires(const struct ldg_shard *shard);
+static bool ldg_shard_has_expired(const struct ldg_shard *shard);
 static void ldg_segs_free(struct cds_list_head *segs);
-static int64_t ldg_earlier(int64_t a, int64_t b);
+static int64_t ldg_min(int64_t a, int64_t b);
 
 /* The shard that keeps an intent; every instance finds the same one. */
-struct ldg_shard *ldg_shard_of(struct ldg *ldg, const uint8_t *intent)
+struct ldg_shard *ldg_shard_get(struct ldg *ldg, const uint8_t *intent)
 {
 	uint32_t number = ((uint32_t)intent[0] << 24 | intent[1] << 16 |
 			   intent[2] << 8 | intent[3]) %
@@ -35,11 +35,11 @@
 	struct ldg_seg *seg;
 	struct ldg_seg *next;
 
-	ldg_batch_drop(shard, false);
+	ldg_batch_abort(shard, false);
 	cds_list_for_each_entry_safe (seg, next, &shard->segs, node)
 		ldg_seg_free(seg);
 	if (shard->call_id)
-		ldg->calls_out--;
+		ldg->calls_in_flight--;
 	cds_list_del(&shard->node);
 	free(shard);
 }
@@ -48,14 +48,14 @@
  * Forgets what was read of an idle shard, so that memory stays bounded; the
  * next claim reads it again.
  */
-void ldg_shard_forget(struct ldg_shard *shard)
+void ldg_shard_evict(struct ldg_shard *shard)
 {
 	ldg_segs_free(&shard->segs);
 	cds_list_add_tail(&ldg_seg_new(0)->node, &shard->segs);
 	shard->step = STEP_COLD;
 	shard->first = 0;
 	shard->head_version = 0;
-	shard->seen_us = INT64_MIN;
+	shard->view_us = INT64_MIN;
 }
 
 /*
@@ -95,8 +95,8 @@
 /* Tells whether a shard has attempts, calls or writes of its own to do. */
 bool ldg_shard_busy(const struct ldg_shard *shard)
 {
-	return shard->att_count > 0 || shard->call_id || shard->head_due ||
-	       ldg_shard_expires(shard);
+	return shard->att_count > 0 || shard->call_id || shard->head_dirty ||
+	       ldg_shard_has_expired(shard);
 }
 
 /* The segment that takes reservations, as far as this instance knows. */
@@ -126,9 +126,9 @@
 {
 	const struct ldg_att *att;
 
-	if (shard->head_due || ldg_shard_expires(shard))
+	if (shard->head_dirty || ldg_shard_has_expired(shard))
 		return true;
-	cds_list_for_each_entry (att, &shard->work, node) {
+	cds_list_for_each_entry (att, &shard->queue, node) {
 		if (att->due_us <= now)
 			return true;
 	}
@@ -136,30 +136,31 @@
 }
 
 /* When a shard needs a tick next; MAG_NEVER if a reply has to come first. */
-int64_t ldg_shard_wake(const struct ldg *ldg, const struct ldg_shard *shard)
+int64_t ldg_shard_next_deadline(const struct ldg *ldg,
+				const struct ldg_shard *shard)
 {
 	const struct ldg_att *att;
-	bool tidy = shard->head_due || ldg_shard_expires(shard);
-	int64_t due = tidy ? 0 : MAG_NEVER;
+	bool cleanup = shard->head_dirty || ldg_shard_has_expired(shard);
+	int64_t due = cleanup ? 0 : MAG_NEVER;
 	int64_t wake = MAG_NEVER;
 
-	cds_list_for_each_entry (att, &shard->work, node) {
-		due = ldg_earlier(due, att->due_us);
+	cds_list_for_each_entry (att, &shard->queue, node) {
+		due = ldg_min(due, att->due_us);
 		if (att->state == ATT_WAITING)
-			wake = ldg_earlier(wake, att->deadline_us);
+			wake = ldg_min(wake, att->deadline_us);
 	}
 	if (shard->call_id)
-		return ldg_earlier(wake, shard->call_deadline_us);
-	if (due == MAG_NEVER || (ldg->down && ldg->calls_out > 0))
+		return ldg_min(wake, shard->call_deadline_us);
+	if (due == MAG_NEVER || (ldg->down && ldg->calls_in_flight > 0))
 		return wake;
 	if (due < shard->retry_us)
 		due = shard->retry_us;
 	if (due < ldg->next_swap_us && shard->step == STEP_READY &&
-	    !shard->has_turn)
+	    !shard->may_swap)
 		due = ldg->next_swap_us;
-	if (ldg->down && due < ldg->down_until_us)
-		due = ldg->down_until_us;
-	return ldg_earlier(wake, due);
+	if (ldg->down && due < ldg->next_probe_us)
+		due = ldg->next_probe_us;
+	return ldg_min(wake, due);
 }
 
 /* The service is out: whoever waits hears so at once. */
@@ -169,7 +170,7 @@
 	struct ldg_att *att;
 	struct ldg_att *next;
 
-	cds_list_for_each_entry_safe (att, next, &shard->work, node) {
+	cds_list_for_each_entry_safe (att, next, &shard->queue, node) {
 		if (att->state == ATT_WAITING)
 			ldg_att_refuse(ldg, att, now);
 	}
@@ -182,10 +183,10 @@
 	snprintf(shard->name, sizeof(shard->name), "%s", name);
 	CDS_INIT_LIST_HEAD(&shard->segs);
 	CDS_INIT_LIST_HEAD(&shard->expired);
-	CDS_INIT_LIST_HEAD(&shard->work);
+	CDS_INIT_LIST_HEAD(&shard->queue);
 	CDS_INIT_LIST_HEAD(&shard->batch);
 	cds_list_add_tail(&ldg_seg_new(0)->node, &shard->segs);
-	shard->seen_us = INT64_MIN;
+	shard->view_us = INT64_MIN;
 	cds_list_add_tail(&shard->node, &ldg->shards);
 	return shard;
 }
@@ -211,7 +212,7 @@
 	return shard;
 }
 
-static bool ldg_shard_expires(const struct ldg_shard *shard)
+static bool ldg_shard_has_expired(const struct ldg_shard *shard)
 {
 	return shard->expired.next != &shard->expired;
 }
@@ -227,7 +228,7 @@
 	}
 }
 
-static int64_t ldg_earlier(int64_t a, int64_t b)
+static int64_t ldg_min(int64_t a, int64_t b)
 {
 	return a < b ? a : b;
 }
--- a/src/req.c
+++ b/src/req.c
@@ -259,7 +259,7 @@
 	case LDG_TAKEN_OVER:
 		req->taken_over = true;
 		/* fall through */
-	case LDG_GO:
+	case LDG_DISPATCH:
 		req->reserved = true;
 		dispatch_held(core, req);
 		return;
@@ -269,7 +269,7 @@
 	case LDG_IN_PROGRESS:
 		req_refuse(core, req, 409, MAG_UNKNOWN, 1, "in progress");
 		break;
-	case LDG_HELD:
+	case LDG_AMBIGUOUS:
 		req_refuse(core, req, 409, MAG_UNKNOWN, 0,
 			   "an earlier attempt may have run");
 		break;
@@ -281,7 +281,7 @@
 		req_refuse(core, req, 503, MAG_NOT_RUN,
 			   req_retry_after(core, req), "records unreachable");
 		break;
-	case LDG_CANNOT_TELL:
+	case LDG_UNKNOWN:
 		req_refuse(core, req, 503, MAG_UNKNOWN,
 			   req_retry_after(core, req), "records unreachable");
 		break;
@@ -420,7 +420,7 @@
 	req_refuse(core, req, 504, req_outcome(req), req_retry_after(core, req),
 		   why);
 	if (req->reserved)
-		ldg_hold(core->ldg, req->arrival.req, core->now);
+		ldg_mark_ambiguous(core->ldg, req->arrival.req, core->now);
 	else
 		req_cancel(core, req, false);
 	req->deadline_us = core->now + REQ_SETTLE_GRACE_US;
@@ -478,10 +478,10 @@
 {
 	const struct ldg_result *result = data;
 
-	if (result->verdict == LDG_GO)
+	if (result->verdict == LDG_DISPATCH)
 		ldg_release(core->ldg, req->arrival.req, core->now);
 	else if (result->verdict == LDG_TAKEN_OVER)
-		ldg_hold(core->ldg, req->arrival.req, core->now);
+		ldg_mark_ambiguous(core->ldg, req->arrival.req, core->now);
 	adm_done(core->adm, req->arrival.req, 0, core->now);
 	core_req_free(core, req);
 }
--- a/src/req_answer.c
+++ b/src/req_answer.c
@@ -103,7 +103,7 @@
 	replay->body = result->answer;
 	replay->body_len = result->answer_len;
 	result->answer = NULL;
-	if (!result->answer_kept)
+	if (!result->answer_stored)
 		mag_copy_name(replay->why, sizeof(replay->why),
 			      "it ran; its answer was too long to keep");
 	log_done(core, req, true);
--- a/src/req_arrive.c
+++ b/src/req_arrive.c
@@ -181,10 +181,10 @@
 	rc = ldg_reserve(core->ldg, &claim, core->now);
 	if (rc == LDG_OK)
 		return;
-	if (rc == LDG_E_KEY_OLD || rc == LDG_E_KEY_FORM)
+	if (rc == LDG_E_KEY_EXPIRED || rc == LDG_E_KEY_FORMAT)
 		req_refuse(core, req, 400, req_outcome(req), 0,
-			   rc == LDG_E_KEY_OLD ? "the key is too old"
-					       : "the key is not a UUIDv7");
+			   rc == LDG_E_KEY_EXPIRED ? "the key is too old"
+						   : "the key is not a UUIDv7");
 	else
 		req_refuse(core, req, 503, req_outcome(req),
 			   req_retry_after(core, req),
--- a/src/req_end.c
+++ b/src/req_end.c
@@ -217,7 +217,7 @@
 	if (!req->reserved)
 		return;
 	if (req->may_have_run || req->taken_over)
-		ldg_hold(core->ldg, req->arrival.req, core->now);
+		ldg_mark_ambiguous(core->ldg, req->arrival.req, core->now);
 	else
 		ldg_release(core->ldg, req->arrival.req, core->now);
 }
