--- a/src/ldg.c
+++ b/src/ldg.c
@@ -12,7 +12,7 @@
 			    int64_t now);
 static void ldg_evict_idle_shards(struct ldg *ldg);
 
-/* The records of one instance; nothing is read until the first claim. */
+/* Creates the ledger of an instance.  It reads nothing before a claim. */
 struct ldg *ldg_new(const struct ldg_settings *settings)
 {
 	struct ldg *ldg = calloc(1, sizeof(*ldg));
@@ -64,11 +64,11 @@
 }
 
 /*
- * Asks for the one dispatch of an intent; exactly one result follows for the
- * request, unless it is released or held before.  Returns LDG_E_KEY_EXPIRED or
- * LDG_E_KEY_FORMAT for a timed key that is refused, LDG_E_FULL if too many
- * attempts are in memory here; then no result follows, and this attempt
- * reserved nothing.
+ * Requests the one dispatch of an intent.  Exactly one result follows for the
+ * request unless it is released before.  Returns LDG_E_KEY_EXPIRED or
+ * LDG_E_KEY_FORMAT if a timed key is refused, and LDG_E_FULL if this instance
+ * has too many attempts in memory.  After an error no result follows and
+ * nothing is reserved.
  */
 int ldg_reserve(struct ldg *ldg, const struct ldg_claim *claim, int64_t now)
 {
@@ -98,9 +98,9 @@
 }
 
 /*
- * The work ran and this is its outcome, for every repeat of the key.  The
- * record is written a little later while the service limits writes, to share
- * a swap; no result follows.
+ * Records the outcome of a request that ran; every repeat of the key gets it.
+ * While the key-value service limits writes, the record is written one swap
+ * interval later so that it shares a swap with others.  No result follows.
  */
 int ldg_settle(struct ldg *ldg, uint64_t req, const struct ldg_outcome *outcome,
 	       int64_t now)
@@ -122,8 +122,8 @@
 }
 
 /*
- * Nothing was sent for this request and nothing will be: the key is free
- * again.  Also takes back a claim that still waits; then no result follows.
+ * Frees the key of a request for which nothing was sent and nothing will be.
+ * Also cancels a claim that still waits; then no result follows.
  */
 int ldg_release(struct ldg *ldg, uint64_t req, int64_t now)
 {
@@ -141,9 +141,10 @@
 }
 
 /*
- * Something may have been sent and the outcome is lost; the caller was told
- * unknown.  A repeat is told so too, or takes over with a downstream key.
- * For LDG_LATE_OUTCOME_US the end may still be told by settle or release.
+ * Marks a request ambiguous: it may have been sent, its outcome is not known,
+ * and the caller was answered "unknown".  A repeat gets the same answer, or
+ * takes the record over with a downstream key.  For LDG_LATE_OUTCOME_US the
+ * request may still be ended by ldg_settle or ldg_release.
  */
 int ldg_mark_ambiguous(struct ldg *ldg, uint64_t req, int64_t now)
 {
@@ -156,8 +157,8 @@
 }
 
 /*
- * Runs what is due: claims past their deadline are answered, overdue calls
- * count as lost, and each shard with work starts its next call.
+ * Answers claims past their deadline, treats overdue calls as lost, and starts
+ * the next call of each shard that has something due.
  */
 void ldg_tick(struct ldg *ldg, int64_t now)
 {
@@ -175,7 +176,7 @@
 	ldg_evict_idle_shards(ldg);
 }
 
-/* Takes the end of a call; one that was given up before is ignored. */
+/* Handles the reply to a call.  A reply to an expired call is ignored. */
 void ldg_reply(struct ldg *ldg, const struct kv_reply *reply, int64_t now)
 {
 	struct ldg_shard *shard;
@@ -188,7 +189,7 @@
 	}
 }
 
-/* Takes the next call to carry out; the taker frees its value. */
+/* Removes the next call to carry out.  The caller frees call->value. */
 bool ldg_next_call(struct ldg *ldg, struct kv_call *call)
 {
 	struct ldg_call_node *out;
@@ -202,7 +203,7 @@
 	return true;
 }
 
-/* Takes the next result; the taker frees its answer. */
+/* Removes the next result.  The caller frees result->answer. */
 bool ldg_next_result(struct ldg *ldg, struct ldg_result *result)
 {
 	struct ldg_result_node *out;
@@ -217,8 +218,8 @@
 }
 
 /*
- * When ldg_tick is needed next.  A time that has passed means at once; each
- * of the calls above may bring it forward.
+ * Returns the time at which ldg_tick must be called next; a time in the past
+ * means at once.  Each of the functions above may move it earlier.
  */
 int64_t ldg_next_deadline(const struct ldg *ldg)
 {
@@ -234,17 +235,20 @@
 	return next;
 }
 
-/* True if no attempt is out and no outcome waits to be written; held ones
- * don't count, their records are written. */
+/*
+ * Tells that no attempt is waiting or dispatched and that all outcomes are
+ * written.  Ambiguous attempts don't count, as their records are written.
+ */
 bool ldg_idle(const struct ldg *ldg)
 {
 	return ldg->att_count == ldg->ambiguous_count;
 }
 
 /*
- * A key from before the window may have run and been forgotten; one that
- * claims to come from the future would be kept for too short a time, as this
- * clock or the caller's is wrong by more than the bound.
+ * Checks a timed key.  A key older than its window is refused: it may have run
+ * and its record may be gone.  A key from the future is refused as this clock
+ * or the caller's is wrong by more than LDG_MAX_SKEW_MS, and the record would
+ * be retained for too short a time.
  */
 static int ldg_check_key(const struct ldg_claim *claim, int64_t *expiry_ms)
 {
@@ -257,7 +261,7 @@
 	return claim->wall_ms > *expiry_ms ? LDG_E_KEY_EXPIRED : LDG_OK;
 }
 
-/* The attempt of a request whose end may still be told, or NULL. */
+/* Finds the attempt of a request that may still be ended, or NULL. */
 static struct ldg_att *ldg_find_dispatched(const struct ldg *ldg, uint64_t req)
 {
 	struct ldg_att *att = ldg_att_find(ldg, req);
@@ -270,7 +274,7 @@
 	return NULL;
 }
 
-/* Forgets held attempts whose end didn't come; the record stays as it is. */
+/* Frees ambiguous attempts that were not ended; the record stays as it is. */
 static void ldg_expire_ambiguous(struct ldg *ldg, int64_t now)
 {
 	struct ldg_att *att;
@@ -304,7 +308,7 @@
 		ldg_shard_reply(ldg, shard, &lost, now);
 }
 
-/* Forgets idle shards while more records are in memory than may be. */
+/* Evicts idle shards while more than LDG_RECS_MAX records are in memory. */
 static void ldg_evict_idle_shards(struct ldg *ldg)
 {
 	struct ldg_shard *shard;
--- a/src/ldg.h
+++ b/src/ldg.h
@@ -2,11 +2,11 @@
 #define LDG_H
 
 /*
- * Records of non-idempotent requests.  The record of an intent is appended
- * by compare-and-swap to a segment in the platform's service before the
- * first byte goes to an endpoint; the swap alone decides who dispatches.
- * The module is deterministic: it leaves calls and results, and takes
- * replies and the time.
+ * Records of non-idempotent requests.  Before the first byte of a request
+ * goes to an endpoint, the record of its intent is written by compare-and-swap
+ * to a segment in the platform's key-value service.  The swap alone decides
+ * which attempt dispatches.  The module is deterministic: the caller passes in
+ * replies and the time, and collects calls to carry out and results.
  */
 
 #include <stdbool.h>
@@ -15,50 +15,50 @@
 #include "kv.h"
 #include "mag.h"
 
-#define LDG_ANSWER_MAX 4096 /* longest answer that a record keeps */
+#define LDG_ANSWER_MAX 4096 /* longest answer stored in a record */
 #define LDG_KEY_MAX    256
 
 struct ldg;
 
 enum ldg_err {
 	LDG_OK = 0,
-	LDG_E_KEY_EXPIRED = -1, /* a timed key from before the window */
-	LDG_E_KEY_FORMAT = -2,	/* the route asks for UUIDv7 */
-	LDG_E_FULL = -3,	/* too many reservations wait here */
+	LDG_E_KEY_EXPIRED = -1, /* timed key older than its window */
+	LDG_E_KEY_FORMAT = -2,	/* timed key: no UUIDv7, or from the future */
+	LDG_E_FULL = -3,	/* too many attempts in memory */
 	LDG_E_UNKNOWN_ID = -4,
 };
 
 struct ldg_settings {
 	char instance[MAG_NAME_MAX];
-	uint64_t incarnation; /* drawn at random at start */
+	uint64_t incarnation; /* random number drawn at start */
 	uint32_t shards;
-	uint32_t segment_bytes;	 /* a segment is sealed beyond this */
-	int64_t call_timeout_us; /* of one call to the service */
-	uint32_t batch_max;	 /* reservations in one swap */
-	bool one_record_each;	 /* the baseline: no batches */
+	uint32_t segment_bytes;	 /* size beyond which it is sealed */
+	int64_t call_timeout_us; /* of one key-value call */
+	uint32_t batch_max;	 /* most records that one swap writes */
+	bool one_record_each;	 /* baseline for comparison: no batches */
 };
 
 struct ldg_claim {
 	uint64_t req;
-	uint8_t intent[MAG_DIGEST_BYTES];      /* account, route, key */
+	uint8_t intent[MAG_DIGEST_BYTES]; /* digest of account, route, key */
 	uint8_t fingerprint[MAG_DIGEST_BYTES]; /* of the body */
-	const char *key;		       /* as the caller sent it */
-	bool timed;
+	const char *key;		       /* as sent by the caller */
+	bool timed;			       /* the key must be a UUIDv7 */
 	uint32_t window_s;
-	bool may_resend; /* the service runs a downstream key once */
+	bool may_resend; /* the service runs each downstream key once */
 	int64_t deadline_us;
-	int64_t wall_ms; /* wall clock at arrival, for timed keys */
+	int64_t wall_ms; /* wall clock at arrival; timed keys need it */
 };
 
 enum ldg_verdict {
-	LDG_DISPATCH,	 /* reserved under this attempt's own nonce */
+	LDG_DISPATCH,	 /* reserved under this attempt's own nonce; send */
 	LDG_TAKEN_OVER,	 /* may resend with the downstream key */
-	LDG_REPLAY,	 /* settled: here is the stored answer */
-	LDG_IN_PROGRESS, /* another attempt holds it */
-	LDG_AMBIGUOUS,	 /* an ambiguous attempt holds it: unknown */
-	LDG_MISMATCH,	 /* the key stands for another body */
-	LDG_NOT_RUN,	 /* service down; proved that nothing ran */
-	LDG_UNKNOWN,	 /* service down; an earlier attempt may have run */
+	LDG_REPLAY,	 /* settled; the result has the stored answer */
+	LDG_IN_PROGRESS, /* another attempt has reserved the key */
+	LDG_AMBIGUOUS,	 /* the outcome of an earlier attempt is unknown */
+	LDG_MISMATCH,	 /* the key was used with another body */
+	LDG_NOT_RUN,	 /* no reservation, and proved that nothing ran */
+	LDG_UNKNOWN,	 /* no reservation; an earlier attempt may have run */
 };
 
 struct ldg_result {
@@ -67,7 +67,7 @@
 	int status; /* LDG_REPLAY: status of the stored answer */
 	char *answer;
 	size_t answer_len;
-	bool answer_stored; /* false: it was too long to keep */
+	bool answer_stored; /* false: the answer was too long to store */
 	int64_t retry_at_us;
 };
 
--- a/src/ldg_att.c
+++ b/src/ldg_att.c
@@ -5,8 +5,8 @@
 #include "ldg_int.h"
 
 /*
- * Enters a claim as an attempt that waits for its reservation.  expiry_ms
- * counts for timed keys only.
+ * Creates an attempt that waits for its reservation.  expiry_ms is used for
+ * timed keys only.
  */
 struct ldg_att *ldg_att_new(struct ldg *ldg, const struct ldg_claim *claim,
 			    int64_t expiry_ms, int64_t now)
@@ -48,7 +48,7 @@
 	return NULL;
 }
 
-/* The attempt of this instance that waits, or is out, for an intent. */
+/* Finds the attempt of this instance that is waiting or dispatched. */
 const struct ldg_att *ldg_att_find_active(const struct ldg *ldg,
 					  const uint8_t *intent)
 {
@@ -78,8 +78,9 @@
 }
 
 /*
- * Gives an attempt its last change of the record.  One that is in a swap
- * already goes into the next one too, as its state differs then.
+ * Queues the last change that an attempt makes to its record.  If the attempt
+ * is in a swap in flight, it goes into the next swap too, as ldg_batch_commit
+ * sees that its state has changed.
  */
 void ldg_att_queue(struct ldg *ldg, struct ldg_att *att,
 		   enum ldg_att_state state, int64_t due_us)
@@ -95,9 +96,9 @@
 }
 
 /*
- * A version of the segment holds the attempt's own nonce: it may send,
- * unless this instance was paused meanwhile.  Past its deadline the caller
- * may have asked again and been told that nothing ran.
+ * Allows an attempt to send, as its own nonce is in the segment.  It may not
+ * send past its deadline, for instance after this process was paused: the
+ * caller may have repeated the request and been told that nothing ran.
  */
 void ldg_att_dispatch(struct ldg *ldg, struct ldg_att *att, int64_t now)
 {
@@ -118,7 +119,7 @@
 	ldg_add_result(ldg, att->req, verdict, NULL, 0);
 }
 
-/* The record is ambiguous; the attempt's end may still come for a while. */
+/* Retains an attempt with an ambiguous record in case its outcome arrives. */
 void ldg_att_set_ambiguous(struct ldg *ldg, struct ldg_att *att, int64_t now)
 {
 	cds_list_del(&att->node);
@@ -129,10 +130,11 @@
 }
 
 /*
- * Nobody waits for the reservation any more.  If a swap that holds it may
- * have landed or may still land, the record would name a dispatcher that
- * never sends, and every repeat would be told that it may have run; so it
- * stays here until the segment's version has moved on without it.
+ * Cancels an attempt whose caller no longer waits.  If a swap with its
+ * reservation may have landed or may still land, the record would name a
+ * dispatcher that never sends, and every repeat would be told that the request
+ * may have run.  Such an attempt is retained until a swap has undone the
+ * reservation or raised the segment's version, so that the old swap fails.
  */
 void ldg_att_cancel(struct ldg *ldg, struct ldg_att *att, int64_t now)
 {
@@ -145,9 +147,9 @@
 }
 
 /*
- * Answers a waiting attempt that got no reservation.  Only a view of the
- * segments that is no older than the claim can prove that nothing ran, and
- * only if no swap of this attempt is unanswered.
+ * Answers a waiting attempt that got no reservation.  "Not run" is proved only
+ * if the segments were read after the claim arrived and no swap of this
+ * attempt is unanswered.
  */
 void ldg_att_refuse(struct ldg *ldg, struct ldg_att *att, int64_t now)
 {
@@ -168,7 +170,7 @@
 	ldg_att_cancel(ldg, att, now);
 }
 
-/* Leaves a result; rec is the one that a replay answers from, or NULL. */
+/* Adds a result.  rec has the answer of LDG_REPLAY, else it may be NULL. */
 void ldg_add_result(struct ldg *ldg, uint64_t req, enum ldg_verdict verdict,
 		    const struct ldg_rec *rec, int64_t retry_at_us)
 {
--- a/src/ldg_batch.c
+++ b/src/ldg_batch.c
@@ -16,8 +16,8 @@
 			  struct ldg_att *att, int64_t now);
 
 /*
- * Answers the waiting attempts whose answer stands in the view of the
- * segments.  Returns true if one of them needs a fresher view first.
+ * Answers the waiting attempts that the cached segments can answer.  Returns
+ * true if one of them needs the segments to be read again first.
  */
 bool ldg_batch_answer(struct ldg *ldg, struct ldg_shard *shard, int64_t now)
 {
@@ -34,8 +34,8 @@
 }
 
 /*
- * Builds the batch of the next swap from the work that waits.  Returns false
- * if there is nothing to write.
+ * Builds the batch of the next swap from the queue.  Returns false if there is
+ * nothing to write.
  */
 bool ldg_batch_build(struct ldg *ldg, struct ldg_shard *shard, int64_t now)
 {
@@ -48,7 +48,7 @@
 		if (count == ldg->set.batch_max)
 			break;
 		if (ldg_batch_find(&shard->batch, att->intent))
-			continue; /* one change of a record in one swap */
+			continue; /* one change per record and swap */
 		if (att->state == ATT_WAITING &&
 		    !ldg_batch_may_reserve(ldg, shard, att, now))
 			continue;
@@ -64,7 +64,7 @@
 	return write;
 }
 
-/* The swap landed: its records are the truth now. */
+/* The swap succeeded: moves its records into the cached segment. */
 void ldg_batch_commit(struct ldg *ldg, struct ldg_shard *shard, int64_t now)
 {
 	struct ldg_seg *seg = ldg_shard_current(shard);
@@ -82,7 +82,7 @@
 			continue;
 		att->in_batch = false;
 		if (att->state != att->batched_state)
-			continue; /* given up meanwhile: to be released */
+			continue; /* changed meanwhile: into the next swap */
 		if (att->state == ATT_WAITING)
 			ldg_att_dispatch(ldg, att, now);
 		else if (att->state == ATT_MARKING_AMBIGUOUS)
@@ -93,8 +93,8 @@
 }
 
 /*
- * The swap didn't land, or nobody knows (unanswered): the attempts go into the
- * next one.
+ * The swap failed, or got no reply and may still land (unanswered).  Discards
+ * its records; the attempts go into the next swap.
  */
 void ldg_batch_abort(struct ldg_shard *shard, bool unanswered)
 {
@@ -119,7 +119,7 @@
 	}
 }
 
-/* Returns false if the view is too old to answer from. */
+/* Returns false if the cached segments are too old to answer from. */
 static bool ldg_batch_answer_one(struct ldg *ldg, struct ldg_shard *shard,
 				 struct ldg_att *att, int64_t now)
 {
@@ -136,7 +136,7 @@
 		return true;
 	if (rec->state != REC_SETTLED && ldg_batch_has_earlier(shard, att))
 		return true;
-	/* A settled record never changes; any other may have, since. */
+	/* Any record but a settled one may have changed since the read. */
 	if (rec->state != REC_SETTLED && shard->view_us < att->arrived_us)
 		return false;
 	if (verdict == LDG_IN_PROGRESS)
@@ -159,8 +159,9 @@
 }
 
 /*
- * True if this instance is about to write the end of an earlier attempt on
- * the same intent: a repeat that follows at once hears that end.
+ * Tells whether this instance is about to write the end of an earlier attempt
+ * on the same intent.  A repeat that follows at once waits for that end and is
+ * answered from it.
  */
 static bool ldg_batch_has_earlier(const struct ldg_shard *shard,
 				  const struct ldg_att *att)
@@ -176,7 +177,7 @@
 	return false;
 }
 
-/* True if the unanswered swap of an attempt can't land any more. */
+/* Tells that the unanswered swap of an attempt can't land any more. */
 static bool ldg_batch_superseded(const struct ldg_shard *shard,
 				 const struct ldg_att *att)
 {
@@ -187,7 +188,7 @@
 	return seg->version > att->unanswered_version;
 }
 
-/* Returns false if an attempt has nothing left to write. */
+/* Adds the change of an attempt.  Returns false if it has none to write. */
 static bool ldg_batch_add(struct ldg *ldg, struct ldg_shard *shard,
 			  struct ldg_att *att, int64_t now)
 {
--- a/src/ldg_call.c
+++ b/src/ldg_call.c
@@ -42,7 +42,7 @@
 static void ldg_on_no_answer(struct ldg *ldg, struct ldg_shard *shard,
 			     const struct kv_reply *reply, int64_t now);
 
-/* Starts the next call of a shard, if it has work and may. */
+/* Starts the next call of a shard if something is due and calls are allowed. */
 void ldg_shard_advance(struct ldg *ldg, struct ldg_shard *shard, int64_t now)
 {
 	if (shard->call_id || now < shard->retry_us ||
@@ -61,7 +61,7 @@
 	}
 }
 
-/* Takes the end of a shard's call.  The caller frees the reply's value. */
+/* Handles the reply to a shard's call.  The caller frees the reply's value. */
 void ldg_shard_reply(struct ldg *ldg, struct ldg_shard *shard,
 		     const struct kv_reply *reply, int64_t now)
 {
@@ -107,8 +107,9 @@
 }
 
 /*
- * While the service is out, one call at a time asks whether it is back, so
- * that its return isn't met by every shard of every instance at once.
+ * During an outage of the key-value service one call at a time probes whether
+ * it is back; otherwise every shard of every instance would call it at once
+ * when it returns.
  */
 static bool ldg_may_call(const struct ldg *ldg, int64_t now)
 {
@@ -126,7 +127,7 @@
 	shard->call_id = out->call.id;
 	shard->call_op = out->call.op;
 	shard->call_started_us = now;
-	/* A shell that never answers must not stop the shard for good. */
+	/* A call that never gets a reply must not block the shard. */
 	shard->call_deadline_us = now + 2 * ldg->set.call_timeout_us;
 	ldg->calls_in_flight++;
 }
@@ -177,7 +178,7 @@
 	out->call.len = strlen(out->call.value);
 }
 
-/* Empties a segment that the head no longer counts as live. */
+/* Empties a segment that the head no longer lists as live. */
 static void ldg_call_empty_segment(struct ldg *ldg, struct ldg_shard *shard,
 				   int64_t now)
 {
@@ -195,7 +196,7 @@
 	ldg_call_start(ldg, shard, out, now);
 }
 
-/* The view is read: answers from it, refreshes it, or writes. */
+/* Answers from the cached segments, reads them again, or starts a swap. */
 static void ldg_call_next(struct ldg *ldg, struct ldg_shard *shard, int64_t now)
 {
 	bool need_read = ldg_batch_answer(ldg, shard, now);
@@ -209,7 +210,7 @@
 	}
 	if (!ldg_take_turn(ldg, shard, now) && !need_read)
 		return;
-	/* A swap from an old version costs a write; a read costs less. */
+	/* A swap of an old version wastes a write; a read costs less. */
 	if (shard->contended && now - shard->view_us > LDG_VIEW_MAX_AGE_US)
 		need_read = true;
 	if (need_read) {
@@ -223,8 +224,9 @@
 }
 
 /*
- * The shards of an instance take turns at the swaps that its pace allows.  A
- * shard keeps its turn while it reads, or its view would be old again.
+ * The shards of an instance take turns at the swaps that its swap interval
+ * allows.  A shard retains its turn while it reads; otherwise what it read
+ * would be old again when its turn comes.
  */
 static bool ldg_take_turn(struct ldg *ldg, struct ldg_shard *shard, int64_t now)
 {
@@ -240,8 +242,8 @@
 }
 
 /*
- * Segments are never deleted, so a head that is absent, old or unreadable
- * only makes this instance read more of them.
+ * Handles the value of a shard's head.  Segments are never deleted, so a head
+ * that is absent, old or unreadable only makes this instance read more of them.
  */
 static void ldg_reply_head(struct ldg_shard *shard,
 			   const struct kv_reply *reply)
@@ -258,7 +260,7 @@
 	shard->step = STEP_STALE;
 }
 
-/* The head is a hint: whoever lost the swap has nothing to make good. */
+/* The head is only a hint: a swap of it that failed needs no retry. */
 static void ldg_reply_head_swap(struct ldg_shard *shard,
 				const struct kv_reply *reply)
 {
@@ -269,8 +271,8 @@
 }
 
 /*
- * Takes the value of the segment that was current.  If it is sealed, the
- * next one is to be read before anything is known.
+ * Caches the value of the current segment.  If it has been sealed, the next one
+ * must be read before any claim can be answered.
  */
 static void ldg_reply_read(struct ldg *ldg, struct ldg_shard *shard,
 			   const struct kv_reply *reply)
@@ -308,7 +310,7 @@
 	shard->view_us = shard->call_started_us;
 }
 
-/* A conflict says that another instance emptied it first. */
+/* A conflict means that another instance has emptied the segment already. */
 static void ldg_reply_empty_segment(struct ldg_shard *shard,
 				    const struct kv_reply *reply)
 {
@@ -342,8 +344,8 @@
 	if (reply->status == KV_CONFLICT || reply->status == KV_LOST)
 		shard->step = STEP_STALE;
 	/*
-	 * Reads have a rate of their own, and a view from after the claim is
-	 * what proves that nothing ran.
+	 * Reads have their own rate limit, and only a read after the claim
+	 * proves that nothing ran.
 	 */
 	if (reply->status == KV_LIMITED && ldg_shard_view_outdated(shard))
 		shard->step = STEP_STALE;
@@ -361,7 +363,10 @@
 	cds_list_add_tail(&ldg_seg_new(seg->number + 1)->node, &shard->segs);
 }
 
-/* A random wait that doubles, so that two losers don't meet again. */
+/*
+ * Sets a random wait below a limit that doubles, so that two instances that
+ * conflicted don't conflict again.
+ */
 static void ldg_shard_back_off(struct ldg *ldg, struct ldg_shard *shard,
 			       int64_t now)
 {
@@ -375,7 +380,7 @@
 		now + (int64_t)((ldg->rng >> 33) % (uint64_t)shard->backoff_us);
 }
 
-/* True if a claim that waits is younger than the view of the segments. */
+/* Tells whether a waiting claim arrived after the segments were read. */
 static bool ldg_shard_view_outdated(const struct ldg_shard *shard)
 {
 	const struct ldg_att *att;
@@ -389,8 +394,9 @@
 }
 
 /*
- * The service refuses calls for their rate, which all instances share.  Fewer
- * swaps, each with more work in it, get more bookings through than retries.
+ * The key-value service has refused a call for the rate, a limit that all
+ * instances share.  Fewer swaps with more records each let more requests
+ * through than retries.
  */
 static void ldg_increase_swap_interval(struct ldg *ldg, int64_t now)
 {
@@ -412,9 +418,10 @@
 }
 
 /*
- * No answer came.  One lost answer is read after; several in a row, or a
- * call that couldn't be made, mean an outage, and then callers hear at once
- * that the records can't be reached instead of waiting for each call's end.
+ * A call got no reply.  After one lost reply the segment is read again.
+ * LDG_DOWN_FAILURES in a row, or a call that could not be sent, mean an outage:
+ * then callers are told at once that the records are unreachable instead of
+ * waiting until each call times out.
  */
 static void ldg_on_no_answer(struct ldg *ldg, struct ldg_shard *shard,
 			     const struct kv_reply *reply, int64_t now)
--- a/src/ldg_int.h
+++ b/src/ldg_int.h
@@ -2,9 +2,14 @@
 #define LDG_INT_H
 
 /*
- * What the files of the ledger share: records, segments, attempts, shards.
- * Times that end in _us are monotonic and of this instance; those that end in
- * _ms are wall clock and stand in records that other instances read.
+ * Internal declarations of the ledger: records, segments, attempts, shards.
+ * Times ending in _us are monotonic and local to this instance.  Times ending
+ * in _ms are wall clock and are stored in records that other instances read.
+ *
+ * Each shard stores its records in numbered segments, one key each.  All
+ * writes go to the last one, the current segment; the swap that makes it too
+ * long also seals it, and the next number becomes current.  The shard's head
+ * key has the first and last number in use; it is only a hint.
  */
 
 #include <urcu/list.h>
@@ -12,34 +17,34 @@
 #include "ldg.h"
 
 #define LDG_BUCKETS		  64
-#define LDG_ATTEMPTS_MAX	  8192 /* bounds the memory of this instance */
-#define LDG_RECS_MAX		  100000 /* idle shards are forgotten beyond */
-#define LDG_MAX_SKEW_MS		  INT64_C(60000) /* furthest two clocks may differ */
-#define LDG_AMBIGUOUS_WINDOWS	  8 /* windows that an ambiguous record stays */
-#define LDG_LATE_OUTCOME_US	  (60 * MAG_US_PER_S) /* for a late end */
+#define LDG_ATTEMPTS_MAX	  8192 /* limits the memory of this instance */
+#define LDG_RECS_MAX		  100000 /* above this, idle shards are evicted */
+#define LDG_MAX_SKEW_MS		  INT64_C(60000) /* max difference of two clocks */
+#define LDG_AMBIGUOUS_WINDOWS	  8 /* that an ambiguous record stays */
+#define LDG_LATE_OUTCOME_US	  (60 * MAG_US_PER_S) /* wait for a late outcome */
 #define LDG_BACKOFF_US		  (5 * MAG_US_PER_MS)
 #define LDG_BACKOFF_MAX_US	  (80 * MAG_US_PER_MS)
 #define LDG_SWAP_INTERVAL_STEP_US (2 * MAG_US_PER_MS)
 #define LDG_SWAP_INTERVAL_MAX_US  (100 * MAG_US_PER_MS)
 #define LDG_DOWN_BACKOFF_US	  (100 * MAG_US_PER_MS)
 #define LDG_DOWN_BACKOFF_MAX_US	  (250 * MAG_US_PER_MS)
-#define LDG_DOWN_FAILURES	  2 /* lost answers in a row that mean an outage */
+#define LDG_DOWN_FAILURES	  2 /* lost replies in a row that mean an outage */
 #define LDG_VIEW_MAX_AGE_US	  (2 * MAG_US_PER_MS)
-#define LDG_GRACE_MS		  1000 /* after a dispatcher's deadline */
+#define LDG_GRACE_MS		  1000 /* added to a dispatcher's deadline */
 #define LDG_BUSY_RETRY_US	  MAG_US_PER_S
 #define LDG_AMBIGUOUS_RETRY_US	  (5 * MAG_US_PER_S)
 
-/* Names the one dispatch that a reservation allows. */
+/* Identifies the one dispatch that a reservation allows. */
 struct ldg_nonce {
 	uint64_t incarnation;
 	uint64_t number;
 };
 
 enum ldg_rec_state {
-	REC_RESERVED,  /* its dispatcher may send, or has sent */
-	REC_AMBIGUOUS, /* sent, and nobody knows the outcome */
+	REC_RESERVED,  /* its dispatcher may send or has sent */
+	REC_AMBIGUOUS, /* may have been sent; outcome unknown */
 	REC_RELEASED,  /* its dispatcher sent nothing */
-	REC_SETTLED,   /* the outcome, which never changes */
+	REC_SETTLED,   /* outcome known; never changes again */
 	REC_STATE_COUNT
 };
 
@@ -53,7 +58,7 @@
 	enum ldg_rec_state state;
 	uint32_t takeovers;
 	int64_t deadline_ms; /* of the dispatcher's request */
-	int64_t expiry_ms;   /* the key is refused, or new, from here on */
+	int64_t expiry_ms;   /* then a timed key is refused, another is new */
 	int64_t window_ms;
 	bool timed;
 	int status;
@@ -73,40 +78,39 @@
 };
 
 enum ldg_att_state {
-	ATT_WAITING,	/* for a swap that holds its reservation */
-	ATT_DISPATCHED, /* the caller of the module was told to go */
-	ATT_SETTLING,
-	ATT_RELEASING,
-	ATT_MARKING_AMBIGUOUS,
-	ATT_CANCELLING, /* given up; a swap of it may yet land */
-	ATT_AMBIGUOUS,	/* ambiguous on record; its end may yet be told */
+	ATT_WAITING,	       /* for the swap that writes its reservation */
+	ATT_DISPATCHED,	       /* the module's caller was told to send */
+	ATT_SETTLING,	       /* its outcome is to be written */
+	ATT_RELEASING,	       /* sent nothing; the key is to be released */
+	ATT_MARKING_AMBIGUOUS, /* its record is to be marked ambiguous */
+	ATT_CANCELLING,	       /* cancelled; its swap may still land */
+	ATT_AMBIGUOUS,	       /* recorded; may still be settled or released */
 };
 
 struct ldg_att {
-	struct cds_list_head node; /* in its shard's work, unless dispatched */
-	struct cds_list_head by_req; /* in the module's tables */
-	struct cds_list_head by_intent;
+	struct cds_list_head node; /* in its shard's queue, unless dispatched */
+	struct cds_list_head by_req;	/* in ldg->by_req */
+	struct cds_list_head by_intent; /* in ldg->by_intent */
 	struct ldg_shard *shard;
 	uint64_t req;
 	uint8_t intent[MAG_DIGEST_BYTES];
 	uint8_t fingerprint[MAG_DIGEST_BYTES];
 	struct ldg_nonce nonce;
 	enum ldg_att_state state;
-	enum ldg_att_state batched_state; /* when it went into the swap */
+	enum ldg_att_state batched_state; /* when put in the swap */
 	bool in_batch;
 	bool may_resend;
 	bool taken_over;
 	bool timed;
 	int64_t expiry_ms;
 	int64_t window_ms;
-	int64_t wall_offset_ms; /* wall clock less monotonic clock */
+	int64_t wall_offset_ms; /* wall clock minus monotonic clock */
 	int64_t arrived_us;
 	int64_t deadline_us;
-	int64_t due_us;	      /* latest start of the swap that carries it */
-	bool swap_unanswered; /* a swap that holds it went unanswered */
+	int64_t due_us;	      /* latest start of its swap, or when to free it */
+	bool swap_unanswered; /* a swap with its reservation got no reply */
 	uint32_t unanswered_segment;
-	uint64_t
-		unanswered_version; /* that the unanswered swap would replace */
+	uint64_t unanswered_version; /* that this swap replaces */
 	int status;
 	char *answer;
 	size_t answer_len;
@@ -114,12 +118,12 @@
 };
 
 enum ldg_step {
-	STEP_COLD,  /* nothing was read in this incarnation */
-	STEP_STALE, /* the current segment is to be read */
-	STEP_READY,
+	STEP_COLD,  /* nothing is cached */
+	STEP_STALE, /* the current segment must be read again */
+	STEP_READY, /* may answer from the segments and write */
 };
 
-/* What the call of a shard reads or writes. */
+/* What a shard's call in flight reads or writes. */
 enum ldg_target {
 	TARGET_HEAD,
 	TARGET_CURRENT,
@@ -129,27 +133,27 @@
 struct ldg_shard {
 	struct cds_list_head node;
 	char name[MAG_DIGEST_HEX];
-	bool single; /* holds one intent: the baseline */
+	bool single; /* has one intent only; see one_record_each */
 	enum ldg_step step;
-	struct cds_list_head segs; /* sealed ones, then the current one */
-	uint32_t first;		   /* the oldest live segment */
+	struct cds_list_head segs; /* sealed segments, then the current one */
+	uint32_t first;		   /* number of the oldest live segment */
 	uint64_t head_version;
-	bool head_dirty;
+	bool head_dirty;	      /* the head is to be written */
 	struct cds_list_head expired; /* segments to be emptied */
-	struct cds_list_head queue;   /* attempts, oldest first */
-	struct cds_list_head batch;   /* records of the swap under way */
-	bool batch_seals;
-	uint64_t call_id; /* 0: none under way */
+	struct cds_list_head queue;   /* attempts to write, oldest first */
+	struct cds_list_head batch;   /* records of the swap in flight */
+	bool batch_seals;	      /* the swap in flight seals the segment */
+	uint64_t call_id;	      /* 0: no call in flight */
 	enum kv_op call_op;
 	enum ldg_target call_target;
 	int64_t call_started_us;
 	int64_t call_deadline_us;
-	int64_t view_us; /* the view of the segments is no older */
-	int64_t retry_us;
+	int64_t view_us;  /* the cached segments are no older than this */
+	int64_t retry_us; /* no call before this time */
 	int64_t backoff_us;
 	uint32_t att_count;
-	bool may_swap;	/* may swap now; the instance paces its swaps */
-	bool contended; /* the last cached version was another's */
+	bool may_swap;	/* has its turn; the instance limits its swap rate */
+	bool contended; /* last read or swap found another's version */
 };
 
 struct ldg_call_node {
@@ -169,8 +173,7 @@
 	struct cds_list_head by_req[LDG_BUCKETS];
 	struct cds_list_head by_intent[LDG_BUCKETS];
 	size_t att_count;
-	struct cds_list_head
-		ambiguous; /* attempts in ATT_AMBIGUOUS, oldest first */
+	struct cds_list_head ambiguous; /* in ATT_AMBIGUOUS, oldest first */
 	size_t ambiguous_count;
 	struct cds_list_head calls;
 	struct cds_list_head results;
@@ -179,12 +182,11 @@
 	uint64_t rng;
 	int64_t wall_offset_ms;
 	unsigned int calls_in_flight;
-	int64_t swap_interval_us; /* least time between two swaps of this
-				     instance */
+	int64_t swap_interval_us; /* min time between swaps of the instance */
 	int64_t next_swap_us;
-	int consecutive_failures; /* calls in a row without an answer */
+	int consecutive_failures; /* calls in a row without a reply */
 	bool down;
-	int64_t next_probe_us;
+	int64_t next_probe_us; /* while down: no call before this time */
 	int64_t down_backoff_us;
 };
 
--- a/src/ldg_json.c
+++ b/src/ldg_json.c
@@ -26,9 +26,9 @@
 static int ldg_json_parse_answer(json_t *obj, struct ldg_rec *rec);
 
 /*
- * Reads a segment's value into an empty segment.  Returns -1 if the value is
- * not a segment; a segment half read must not be used, as a missing record
- * would let its key run again.
+ * Parses a segment's value into an empty segment.  Returns -1 if the value is
+ * not a valid segment.  A partly parsed segment must not be used, as a missing
+ * record would let its key run again.
  */
 int ldg_json_read(struct ldg_seg *seg, const char *text, size_t len)
 {
@@ -56,9 +56,9 @@
 }
 
 /*
- * Writes the value that a segment has with the records of a batch in it.
- * The value seals the segment if it is longer than seal_threshold.  The caller
- * frees it.
+ * Returns the value of a segment with the records of a batch added or replaced.
+ * The value seals the segment if it is longer than seal_threshold; *seals is
+ * set accordingly.  The caller frees the value.
  */
 char *ldg_json_write(const struct ldg_seg *seg,
 		     const struct cds_list_head *batch, size_t seal_threshold,
@@ -88,7 +88,7 @@
 	return text;
 }
 
-/* What stays of a segment that holds nothing any more. */
+/* Returns the value of an emptied segment.  The caller frees it. */
 char *ldg_json_write_empty(void)
 {
 	json_t *root = json_pack("{s:i, s:[], s:b}", "format", LDG_FORMAT,
@@ -99,7 +99,7 @@
 	return text;
 }
 
-/* Reads which segments of a shard live; a hint that may be old. */
+/* Parses the range of a shard's live segments; it may be out of date. */
 int ldg_json_read_head(const char *text, size_t len, uint32_t *first,
 		       uint32_t *last)
 {
@@ -116,7 +116,7 @@
 	return err;
 }
 
-/* The caller frees the text. */
+/* Returns the value of a shard's head.  The caller frees it. */
 char *ldg_json_write_head(uint32_t first, uint32_t last)
 {
 	json_t *root = json_pack("{s:I, s:I}", "first", (json_int_t)first,
--- a/src/ldg_judge.c
+++ b/src/ldg_judge.c
@@ -29,8 +29,8 @@
 }
 
 /*
- * What a record of another attempt means for a claim on its intent.
- * LDG_DISPATCH and LDG_TAKEN_OVER say that a swap may try to reserve it.
+ * Decides what another attempt's record means for a claim on the same intent.
+ * LDG_DISPATCH and LDG_TAKEN_OVER mean that a swap may try to reserve it.
  */
 enum ldg_verdict ldg_evaluate(const struct ldg *ldg, const struct ldg_att *att,
 			      const struct ldg_rec *rec, int64_t now)
@@ -47,8 +47,8 @@
 }
 
 /*
- * The record that the swap has to hold for an attempt's sake, or NULL if the
- * record that stands, which may be none, is to stay as it is.
+ * Builds the record that the next swap writes for an attempt.  rec is the one
+ * that exists, or NULL.  Returns NULL if it needs no change.
  */
 struct ldg_rec *ldg_build_record(const struct ldg *ldg, struct ldg_att *att,
 				 const struct ldg_rec *rec, int64_t now)
@@ -61,8 +61,9 @@
 	case ATT_RELEASING:
 	case ATT_CANCELLING:
 		/*
-		 * After a takeover this attempt sent nothing, but the one
-		 * before it may have: released would let the key run again.
+		 * This attempt sent nothing, but after a takeover the one
+		 * before it may have.  REC_RELEASED would let the key run
+		 * again.
 		 */
 		if (rec && rec->takeovers > 0)
 			return ldg_build_unsettled(att, rec, REC_AMBIGUOUS,
@@ -78,10 +79,10 @@
 }
 
 /*
- * A dispatcher that died leaves its reservation behind, and only its stored
- * deadline or a new incarnation of its instance shows it.  Neither proves
- * that it sent nothing, so the most that they allow is to ask again under a
- * downstream key.
+ * Decides on a record that another attempt has reserved.  A dispatcher that
+ * died leaves its reservation behind; only its stored deadline or a new
+ * incarnation of its instance shows this.  Neither proves that it sent nothing,
+ * so at most the request may be sent again with a downstream key.
  */
 static enum ldg_verdict ldg_evaluate_reserved(const struct ldg *ldg,
 					      const struct ldg_att *att,
@@ -129,8 +130,9 @@
 }
 
 /*
- * The outcome of work that ran is true under whatever nonce the record
- * stands by now; only an outcome that is already there stays.
+ * Settles a record whatever nonce it has now, as the outcome of a request that
+ * ran is valid after a takeover too.  An outcome that is already recorded is
+ * not replaced.
  */
 static struct ldg_rec *ldg_build_settled(const struct ldg_att *att,
 					 const struct ldg_rec *rec, int64_t now)
@@ -168,7 +170,7 @@
 	return new;
 }
 
-/* A timed key is refused from its mint time on; others from their last use. */
+/* The window of a timed key starts at its timestamp, else at its last use. */
 static int64_t ldg_expiry_ms(const struct ldg_att *att, int64_t now)
 {
 	return att->timed ? att->expiry_ms
--- a/src/ldg_key.c
+++ b/src/ldg_key.c
@@ -6,7 +6,7 @@
 #include "ldg_int.h"
 
 #define UUID_LEN	   36
-#define UUID_TIMESTAMP_HEX 12 /* the first 48 bits: milliseconds since 1970 */
+#define UUID_TIMESTAMP_HEX 12 /* first 48 bits: milliseconds since 1970 */
 #define UUID_VERSION_AT	   14
 #define UUID_VARIANT_AT	   19
 
@@ -14,9 +14,9 @@
 static int ldg_hex_value(char c);
 
 /*
- * The digest that names an intent.  Each field is hashed with its NUL, so
- * that no two splits of one string into fields share a digest; the account
- * keeps two callers apart who chose the same key.
+ * Computes the digest that identifies an intent.  Each field is hashed with its
+ * NUL, so that one string split into fields in two ways has two digests.  The
+ * account separates callers that chose the same key.
  */
 void ldg_intent(uint8_t intent[MAG_DIGEST_BYTES], const char *account,
 		const char *route, const char *key)
@@ -31,8 +31,8 @@
 }
 
 /*
- * The key that a service downstream gets, in hex.  It is the same for every
- * attempt and every instance, and it doesn't show the caller's own key.
+ * Derives the key sent to a downstream service, in hex.  It is the same for
+ * every attempt and instance, and does not reveal the caller's own key.
  */
 void ldg_downstream_key(char hex[MAG_DIGEST_HEX],
 			const uint8_t intent[MAG_DIGEST_BYTES])
@@ -46,8 +46,8 @@
 }
 
 /*
- * Reads the time at which a UUIDv7 (RFC 9562) was minted, in milliseconds of
- * wall clock.  Returns LDG_E_KEY_FORMAT if the key is no UUIDv7.
+ * Parses the timestamp of a UUIDv7 (RFC 9562), in milliseconds of wall clock.
+ * Returns LDG_E_KEY_FORMAT if the key is no UUIDv7.
  */
 int ldg_key_timestamp_ms(const char *key, int64_t *timestamp_ms)
 {
--- a/src/ldg_seg.c
+++ b/src/ldg_seg.c
@@ -7,7 +7,7 @@
 						  const uint8_t *intent);
 static void ldg_seg_remove(struct ldg_seg *seg, struct ldg_rec *rec);
 
-/* A segment that isn't created yet. */
+/* Creates an empty segment in memory; version 0: not in the store. */
 struct ldg_seg *ldg_seg_new(uint32_t number)
 {
 	struct ldg_seg *seg = calloc(1, sizeof(*seg));
@@ -30,7 +30,7 @@
 	free(seg);
 }
 
-/* The record of an intent in one segment, or NULL. */
+/* Finds the record of an intent in one segment, or NULL. */
 struct ldg_rec *ldg_seg_find(const struct ldg_seg *seg, const uint8_t *intent)
 {
 	struct ldg_rec *rec;
@@ -42,7 +42,7 @@
 	return NULL;
 }
 
-/* Puts a record in place of the one of its intent; the segment owns it. */
+/* Adds a record, or replaces its intent's.  The segment becomes its owner. */
 void ldg_seg_put(struct ldg_seg *seg, struct ldg_rec *rec)
 {
 	struct ldg_rec *old = ldg_seg_find(seg, rec->intent);
@@ -56,7 +56,7 @@
 	seg->count++;
 }
 
-/* Drops the records that may be forgotten. */
+/* Frees the records that may be dropped. */
 void ldg_seg_purge(struct ldg_seg *seg, int64_t wall_ms)
 {
 	struct ldg_rec *rec;
@@ -69,10 +69,11 @@
 }
 
 /*
- * Tells whether a record may be forgotten.  A record dropped too early lets
- * its key run a second time, so the largest difference between two instances'
- * clocks is added on both sides; an ambiguous record of a key without a time
- * is the only trace of work that may have run, and stays for several windows.
+ * Tells whether a record may be dropped.  A record dropped too early lets its
+ * key run a second time, so twice the largest difference between two instances'
+ * clocks is added, once for each clock.  A reserved or ambiguous record of an
+ * untimed key is the only trace of a request that may have run, so it stays for
+ * LDG_AMBIGUOUS_WINDOWS windows.
  */
 bool ldg_rec_droppable(const struct ldg_rec *rec, int64_t wall_ms)
 {
@@ -83,7 +84,7 @@
 	return wall_ms > last_ms;
 }
 
-/* A copy that stands in no list. */
+/* Duplicates a record.  The duplicate's list links must not be used. */
 struct ldg_rec *ldg_rec_copy(const struct ldg_rec *rec)
 {
 	struct ldg_rec *copy = malloc(sizeof(*copy));
@@ -102,7 +103,7 @@
 	free(rec);
 }
 
-/* The record of an intent in a swap that is being built, or NULL. */
+/* Finds the record of an intent in a batch, or NULL. */
 struct ldg_rec *ldg_batch_find(const struct cds_list_head *batch,
 			       const uint8_t *intent)
 {
@@ -118,7 +119,7 @@
 static const struct cds_list_head *ldg_seg_bucket(const struct ldg_seg *seg,
 						  const uint8_t *intent)
 {
-	/* The first bytes choose the shard. */
+	/* The last byte, as the first ones choose the shard. */
 	return &seg->buckets[intent[MAG_DIGEST_BYTES - 1] % LDG_BUCKETS];
 }
 
--- a/src/ldg_shard.c
+++ b/src/ldg_shard.c
@@ -13,7 +13,10 @@
 static void ldg_segs_free(struct cds_list_head *segs);
 static int64_t ldg_min(int64_t a, int64_t b);
 
-/* The shard that keeps an intent; every instance finds the same one. */
+/*
+ * Returns the shard of an intent and creates it if needed.  Every instance
+ * chooses the same one.
+ */
 struct ldg_shard *ldg_shard_get(struct ldg *ldg, const uint8_t *intent)
 {
 	uint32_t number = ((uint32_t)intent[0] << 24 | intent[1] << 16 |
@@ -45,8 +48,8 @@
 }
 
 /*
- * Forgets what was read of an idle shard, so that memory stays bounded; the
- * next claim reads it again.
+ * Drops the cached segments of an idle shard to limit memory.  The next claim
+ * reads them again.
  */
 void ldg_shard_evict(struct ldg_shard *shard)
 {
@@ -59,11 +62,11 @@
 }
 
 /*
- * Takes the oldest sealed segments out of use once all of their records may
- * be forgotten.  The head names the new first segment before the old ones
- * are emptied.  Their keys are never deleted: an instance that read the head
- * long ago would take a deleted segment for one that is still to come, and
- * create it a second time beside the current one.
+ * Expires the oldest sealed segments once all of their records may be dropped.
+ * The head is written with the new first segment before the old ones are
+ * emptied.  Their keys are never deleted: an instance that read the head long
+ * ago would treat a deleted segment as not yet created, and create it a second
+ * time beside the current one.
  */
 void ldg_shard_trim(struct ldg_shard *shard, int64_t wall_ms)
 {
@@ -92,20 +95,20 @@
 	return count;
 }
 
-/* Tells whether a shard has attempts, calls or writes of its own to do. */
+/* Tells whether a shard has attempts, a call in flight or upkeep to write. */
 bool ldg_shard_busy(const struct ldg_shard *shard)
 {
 	return shard->att_count > 0 || shard->call_id || shard->head_dirty ||
 	       ldg_shard_has_expired(shard);
 }
 
-/* The segment that takes reservations, as far as this instance knows. */
+/* Returns the segment for new reservations, as far as this instance knows. */
 struct ldg_seg *ldg_shard_current(const struct ldg_shard *shard)
 {
 	return cds_list_entry(shard->segs.prev, struct ldg_seg, node);
 }
 
-/* The newest record of an intent in the live segments, or NULL. */
+/* Finds the newest record of an intent in the live segments, or NULL. */
 struct ldg_rec *ldg_shard_find(const struct ldg_shard *shard,
 			       const uint8_t *intent)
 {
@@ -121,7 +124,7 @@
 	return NULL;
 }
 
-/* Tells whether work of a shard may not wait for company any longer. */
+/* Tells whether a shard must act now and not wait to fill a batch. */
 bool ldg_shard_due(const struct ldg_shard *shard, int64_t now)
 {
 	const struct ldg_att *att;
@@ -135,7 +138,7 @@
 	return false;
 }
 
-/* When a shard needs a tick next; MAG_NEVER if a reply has to come first. */
+/* Returns when a shard needs a tick; MAG_NEVER if it waits for a reply. */
 int64_t ldg_shard_next_deadline(const struct ldg *ldg,
 				const struct ldg_shard *shard)
 {
@@ -163,7 +166,7 @@
 	return ldg_min(wake, due);
 }
 
-/* The service is out: whoever waits hears so at once. */
+/* Refuses all waiting attempts of a shard at once during an outage. */
 void ldg_shard_refuse_waiting(struct ldg *ldg, struct ldg_shard *shard,
 			      int64_t now)
 {
@@ -192,8 +195,8 @@
 }
 
 /*
- * The shard of one intent, for the baseline: one record each.  It assumes
- * that the record is absent, and the swap tells if it is not.
+ * Returns the shard of a single intent, for the baseline with one record each.
+ * A new one assumes that the record is absent; the swap conflicts if it isn't.
  */
 static struct ldg_shard *ldg_shard_single(struct ldg *ldg,
 					  const uint8_t *intent)
