--- a/regress/check_ldg.c
+++ b/regress/check_ldg.c
@@ -7,17 +7,18 @@
 #include "script.h"
 
 /*
- * Scripts of several instances of the ledger against one key-value table in
- * memory, in virtual time.  A call reaches the table after half the latency
- * and its reply comes after the other half.  Commands:
- *   router NAME INCARNATION       starts it, or starts it anew
+ * Runs scripts of several instances of the ledger against one key-value table
+ * in memory, in virtual time.  A call reaches the table after half the latency
+ * and its reply arrives after the other half.  Commands:
+ *   router NAME INCARNATION       starts or restarts an instance
  *   kill NAME / pause NAME / wake NAME
  *   claim NAME REQ KEY BODY [timed] [resend] [deadline=MS] [window=S]
- *   send NAME REQ                 the endpoint runs it, and it is counted
+ *   send NAME REQ                 the endpoint runs it; runs are counted
  *   settle NAME REQ STATUS TEXT / release NAME REQ / hold NAME REQ
  *   fault read|write lose|late|refuse|limit COUNT
- *     lose: carried out, its answer lost; late: lost, and carried out when
- *     the script says `land`; refuse: never sent; limit: refused for its rate
+ *     COUNT calls of this kind fail.  lose: carried out, reply lost; late:
+ *     reply lost, carried out at the command `land`; refuse: not sent; limit:
+ *     refused for the rate
  *   land / run MS / skew NAME MS / show / calls
  *   set shards|segment|batch|single N
  */
@@ -149,7 +150,7 @@
 	memset(c, 0, sizeof(*c));
 }
 
-/* Takes the calls and results that a router left. */
+/* Prints the results of a router and starts its calls. */
 static void drv_collect_output(int router)
 {
 	static const char *const names[] = {
@@ -193,7 +194,7 @@
 	}
 }
 
-/* Moves one call on by one phase. */
+/* Advances one call by one phase. */
 static void drv_step_call(struct drv_call *c)
 {
 	if (c->phase == CALL_DONE) {
@@ -224,7 +225,7 @@
 		c->reply.status = KV_LOST;
 }
 
-/* The sender of a late write hears nothing; the write itself stays. */
+/* The sender of a late write gets no reply; the write itself stays pending. */
 static void drv_lose_late_reply(struct drv_call *c)
 {
 	struct drv_router *r = &routers[c->router];
@@ -273,7 +274,7 @@
 	}
 }
 
-/* What waits for a router that wakes is read before it looks at the time. */
+/* A router that resumes handles the replies that wait before its next tick. */
 static void drv_wake(int router)
 {
 	int i;
@@ -360,7 +361,7 @@
 	drv_collect_output(router);
 }
 
-/* The endpoint runs the work of a request; counts the runs of its key. */
+/* Simulates the endpoint running a request; counts the runs of its key. */
 static void drv_send(const char **words)
 {
 	uint64_t req = strtoull(words[2], NULL, 10);
