--- a/src/ldg.h
+++ b/src/ldg.h
@@ -32,7 +32,7 @@
 	char instance[MAG_NAME_MAX];
 	uint64_t incarnation; /* random number drawn at start */
 	uint32_t shards;
-	uint32_t segment_bytes;	 /* size beyond which it is sealed */
+	uint32_t segment_bytes;	 /* a segment beyond this is sealed */
 	int64_t call_timeout_us; /* of one key-value call */
 	uint32_t batch_max;	 /* most records that one swap writes */
 	bool one_record_each;	 /* baseline for comparison: no batches */
@@ -57,8 +57,8 @@
 	LDG_IN_PROGRESS, /* another attempt has reserved the key */
 	LDG_AMBIGUOUS,	 /* the outcome of an earlier attempt is unknown */
 	LDG_MISMATCH,	 /* the key was used with another body */
-	LDG_NOT_RUN,	 /* no reservation, and proved that nothing ran */
-	LDG_UNKNOWN,	 /* no reservation; an earlier attempt may have run */
+	LDG_NOT_RUN,	 /* records unreachable or too late; nothing ran */
+	LDG_UNKNOWN,	 /* records unreachable; an earlier one may have run */
 };
 
 struct ldg_result {
--- a/src/ldg_int.h
+++ b/src/ldg_int.h
@@ -22,14 +22,14 @@
 #define LDG_MAX_SKEW_MS		  INT64_C(60000) /* max difference of two clocks */
 #define LDG_AMBIGUOUS_WINDOWS	  8 /* that an ambiguous record stays */
 #define LDG_LATE_OUTCOME_US	  (60 * MAG_US_PER_S) /* wait for a late outcome */
-#define LDG_BACKOFF_US		  (5 * MAG_US_PER_MS)
+#define LDG_BACKOFF_US		  (5 * MAG_US_PER_MS) /* after a conflict or limit */
 #define LDG_BACKOFF_MAX_US	  (80 * MAG_US_PER_MS)
 #define LDG_SWAP_INTERVAL_STEP_US (2 * MAG_US_PER_MS)
 #define LDG_SWAP_INTERVAL_MAX_US  (100 * MAG_US_PER_MS)
-#define LDG_DOWN_BACKOFF_US	  (100 * MAG_US_PER_MS)
+#define LDG_DOWN_BACKOFF_US	  (100 * MAG_US_PER_MS) /* between probes */
 #define LDG_DOWN_BACKOFF_MAX_US	  (250 * MAG_US_PER_MS)
 #define LDG_DOWN_FAILURES	  2 /* lost replies in a row that mean an outage */
-#define LDG_VIEW_MAX_AGE_US	  (2 * MAG_US_PER_MS)
+#define LDG_VIEW_MAX_AGE_US	  (2 * MAG_US_PER_MS) /* under contention */
 #define LDG_GRACE_MS		  1000 /* added to a dispatcher's deadline */
 #define LDG_BUSY_RETRY_US	  MAG_US_PER_S
 #define LDG_AMBIGUOUS_RETRY_US	  (5 * MAG_US_PER_S)
