--- a/spec/fence.pml
+++ b/spec/fence.pml
@@ -1,16 +1,17 @@
 /*
  * Orders to an engine that ignores fencing numbers.  The holder of a lease
- * sends an order with a deadline; a holder that was paused, unaware that its
- * lease lapsed, may send or be delivered late.  The successor waits out the
- * old lease and the old orders' deadlines, reads the engine's actual state
- * and only then orders.  Checked: once a successor has ordered, no order of
- * an earlier holder takes effect, and the engine never gets the same work
- * from two holders.  Time is counted in ticks that all share, which is what
- * the bound on clocks allows.
+ * sends an order with a deadline.  A holder that was paused and does not know
+ * that its lease has expired may send late, and its order may be delivered
+ * late.  The successor waits until the old lease and the deadlines of the old
+ * orders are over, reads the engine's actual state and only then sends an
+ * order.  Checked: once a successor has ordered, no order of an earlier holder
+ * takes effect, and the engine never executes the same order from two holders.
+ * All processes share one clock that counts ticks; this is valid as the
+ * difference of clocks is limited.
  */
 
 #define HOLDERS	  2
-#define LEASE	  2		/* ticks that a lease lasts unrenewed */
+#define LEASE	  2		/* ticks until an unrenewed lease expires */
 #define ORDER	  2		/* ticks until an order's own deadline */
 #define END	  12
 
@@ -18,16 +19,16 @@
 byte holder = 255;
 byte lease_until;
 byte ordered_by = 255;		/* newest holder whose order took effect */
-byte orders;			/* effects at the engine */
+byte orders;			/* orders that took effect */
 
-bool queued[HOLDERS];		/* an order in the network */
+bool queued[HOLDERS];		/* an order is in the network */
 byte order_until[HOLDERS];
 
 proctype placer(byte i)
 {
 	byte until;
 
-	/* Takes the lease once the one before has lapsed. */
+	/* Acquires the lease once the previous one has expired. */
 	atomic {
 		now >= lease_until && (i == 0 || holder == i - 1) && now < END ->
 		holder = i;
@@ -35,7 +36,7 @@
 		until = now + LEASE
 	};
 #ifndef NO_WAIT
-	if			/* waits out the orders of the one before */
+	if			/* waits for the old orders' deadlines */
 	:: i > 0 -> now >= until - LEASE + ORDER
 	:: i == 0 -> skip
 	fi;
@@ -62,7 +63,7 @@
 end:	skip
 }
 
-/* The network delivers an order late or never. */
+/* The network may deliver an order late or never. */
 proctype engine()
 {
 	byte i;
--- a/spec/ledger.pml
+++ b/spec/ledger.pml
@@ -1,29 +1,29 @@
 /*
- * At most once: the protocol of src/ldg*.c for one segment of records, with
- * the states and verdicts of src/ldg_int.h and src/ldg.h.
+ * At-most-once execution: the protocol of src/ldg*.c for one segment of
+ * records, with the states and verdicts of src/ldg_int.h and src/ldg.h.
  *
  * A process `attempt` is what one instance does for one request.  Any of its
- * steps may come arbitrarily late (a pause) or never (the instance died; a
- * restarted one remembers nothing, so it is the next attempt's process).
- * `caller` sends its attempts one after the other, each through another
- * instance; it may give up waiting once its deadline is over, or send the
- * next one beside the first.  `network` lands writes that hung in it.
+ * steps may happen arbitrarily late (a pause) or never (the instance died; a
+ * restarted one has no memory, so it is the next attempt's process).  `caller`
+ * sends its attempts one after the other, each through another instance.  It
+ * may stop waiting once its deadline has passed, or send the next attempt
+ * while the first is open.  `network` lands delayed writes.
  *
- * Each rule has a switch that takes it away; `spec/run` shows that the model
- * then fails.  DOWNKEY models a service that runs a downstream key once,
- * LATE_END an attempt whose outcome comes after its caller was answered.
+ * Each rule has a switch that removes it; `spec/run` shows that the model then
+ * fails.  DOWNKEY models a service that runs each downstream key once, LATE_END
+ * an attempt whose outcome arrives after its caller was answered.
  */
 
 #ifndef ATTEMPTS
 #define ATTEMPTS 3
 #endif
 #ifndef FAULTS
-#define FAULTS 1		/* answers and writes that the service loses */
+#define FAULTS 1		/* replies and writes that get lost or late */
 #endif
 #ifndef TAPS
-#define TAPS 1			/* attempts sent beside the one before */
+#define TAPS 1			/* attempts sent while the previous is open */
 #endif
-#ifdef OTHER			/* the last attempt is another intent's */
+#ifdef OTHER			/* the last attempt has another intent */
 #define INTENT(i) ((i) / (ATTEMPTS - 1))
 #else
 #define INTENT(i) 0
@@ -38,29 +38,29 @@
 	bool takeovers
 };
 
-record seg[2];			/* the segment: a record for each intent */
-byte version;			/* of the segment in the service */
+record seg[2];			/* the segment: one record per intent */
+byte version;			/* of the segment in the key-value service */
 byte faults = FAULTS;
-byte taps = TAPS;
+byte duplicates = TAPS;
 
 bool pending[ATTEMPTS];		/* a reservation that may still land */
 byte pending_version[ATTEMPTS];
 bool pending_takeover[ATTEMPTS];
 
-byte runs[2];			/* effects of an intent at the endpoints */
-byte leftover;			/* an answer nobody took: its intent + 1 */
+byte runs[2];			/* runs of an intent at the endpoints */
+byte stray_answer;		/* an unread answer: its intent + 1 */
 
 bool sent[ATTEMPTS];
-bool late[ATTEMPTS];		/* the attempt's stored deadline is over */
-bool closed[ATTEMPTS];		/* answered, or given up by its caller */
+bool late[ATTEMPTS];		/* the attempt's stored deadline has passed */
+bool closed[ATTEMPTS];		/* answered, or its caller stopped waiting */
 bool ran[ATTEMPTS];
-bool barred[ATTEMPTS];		/* a caller was told that it was not run */
+bool reported_not_run[ATTEMPTS]; /* a caller was told not-run */
 mtype told[ATTEMPTS] = NOTHING;
-byte before[ATTEMPTS];		/* attempts closed when this one was sent */
+byte closed_before[ATTEMPTS];	/* attempts closed when this one was sent */
 
-/* The caller hears an answer.  not-run speaks for this attempt and for all
- * earlier ones that the caller had closed when it sent this one. */
-inline tell(what)
+/* The caller gets an answer.  not-run covers this attempt and all earlier ones
+ * that the caller had closed when it sent this one. */
+inline answer_caller(what)
 {
 	atomic {
 		if
@@ -71,9 +71,10 @@
 			:: what == NOT_RUN ->
 				for (k : 0 .. ATTEMPTS - 1) {
 					if
-					:: k == i || (before[i] >> k) & 1 ->
+					:: k == i ||
+					   (closed_before[i] >> k) & 1 ->
 						assert(!ran[k]);
-						barred[k] = true
+						reported_not_run[k] = true
 					:: else -> skip
 					fi
 				}
@@ -103,10 +104,10 @@
 	version++
 }
 
-/* The endpoint runs the work. */
+/* The endpoint runs the request. */
 inline run_effect()
 {
-	assert(!barred[i]);
+	assert(!reported_not_run[i]);
 	ran[i] = true;
 #ifdef DOWNKEY
 	if
@@ -124,20 +125,20 @@
 #else
 #define UNCHANGED (v == version)
 #endif
-#ifdef NO_OWN_NONCE		/* any reservation is taken for one's own */
-#define OWN (s == REC_RESERVED && (n == i || unsure))
+#ifdef NO_OWN_NONCE		/* any reservation counts as its own */
+#define OWN (s == REC_RESERVED && (n == i || unanswered))
 #else
 #define OWN (s == REC_RESERVED && n == i)
 #endif
-#ifdef NO_FRESH_VIEW		/* not-run is judged from a cached view */
+#ifdef NO_FRESH_VIEW		/* not-run is decided from a cached segment */
 #define FRESH true
 #else
 #define FRESH fresh
 #endif
-#ifdef NO_MOVE_ON		/* not-run beside an unanswered swap */
-#define SURE true
+#ifdef NO_MOVE_ON		/* not-run despite an unanswered swap */
+#define ALL_ANSWERED true
 #else
-#define SURE !unsure
+#define ALL_ANSWERED !unanswered
 #endif
 #if defined(DOWNKEY) || defined(TAKEOVER_ALWAYS)
 #define MAY_RESEND true
@@ -148,57 +149,64 @@
 
 proctype attempt(byte i)
 {
-	byte v, n, unsure_version;
+	byte v, n, unanswered_version;
 	byte k;
 	mtype s = NONE;
-	bool fresh, unsure, taken;
+	bool fresh, unanswered, is_takeover;
 
-	read_segment();		/* what this instance's cache holds */
+	read_segment();		/* what this instance has cached */
 	sent[i];
 #ifdef NO_RESERVE_FIRST
 	goto dispatch;
 #endif
-judge:	if
-	:: s == REC_SETTLED -> tell(RAN); goto given_up
-	:: OWN -> goto go
+evaluate:
+	if
+	:: s == REC_SETTLED -> answer_caller(RAN); goto cancelled
+	:: OWN -> goto reserved
 	:: FREE -> goto swap
 	:: !OWN && (s == REC_RESERVED || s == REC_AMBIGUOUS) ->
 		if
-		:: !fresh -> read_segment(); fresh = true; goto judge
+		:: !fresh -> read_segment(); fresh = true; goto evaluate
 		:: fresh && MAY_RESEND && (s == REC_AMBIGUOUS || late[n]) ->
 			goto swap
-#ifdef RELEASE_BY_OTHER		/* a late dispatcher's record is freed */
+#ifdef RELEASE_BY_OTHER		/* an overdue dispatcher's record is freed */
 		:: fresh && late[n] -> s = REC_RELEASED; goto swap
 #endif
-		:: fresh -> tell(UNKNOWN); goto given_up
+		:: fresh -> answer_caller(UNKNOWN); goto cancelled
 		fi
-	:: FREE ->		/* limited, or its deadline is over */
+	:: FREE ->		/* limited, or its deadline has passed */
 		if
-		:: FRESH && SURE -> tell(NOT_RUN)
-		:: else -> tell(UNKNOWN)
+		:: FRESH && ALL_ANSWERED -> answer_caller(NOT_RUN)
+		:: else -> answer_caller(UNKNOWN)
 		fi;
-		goto given_up
+		goto cancelled
 	fi;
 
 swap:	atomic {
-		taken = !FREE;
+		is_takeover = !FREE;
 		if
-		:: UNCHANGED -> reserve(i, taken); goto go
-		:: UNCHANGED && faults > 0 ->	/* landed, answer lost */
-			faults--; unsure_version = v; unsure = true;
-			reserve(i, taken)
-		:: UNCHANGED && faults > 0 ->	/* hangs in the network */
-			faults--; unsure_version = v; unsure = true;
+		:: UNCHANGED -> reserve(i, is_takeover); goto reserved
+		:: UNCHANGED && faults > 0 ->	/* landed, reply lost */
+			faults--;
+			unanswered_version = v; unanswered = true;
+			reserve(i, is_takeover)
+		:: UNCHANGED && faults > 0 ->	/* delayed in the network */
+			faults--;
+			unanswered_version = v; unanswered = true;
 			pending[i] = true; pending_version[i] = v;
-			pending_takeover[i] = taken
+			pending_takeover[i] = is_takeover
 		:: !UNCHANGED -> skip		/* conflict */
 		fi
 	};
 	read_segment();
 	fresh = true;
-	goto judge;
+	goto evaluate;
 
-go:	atomic { taken = seg[INTENT(i)].takeovers; v = 0; n = 0; fresh = false };
+reserved:
+	atomic {
+		is_takeover = seg[INTENT(i)].takeovers;
+		v = 0; n = 0; fresh = false
+	};
 	if
 #ifndef NO_DEADLINE_CHECK
 	:: late[i] -> goto release
@@ -213,8 +221,8 @@
 	if
 	:: skip ->		/* no connection was made */
 		if
-		:: taken -> tell(UNKNOWN)
-		:: else -> tell(NOT_RUN)
+		:: is_takeover -> answer_caller(UNKNOWN)
+		:: else -> answer_caller(NOT_RUN)
 		fi;
 		goto release
 	:: atomic { run_effect() };
@@ -222,21 +230,21 @@
 		:: skip -> goto answered
 		:: skip ->
 #ifdef OTHER
-			leftover = INTENT(i) + 1;
+			stray_answer = INTENT(i) + 1;
 #endif
 			goto ambiguous
 		fi
-	:: leftover > 0 ->	/* another's late answer arrives first */
+	:: stray_answer > 0 ->	/* another request's answer arrives first */
 #ifdef NO_ID_CHECK
-		assert(leftover == INTENT(i) + 1);
-		tell(RAN);
+		assert(stray_answer == INTENT(i) + 1);
+		answer_caller(RAN);
 #endif
 		goto ambiguous
-	:: goto ambiguous	/* it neither runs nor answers */
+	:: goto ambiguous	/* it neither runs nor is answered */
 	fi;
 
 answered:
-	tell(RAN);
+	answer_caller(RAN);
 	atomic {
 		if
 		:: seg[INTENT(i)].state == REC_RESERVED ||
@@ -252,7 +260,7 @@
 #ifdef RESEND_AMBIGUOUS		/* another endpoint is tried */
 	run_effect();
 #endif
-	tell(UNKNOWN);
+	answer_caller(UNKNOWN);
 #ifdef RELEASE_AMBIGUOUS
 	goto release;
 #endif
@@ -265,16 +273,16 @@
 		:: else -> skip
 		fi
 	};
-#ifdef LATE_END			/* the end may still come after the answer */
+#ifdef LATE_END			/* the outcome may arrive after the answer */
 	if
 	:: skip
 	:: ran[i] -> goto answered
-	:: !ran[i] -> goto release	/* proved: nothing was sent */
+	:: !ran[i] -> goto release	/* proved that nothing was sent */
 	fi;
 #endif
 	goto end;
 
-given_up:			/* an unanswered swap must not land later */
+cancelled:			/* an unanswered swap must not land later */
 	atomic { v = 0; n = 0; s = NONE; fresh = false };
 release:
 	atomic {
@@ -296,13 +304,17 @@
 			version++
 		:: else ->
 			if
-			:: unsure && version == unsure_version -> version++
+			:: unanswered && version == unanswered_version ->
+				version++
 			:: else -> skip
 			fi
 		fi
 	};
-end:	atomic { v = 0; n = 0; s = NONE; unsure = false; unsure_version = 0;
-		taken = false; fresh = false }
+end:	atomic {
+		v = 0; n = 0; s = NONE;
+		unanswered = false; unanswered_version = 0;
+		is_takeover = false; fresh = false
+	}
 }
 
 proctype caller(byte first, last)
@@ -320,15 +332,15 @@
 				:: else -> skip
 				fi
 			}
-			before[i] = mask;
+			closed_before[i] = mask;
 			k = 0; mask = 0;
 			sent[i] = true
 		};
 		if
 		:: told[i] != NOTHING -> closed[i] = true
-		:: told[i] == NOTHING ->	/* gives up at its deadline */
+		:: told[i] == NOTHING ->	/* until its deadline */
 			atomic { late[i] = true; closed[i] = true }
-		:: taps > 0 -> taps--		/* taps twice */
+		:: duplicates > 0 -> duplicates-- /* sends the next one too */
 		fi;
 		i++
 	od
--- a/spec/segments.pml
+++ b/spec/segments.pml
@@ -1,9 +1,9 @@
 /*
- * Segments of a shard (src/ldg_shard.c, src/ldg_call.c): a sealed segment
- * takes no more reservations, the seal is itself a swap, and an expired one
- * is emptied and never deleted.  Two instances reserve one key, each starting
- * from a head or a cache of any age, while a third fills, seals and expires
- * segments.  At most one of them may be told to go.
+ * Segments of a shard (src/ldg_shard.c, src/ldg_call.c): a sealed segment gets
+ * no more reservations, the seal is itself a swap, and an expired segment is
+ * emptied and never deleted.  Two instances reserve one key, each starting from
+ * a head or a cache of any age, while a third fills, seals and expires
+ * segments.  At most one of them may dispatch.
  */
 
 #define SEGMENTS 4
@@ -14,12 +14,12 @@
 mtype state[SEGMENTS] = ABSENT;
 byte version[SEGMENTS];
 byte fill[SEGMENTS];
-bool held[SEGMENTS];		/* holds the reservation of the key */
+bool has_key[SEGMENTS];		/* has the reservation of the key */
 byte head;			/* the first live segment */
-byte go;
+byte go;			/* instances that may dispatch */
 
-/* One swap on segment n at version v; mine: with the key's reservation. */
-inline swap(n, v, mine, done)
+/* One swap of segment n at version v; with_key: reserves the key in it. */
+inline swap(n, v, with_key, done)
 {
 	atomic {
 		if
@@ -27,7 +27,7 @@
 			done = true;
 			version[n]++;
 			fill[n]++;
-			held[n] = held[n] || mine;
+			has_key[n] = has_key[n] || with_key;
 			if
 			:: fill[n] >= SEAL -> state[n] = SEALED
 			:: else -> state[n] = OPEN
@@ -49,7 +49,7 @@
 	:: else -> skip
 	fi;
 	d_step {
-		seen = seen || held[n];
+		seen = seen || has_key[n];
 		v = version[n];
 		st = state[n]
 	};
@@ -74,7 +74,7 @@
 end:	skip
 }
 
-proctype writer()		/* other keys of the shard */
+proctype writer()		/* writes other keys of the shard */
 {
 	byte n, v;
 	bool done;
@@ -87,12 +87,12 @@
 	od
 }
 
-/* Takes segments without the key's reservation out of use: the window of
- * their records is over. */
+/* Expires segments without the key's reservation, as if the window of their
+ * records were over. */
 proctype expirer()
 {
 	do
-	:: head < SEGMENTS && state[head] == SEALED && !held[head] ->
+	:: head < SEGMENTS && state[head] == SEALED && !has_key[head] ->
 		head++;
 		atomic {
 			version[head - 1]++;
@@ -102,7 +102,7 @@
 			fill[head - 1] = 0
 #endif
 		}
-	:: head < SEGMENTS && held[head] -> break
+	:: head < SEGMENTS && has_key[head] -> break
 	:: head >= SEGMENTS -> break
 	od
 }
--- a/spec/ticket.pml
+++ b/spec/ticket.pml
@@ -1,26 +1,28 @@
 /*
- * A ticket: an instance, the home, hands it out on an earlier answer, and
- * while the platform's service is out a booking under a key of that ticket is
- * decided by the home's memory alone.  Another instance only forwards.  The
- * home may die and come back with another incarnation and no memory; messages
- * may come late; endpoints may run without answering.  Checked: an intent
- * runs at most once; not-run is never said of an intent that ran, nor of an
- * attempt that later runs.  Not built: see docs/LEDGER.md.
+ * Tickets, a protocol for outages of the key-value service.  An instance, the
+ * home, issues a ticket with an earlier answer.  During an outage a request
+ * under a key of that ticket is decided by the home's memory alone; other
+ * instances only forward it.  The home may die and restart with another
+ * incarnation and no memory; messages may arrive late; endpoints may run
+ * without answering.  Checked: an intent runs at most once; not-run is never
+ * answered for an intent that ran, nor for an attempt that runs later.  Not
+ * implemented: see docs/LEDGER.md.
  */
 
 #define ATTEMPTS 3
 
-mtype = { M_NONE, M_RUNNING, M_RAN };		/* the home's memory of the key */
-mtype = { T_NOTHING, T_RAN, T_NOT_RUN, T_UNKNOWN };	/* told the caller */
+/* The home's memory of the key, and the answer to the caller. */
+mtype = { M_NONE, M_RUNNING, M_RAN };
+mtype = { T_NOTHING, T_RAN, T_NOT_RUN, T_UNKNOWN };
 
-mtype mem = M_NONE;
-byte inc = 1;			/* the home's incarnation; the ticket names 1 */
+mtype key_state = M_NONE;
+byte incarnation = 1;		/* of the home; 1 issued the ticket */
 byte runs;
 mtype told[ATTEMPTS];
-bool barred[ATTEMPTS];		/* told not-run: must not run any more */
-bool in_ledger;			/* the key has a record in the service */
+bool reported_not_run[ATTEMPTS]; /* told not-run: must not run any more */
+bool in_ledger;			/* the key has a record in the store */
 
-inline tell(i, what)
+inline answer_caller(i, what)
 {
 	if
 	:: told[i] == T_NOTHING ->
@@ -29,19 +31,19 @@
 		if
 		:: what == T_NOT_RUN ->
 			assert(runs == 0);
-			bar(i)
+			report_not_run(i)
 		:: else -> skip
 		fi
 	:: else -> skip
 	fi
 }
 
-/* An answer closes this attempt and those that were closed before it. */
-inline bar(i)
+/* not-run covers this attempt and those before it. */
+inline report_not_run(i)
 {
 	b = 0;
 	do
-	:: b < ATTEMPTS && b <= i -> barred[b] = true; b++
+	:: b < ATTEMPTS && b <= i -> reported_not_run[b] = true; b++
 	:: else -> break
 	od;
 	b = 0
@@ -50,7 +52,7 @@
 inline execute(i)
 {
 	printf("step: attempt %d: the endpoint runs it\n", i);
-	assert(!barred[i]);
+	assert(!reported_not_run[i]);
 	runs++;
 	assert(runs <= 1)
 }
@@ -59,39 +61,42 @@
 proctype at_home(byte i)
 {
 	byte b;
-	byte born = inc;
+	byte started_as = incarnation;
 
 	atomic {
 		if
 #ifndef NO_DEADLINE_CHECK
-		:: told[i] != T_NOTHING -> goto end	/* past its deadline */
+		:: told[i] != T_NOTHING -> goto end	/* deadline passed */
 #endif
 #ifndef NO_INCARNATION
-		:: inc != 1 -> tell(i, T_UNKNOWN); goto end
+		:: incarnation != 1 -> answer_caller(i, T_UNKNOWN); goto end
 #endif
 		:: else -> skip
 		fi;
 		if
-		:: mem == M_RUNNING -> tell(i, T_UNKNOWN); goto end
-		:: mem == M_RAN -> tell(i, T_RAN); goto end
-		:: mem == M_NONE -> mem = M_RUNNING;
-			printf("step: attempt %d: the home notes the key\n", i)
+		:: key_state == M_RUNNING ->
+			answer_caller(i, T_UNKNOWN); goto end
+		:: key_state == M_RAN -> answer_caller(i, T_RAN); goto end
+		:: key_state == M_NONE -> key_state = M_RUNNING;
+			printf("step: attempt %d: the home stores the key\n", i)
 		fi
 	};
 	if
-	:: atomic { inc == born -> execute(i) };		/* the endpoint runs it */
+	:: atomic { incarnation == started_as -> execute(i) };
 		if
-		:: atomic { inc == born -> mem = M_RAN; tell(i, T_RAN) }
-		:: skip			/* the answer is lost: stays running */
-		:: inc != born -> skip	/* the home died */
+		:: atomic { incarnation == started_as ->
+			key_state = M_RAN; answer_caller(i, T_RAN) }
+		:: skip		/* answer lost; stays M_RUNNING */
+		:: incarnation != started_as -> skip	/* restarted */
 		fi
-	:: atomic { inc == born -> mem = M_NONE; tell(i, T_NOT_RUN) }
-	:: inc != born -> skip
+	:: atomic { incarnation == started_as ->
+		key_state = M_NONE; answer_caller(i, T_NOT_RUN) }
+	:: incarnation != started_as -> skip
 	fi;
 end:	skip
 }
 
-/* The other instance forwards; the message may come after the deadline. */
+/* Another instance forwards; the message may arrive after the deadline. */
 proctype at_other(byte i)
 {
 	byte b;
@@ -101,21 +106,22 @@
 		printf("step: attempt %d is forwarded\n", i) }
 	:: skip				/* lost */
 #ifdef OTHER_DISPATCHES
-	:: atomic { told[i] == T_NOTHING && inc != 1 -> execute(i); tell(i, T_RAN) }
+	:: atomic { told[i] == T_NOTHING && incarnation != 1 ->
+		execute(i); answer_caller(i, T_RAN) }
 #endif
 #ifdef LEDGER_TOO
 	:: atomic { told[i] == T_NOTHING && !in_ledger ->
 		in_ledger = true;
 		printf("step: attempt %d: reserved in the ledger\n", i);
-		execute(i); tell(i, T_RAN) }
+		execute(i); answer_caller(i, T_RAN) }
 #endif
 	fi
 }
 
 proctype home_dies()
 {
-	atomic { inc++; mem = M_NONE;
-		printf("step: the home dies and comes back\n") }
+	atomic { incarnation++; key_state = M_NONE;
+		printf("step: the home dies and restarts\n") }
 }
 
 init
@@ -135,10 +141,11 @@
 		:: run at_home(i)
 		:: run at_other(i)
 		fi;
-		/* Its deadline ends every wait. */
+		/* No caller waits past its deadline. */
 		if
 		:: told[i] != T_NOTHING
-		:: atomic { told[i] == T_NOTHING -> tell(i, T_UNKNOWN) }
+		:: atomic { told[i] == T_NOTHING ->
+			answer_caller(i, T_UNKNOWN) }
 		fi;
 		i++
 	:: else -> break
