--- a/src/ldg_call.c
+++ b/src/ldg_call.c
@@ -19,12 +19,12 @@
 			  int64_t now);
 static void ldg_call_next(struct ldg *ldg, struct ldg_shard *shard,
 			  int64_t now);
-static void ldg_call_empty(struct ldg *ldg, struct ldg_shard *shard,
-			   int64_t now);
+static void ldg_call_empty_segment(struct ldg *ldg, struct ldg_shard *shard,
+				   int64_t now);
 static void ldg_reply_by_target(struct ldg *ldg, struct ldg_shard *shard,
 				const struct kv_reply *reply, int64_t now);
-static void ldg_reply_empty(struct ldg_shard *shard,
-			    const struct kv_reply *reply);
+static void ldg_reply_empty_segment(struct ldg_shard *shard,
+				    const struct kv_reply *reply);
 static void ldg_reply_head(struct ldg_shard *shard,
 			   const struct kv_reply *reply);
 static void ldg_reply_head_swap(struct ldg_shard *shard,
@@ -36,13 +36,13 @@
 static void ldg_shard_next_segment(struct ldg_shard *shard);
 static void ldg_shard_back_off(struct ldg *ldg, struct ldg_shard *shard,
 			       int64_t now);
-static bool ldg_shard_unseen(const struct ldg_shard *shard);
-static void ldg_slow_down(struct ldg *ldg, int64_t now);
-static void ldg_answered(struct ldg *ldg);
-static void ldg_unanswered(struct ldg *ldg, struct ldg_shard *shard,
-			   const struct kv_reply *reply, int64_t now);
+static bool ldg_shard_view_outdated(const struct ldg_shard *shard);
+static void ldg_increase_swap_interval(struct ldg *ldg, int64_t now);
+static void ldg_on_answer(struct ldg *ldg);
+static void ldg_on_no_answer(struct ldg *ldg, struct ldg_shard *shard,
+			     const struct kv_reply *reply, int64_t now);
 
-/* Starts the next call of a shard, if it has work and may. */
+/* Starts the next call of a shard if something is due and calls are allowed. */
 void ldg_shard_advance(struct ldg *ldg, struct ldg_shard *shard, int64_t now)
 {
 	if (shard->call_id || now < shard->retry_us ||
@@ -61,23 +61,23 @@
 	}
 }
 
-/* Takes the end of a shard's call.  The caller frees the reply's value. */
+/* Handles the reply to a shard's call.  The caller frees the reply's value. */
 void ldg_shard_reply(struct ldg *ldg, struct ldg_shard *shard,
 		     const struct kv_reply *reply, int64_t now)
 {
 	bool answered = reply->status != KV_UNSENT && reply->status != KV_LOST;
 
 	shard->call_id = 0;
-	ldg->calls_out--;
+	ldg->calls_in_flight--;
 	if (answered)
-		ldg_answered(ldg);
+		ldg_on_answer(ldg);
 	if (reply->status == KV_LIMITED) {
 		ldg_shard_back_off(ldg, shard, now);
-		ldg_slow_down(ldg, now);
+		ldg_increase_swap_interval(ldg, now);
 	}
 	ldg_reply_by_target(ldg, shard, reply, now);
 	if (!answered)
-		ldg_unanswered(ldg, shard, reply, now);
+		ldg_on_no_answer(ldg, shard, reply, now);
 	else if (shard->step == STEP_READY)
 		ldg_batch_answer(ldg, shard, now);
 }
@@ -101,20 +101,21 @@
 			ldg_reply_read(ldg, shard, reply);
 		break;
 	case TARGET_EXPIRED:
-		ldg_reply_empty(shard, reply);
+		ldg_reply_empty_segment(shard, reply);
 		break;
 	}
 }
 
 /*
- * While the service is out, one call at a time asks whether it is back, so
- * that its return isn't met by every shard of every instance at once.
+ * During an outage of the key-value service one call at a time probes whether
+ * it is back; otherwise every shard of every instance would call it at once
+ * when it returns.
  */
 static bool ldg_may_call(const struct ldg *ldg, int64_t now)
 {
 	if (!ldg->down)
 		return true;
-	return now >= ldg->down_until_us && ldg->calls_out == 0;
+	return now >= ldg->next_probe_us && ldg->calls_in_flight == 0;
 }
 
 static void ldg_call_start(struct ldg *ldg, struct ldg_shard *shard,
@@ -125,10 +126,10 @@
 	cds_list_add_tail(&out->node, &ldg->calls);
 	shard->call_id = out->call.id;
 	shard->call_op = out->call.op;
-	shard->call_begun_us = now;
-	/* A shell that never answers must not stop the shard for good. */
+	shard->call_started_us = now;
+	/* A call that never gets a reply must not block the shard. */
 	shard->call_deadline_us = now + 2 * ldg->set.call_timeout_us;
-	ldg->calls_out++;
+	ldg->calls_in_flight++;
 }
 
 static void ldg_call_segment(struct ldg *ldg, struct ldg_shard *shard,
@@ -177,9 +178,9 @@
 	out->call.len = strlen(out->call.value);
 }
 
-/* Empties a segment that the head no longer counts as live. */
-static void ldg_call_empty(struct ldg *ldg, struct ldg_shard *shard,
-			   int64_t now)
+/* Empties a segment that the head no longer lists as live. */
+static void ldg_call_empty_segment(struct ldg *ldg, struct ldg_shard *shard,
+				   int64_t now)
 {
 	const struct ldg_seg *seg =
 		cds_list_first_entry(&shard->expired, struct ldg_seg, node);
@@ -195,53 +196,54 @@
 	ldg_call_start(ldg, shard, out, now);
 }
 
-/* The view is read: answers from it, refreshes it, or writes. */
+/* Answers from the cached segments, reads them again, or starts a swap. */
 static void ldg_call_next(struct ldg *ldg, struct ldg_shard *shard, int64_t now)
 {
 	bool need_read = ldg_batch_answer(ldg, shard, now);
 
-	if (cds_list_empty(&shard->work)) {
-		if (shard->head_due)
+	if (cds_list_empty(&shard->queue)) {
+		if (shard->head_dirty)
 			ldg_call_head(ldg, shard, KV_CAS, now);
 		else if (!cds_list_empty(&shard->expired))
-			ldg_call_empty(ldg, shard, now);
+			ldg_call_empty_segment(ldg, shard, now);
 		return;
 	}
 	if (!ldg_take_turn(ldg, shard, now) && !need_read)
 		return;
-	/* A swap from an old version costs a write; a read costs less. */
-	if (shard->contended && now - shard->seen_us > LDG_FRESH_US)
+	/* A swap of an old version wastes a write; a read costs less. */
+	if (shard->contended && now - shard->view_us > LDG_VIEW_MAX_AGE_US)
 		need_read = true;
 	if (need_read) {
 		shard->step = STEP_STALE;
 		ldg_call_segment(ldg, shard, KV_GET, now);
 	} else {
-		shard->has_turn = false;
+		shard->may_swap = false;
 		if (ldg_batch_build(ldg, shard, now))
 			ldg_call_swap(ldg, shard, now);
 	}
 }
 
 /*
- * The shards of an instance take turns at the swaps that its pace allows.  A
- * shard keeps its turn while it reads, or its view would be old again.
+ * The shards of an instance take turns at the swaps that its swap interval
+ * allows.  A shard retains its turn while it reads; otherwise what it read
+ * would be old again when its turn comes.
  */
 static bool ldg_take_turn(struct ldg *ldg, struct ldg_shard *shard, int64_t now)
 {
-	if (shard->has_turn)
+	if (shard->may_swap)
 		return true;
 	if (now < ldg->next_swap_us)
 		return false;
-	shard->has_turn = true;
-	ldg->next_swap_us = now + ldg->pace_us;
+	shard->may_swap = true;
+	ldg->next_swap_us = now + ldg->swap_interval_us;
 	cds_list_del(&shard->node);
 	cds_list_add_tail(&shard->node, &ldg->shards);
 	return true;
 }
 
 /*
- * Segments are never deleted, so a head that is absent, old or unreadable
- * only makes this instance read more of them.
+ * Handles the value of a shard's head.  Segments are never deleted, so a head
+ * that is absent, old or unreadable only makes this instance read more of them.
  */
 static void ldg_reply_head(struct ldg_shard *shard,
 			   const struct kv_reply *reply)
@@ -258,19 +260,19 @@
 	shard->step = STEP_STALE;
 }
 
-/* The head is a hint: whoever lost the swap has nothing to make good. */
+/* The head is only a hint: a swap of it that failed needs no retry. */
 static void ldg_reply_head_swap(struct ldg_shard *shard,
 				const struct kv_reply *reply)
 {
 	if (reply->status == KV_OK)
 		shard->head_version = reply->version;
 	if (reply->status != KV_LIMITED)
-		shard->head_due = false;
+		shard->head_dirty = false;
 }
 
 /*
- * Takes the value of the segment that was current.  If it is sealed, the
- * next one is to be read before anything is known.
+ * Caches the value of the current segment.  If it has been sealed, the next one
+ * must be read before any claim can be answered.
  */
 static void ldg_reply_read(struct ldg *ldg, struct ldg_shard *shard,
 			   const struct kv_reply *reply)
@@ -280,7 +282,7 @@
 
 	if (reply->status == KV_ABSENT) {
 		shard->step = STEP_READY;
-		shard->seen_us = shard->call_begun_us;
+		shard->view_us = shard->call_started_us;
 		return;
 	}
 	if (reply->status != KV_OK)
@@ -292,7 +294,7 @@
 			log_event(LOG_LDG_BAD_SEGMENT, "shard=%s segment=%u",
 				  shard->name, seg->number);
 			ldg_seg_free(seg);
-			ldg->failures = LDG_FAILURES_DOWN;
+			ldg->consecutive_failures = LDG_DOWN_FAILURES;
 			return;
 		}
 		seg->version = reply->version;
@@ -305,12 +307,12 @@
 		}
 	}
 	shard->step = STEP_READY;
-	shard->seen_us = shard->call_begun_us;
+	shard->view_us = shard->call_started_us;
 }
 
-/* A conflict says that another instance emptied it first. */
-static void ldg_reply_empty(struct ldg_shard *shard,
-			    const struct kv_reply *reply)
+/* A conflict means that another instance has emptied the segment already. */
+static void ldg_reply_empty_segment(struct ldg_shard *shard,
+				    const struct kv_reply *reply)
 {
 	struct ldg_seg *seg =
 		cds_list_first_entry(&shard->expired, struct ldg_seg, node);
@@ -327,25 +329,25 @@
 	if (reply->status == KV_OK) {
 		ldg_shard_current(shard)->version = reply->version;
 		ldg_batch_commit(ldg, shard, now);
-		shard->seen_us = shard->call_begun_us;
+		shard->view_us = shard->call_started_us;
 		shard->backoff_us = 0;
-		ldg->pace_us -= ldg->pace_us / 8;
+		ldg->swap_interval_us -= ldg->swap_interval_us / 8;
 		if (shard->batch_seals) {
 			ldg_shard_next_segment(shard);
 			ldg_shard_trim(shard, ldg->wall_offset_ms +
 						      now / MAG_US_PER_MS);
-			shard->head_due = true;
+			shard->head_dirty = true;
 		}
 		return;
 	}
-	ldg_batch_drop(shard, reply->status == KV_LOST);
+	ldg_batch_abort(shard, reply->status == KV_LOST);
 	if (reply->status == KV_CONFLICT || reply->status == KV_LOST)
 		shard->step = STEP_STALE;
 	/*
-	 * Reads have a rate of their own, and a view from after the claim is
-	 * what proves that nothing ran.
+	 * Reads have their own rate limit, and only a read after the claim
+	 * proves that nothing ran.
 	 */
-	if (reply->status == KV_LIMITED && ldg_shard_unseen(shard))
+	if (reply->status == KV_LIMITED && ldg_shard_view_outdated(shard))
 		shard->step = STEP_STALE;
 	if (reply->status == KV_CONFLICT) {
 		shard->contended = true;
@@ -361,7 +363,10 @@
 	cds_list_add_tail(&ldg_seg_new(seg->number + 1)->node, &shard->segs);
 }
 
-/* A random wait that doubles, so that two losers don't meet again. */
+/*
+ * Sets a random wait below a limit that doubles, so that two instances that
+ * conflicted don't conflict again.
+ */
 static void ldg_shard_back_off(struct ldg *ldg, struct ldg_shard *shard,
 			       int64_t now)
 {
@@ -375,61 +380,66 @@
 		now + (int64_t)((ldg->rng >> 33) % (uint64_t)shard->backoff_us);
 }
 
-/* True if a claim that waits is younger than the view of the segments. */
-static bool ldg_shard_unseen(const struct ldg_shard *shard)
+/* Tells whether a waiting claim arrived after the segments were read. */
+static bool ldg_shard_view_outdated(const struct ldg_shard *shard)
 {
 	const struct ldg_att *att;
 
-	cds_list_for_each_entry (att, &shard->work, node) {
+	cds_list_for_each_entry (att, &shard->queue, node) {
 		if (att->state == ATT_WAITING &&
-		    att->arrived_us > shard->seen_us)
+		    att->arrived_us > shard->view_us)
 			return true;
 	}
 	return false;
 }
 
 /*
- * The service refuses calls for their rate, which all instances share.  Fewer
- * swaps, each with more work in it, get more bookings through than retries.
+ * The key-value service has refused a call for the rate, a limit that all
+ * instances share.  Fewer swaps with more records each let more requests
+ * through than retries.
  */
-static void ldg_slow_down(struct ldg *ldg, int64_t now)
+static void ldg_increase_swap_interval(struct ldg *ldg, int64_t now)
 {
-	ldg->pace_us = ldg->pace_us + ldg->pace_us / 2 + LDG_PACE_US;
-	if (ldg->pace_us > LDG_PACE_MAX_US)
-		ldg->pace_us = LDG_PACE_MAX_US;
-	ldg->next_swap_us = now + ldg->pace_us;
+	ldg->swap_interval_us = ldg->swap_interval_us +
+				ldg->swap_interval_us / 2 +
+				LDG_SWAP_INTERVAL_STEP_US;
+	if (ldg->swap_interval_us > LDG_SWAP_INTERVAL_MAX_US)
+		ldg->swap_interval_us = LDG_SWAP_INTERVAL_MAX_US;
+	ldg->next_swap_us = now + ldg->swap_interval_us;
 }
 
-static void ldg_answered(struct ldg *ldg)
+static void ldg_on_answer(struct ldg *ldg)
 {
 	if (ldg->down)
 		log_event(LOG_LDG_UP, "instance=%s", ldg->set.instance);
 	ldg->down = false;
 	ldg->down_backoff_us = 0;
-	ldg->failures = 0;
+	ldg->consecutive_failures = 0;
 }
 
 /*
- * No answer came.  One lost answer is read after; several in a row, or a
- * call that couldn't be made, mean an outage, and then callers hear at once
- * that the records can't be reached instead of waiting for each call's end.
+ * A call got no reply.  After one lost reply the segment is read again.
+ * LDG_DOWN_FAILURES in a row, or a call that could not be sent, mean an outage:
+ * then callers are told at once that the records are unreachable instead of
+ * waiting until each call times out.
  */
-static void ldg_unanswered(struct ldg *ldg, struct ldg_shard *shard,
-			   const struct kv_reply *reply, int64_t now)
+static void ldg_on_no_answer(struct ldg *ldg, struct ldg_shard *shard,
+			     const struct kv_reply *reply, int64_t now)
 {
 	struct ldg_shard *other;
 
-	ldg->failures += reply->status == KV_UNSENT ? LDG_FAILURES_DOWN : 1;
-	if (ldg->failures < LDG_FAILURES_DOWN)
+	ldg->consecutive_failures +=
+		reply->status == KV_UNSENT ? LDG_DOWN_FAILURES : 1;
+	if (ldg->consecutive_failures < LDG_DOWN_FAILURES)
 		return;
 	if (!ldg->down)
 		log_event(LOG_LDG_DOWN, "instance=%s", ldg->set.instance);
 	ldg->down = true;
-	ldg->down_backoff_us =
-		ldg->down_backoff_us ? ldg->down_backoff_us * 2 : LDG_DOWN_US;
-	if (ldg->down_backoff_us > LDG_DOWN_MAX_US)
-		ldg->down_backoff_us = LDG_DOWN_MAX_US;
-	ldg->down_until_us = now + ldg->down_backoff_us;
+	ldg->down_backoff_us = ldg->down_backoff_us ? ldg->down_backoff_us * 2
+						    : LDG_DOWN_BACKOFF_US;
+	if (ldg->down_backoff_us > LDG_DOWN_BACKOFF_MAX_US)
+		ldg->down_backoff_us = LDG_DOWN_BACKOFF_MAX_US;
+	ldg->next_probe_us = now + ldg->down_backoff_us;
 	cds_list_for_each_entry (other, &ldg->shards, node) {
 		if (other == shard || !other->call_id)
 			ldg_shard_refuse_waiting(ldg, other, now);
