--- a/src/front_in.c
+++ b/src/front_in.c
@@ -9,10 +9,10 @@
 #include "ep_header.h"
 #include "front_int.h"
 
-#define FRONT_BEARER	       "Bearer "
-#define FRONT_PREFIX_BYTES     256 /* of a prompt, for affinity to caches */
-#define FRONT_BYTES_PER_TOKEN  4   /* estimate for a prompt's length */
-#define FRONT_ALLOWANCE_MAX_MS 86400000
+#define FRONT_BEARER	      "Bearer "
+#define FRONT_PREFIX_BYTES    256 /* of a prompt, for affinity to caches */
+#define FRONT_BYTES_PER_TOKEN 4	  /* estimate for a prompt's length */
+#define FRONT_TIMEOUT_MAX_MS  86400000
 
 static int read_line(struct front_req *req, const char **why);
 static int read_key(struct front_req *req, const char **why);
@@ -133,7 +133,7 @@
 	errno = 0;
 	value = strtol(text, &end, 10);
 	if (errno || *end || end == text || value < 1 ||
-	    value > FRONT_ALLOWANCE_MAX_MS) {
+	    value > FRONT_TIMEOUT_MAX_MS) {
 		*why = "Magnolia-Deadline-Ms must be a number of milliseconds";
 		return 400;
 	}
--- a/src/front_int.h
+++ b/src/front_int.h
@@ -58,7 +58,7 @@
 	bool stream;
 	char **tokens;
 	uint32_t token_count;
-	uint32_t token_room;
+	uint32_t token_capacity;
 	const struct core_dispatch *running; /* the attempt under way */
 	struct ep_answer answer;
 	bool head_sent;	  /* of a stream */
--- a/src/front_req.c
+++ b/src/front_req.c
@@ -182,15 +182,15 @@
 /* Keeps a token: a later attempt has to be told what was delivered. */
 static bool keep_token(struct front_req *req, const char *text)
 {
-	uint32_t room = req->token_room ? 2 * req->token_room : 64;
+	uint32_t room = req->token_capacity ? 2 * req->token_capacity : 64;
 	char **tokens;
 
-	if (req->token_count == req->token_room) {
+	if (req->token_count == req->token_capacity) {
 		tokens = realloc(req->tokens, room * sizeof(*tokens));
 		if (!tokens)
 			return false;
 		req->tokens = tokens;
-		req->token_room = room;
+		req->token_capacity = room;
 	}
 	req->tokens[req->token_count] = strdup(text);
 	if (!req->tokens[req->token_count])
