--- a/src/ep.c
+++ b/src/ep.c
@@ -74,7 +74,7 @@
 	call->request = request;
 	call->sink = sink;
 	call->answer = answer;
-	call->next = request->dispatch->resume;
+	call->next_token = request->dispatch->resume;
 	call->protocol = ep_protocols[request->dispatch->kind];
 	call->easy = curl_easy_init();
 	if (call->easy && prepare(call) == EP_OK) {
@@ -87,7 +87,7 @@
 		call->protocol->cancel(call);
 	curl_slist_free_all(call->headers);
 	curl_easy_cleanup(call->easy);
-	free(call->sent);
+	free(call->request_body);
 	free(call);
 }
 
@@ -97,11 +97,11 @@
 	char line[512];
 
 	snprintf(line, sizeof(line), "%s: %s", name, value);
-	return ep_add_line(call, line);
+	return ep_add_header_line(call, line);
 }
 
 /* Adds a whole line of a request's head.  Returns 0 or EP_E_MEMORY. */
-int ep_add_line(struct ep_call *call, const char *line)
+int ep_add_header_line(struct ep_call *call, const char *line)
 {
 	struct curl_slist *list = curl_slist_append(call->headers, line);
 
@@ -133,7 +133,7 @@
 
 /* Tells whether the service declares the answer's status as a proof that
  * nothing began, and the answer carries the mark of it. */
-bool ep_status_proves_unbegun(const struct ep_call *call)
+bool ep_status_proves_not_begun(const struct ep_call *call)
 {
 	const int *list = call->request->dispatch->not_begun_status;
 	int i;
@@ -234,14 +234,14 @@
 /* Does what the sink wishes; true ends the transfer. */
 static bool to_cancel(struct ep_call *call)
 {
-	switch (call->sink->wish(call->sink->ctx)) {
+	switch (call->sink->poll(call->sink->ctx)) {
 	case EP_CANCEL:
 		return true;
 	case EP_PROBE:
-		call->answer->silent = call->protocol->probe(call);
-		if (call->answer->silent)
+		call->answer->silent_stages = call->protocol->probe(call);
+		if (call->answer->silent_stages)
 			return true;
-		call->sink->alive(call->sink->ctx);
+		call->sink->on_stages_alive(call->sink->ctx);
 		return false;
 	default:
 		return false;
@@ -271,7 +271,7 @@
 
 	curl_easy_getinfo(call->easy, CURLINFO_RESPONSE_CODE, &status);
 	call->answer->status = (int)status;
-	if (!call->protocol->receive(call, bytes, size * count))
+	if (!call->protocol->receive_body(call, bytes, size * count))
 		return 0;
 	return size * count;
 }
@@ -283,17 +283,17 @@
 	size_t len = size * count;
 	char mark[4] = "";
 
-	copy_header(call->echo, sizeof(call->echo), bytes, len,
-		    "Magnolia-Request");
-	copy_header(call->echo_attempt, sizeof(call->echo_attempt), bytes, len,
-		    "Magnolia-Attempt");
+	copy_header(call->echoed_request, sizeof(call->echoed_request), bytes,
+		    len, "Magnolia-Request");
+	copy_header(call->echoed_attempt, sizeof(call->echoed_attempt), bytes,
+		    len, "Magnolia-Attempt");
 	copy_header(call->answer->content_type,
 		    sizeof(call->answer->content_type), bytes, len,
 		    "Content-Type");
 	copy_header(mark, sizeof(mark), bytes, len, "X-Not-Begun");
 	if (mark[0])
 		call->not_begun = true;
-	return call->protocol->header(call, bytes, len) ? len : 0;
+	return call->protocol->receive_header(call, bytes, len) ? len : 0;
 }
 
 /* Copies a header's value if the line is that header's. */
--- a/src/ep.h
+++ b/src/ep.h
@@ -36,12 +36,12 @@
 	size_t body_len;
 	const char *prompt; /* model: the rest */
 	uint32_t max_tokens;
-	char *const *given; /* tokens delivered so far */
-	uint32_t given_count;
+	char *const *delivered; /* tokens delivered so far */
+	uint32_t delivered_count;
 };
 
-enum ep_wish {
-	EP_GO_ON,
+enum ep_poll_result {
+	EP_CONTINUE,
 	EP_CANCEL,
 	EP_PROBE, /* cancel if a stage gives no sign of life */
 };
@@ -49,19 +49,20 @@
 /* Where the attempt reports to while it runs. */
 struct ep_sink {
 	/* A token with the expected index; false stops the attempt. */
-	bool (*token)(void *ctx, uint32_t index, const char *text,
-		      const uint32_t *hop_us, int hop_count);
+	bool (*on_token)(void *ctx, uint32_t index, const char *text,
+			 const uint32_t *hop_us, int hop_count);
 	/* Called often; says whether the attempt is to go on. */
-	enum ep_wish (*wish)(void *ctx);
+	enum ep_poll_result (*poll)(void *ctx);
 	/* Every stage gave a sign of life; the attempt goes on. */
-	void (*alive)(void *ctx);
+	void (*on_stages_alive)(void *ctx);
 	void *ctx;
 };
 
 struct ep_answer {
 	enum core_end end;
-	int stage;
-	uint32_t silent; /* stages, as bits, that did not answer the probe */
+	int failed_stage;
+	uint32_t silent_stages; /* stages, as bits, that did not answer the
+				   probe */
 	int status;
 	char content_type[EP_TYPE_MAX];
 	char *headers; /* plain: lines for the caller; the caller frees it */
--- a/src/ep_engine.c
+++ b/src/ep_engine.c
@@ -26,8 +26,8 @@
 
 const struct ep_protocol ep_engine = {
 	.prepare = engine_prepare,
-	.header = engine_header,
-	.receive = engine_receive,
+	.receive_header = engine_header,
+	.receive_body = engine_receive,
 	.finish = engine_finish,
 	.probe = ep_engine_probe,
 	.cancel = engine_cancel,
@@ -40,11 +40,11 @@
 	snprintf(url, sizeof(url), "http://%s/v1/generate",
 		 call->request->dispatch->stages[0].address);
 	ep_sse_init(&call->sse, on_event, call);
-	call->sent = engine_body(call);
-	if (!call->sent)
+	call->request_body = engine_body(call);
+	if (!call->request_body)
 		return EP_E_MEMORY;
 	curl_easy_setopt(call->easy, CURLOPT_URL, url);
-	curl_easy_setopt(call->easy, CURLOPT_POSTFIELDS, call->sent);
+	curl_easy_setopt(call->easy, CURLOPT_POSTFIELDS, call->request_body);
 	return ep_add_header(call, "Content-Type", "application/json");
 }
 
@@ -97,7 +97,8 @@
 	uint32_t i;
 
 	for (i = 0; i < request->dispatch->resume; i++)
-		json_array_append_new(given, json_string(request->given[i]));
+		json_array_append_new(given,
+				      json_string(request->delivered[i]));
 	return given;
 }
 
@@ -117,13 +118,13 @@
 
 	if (!json_is_object(object) || !ids_match(call, object)) {
 		/* Another request's token must not reach this caller. */
-		call->wrong = true;
+		call->invalid = true;
 		rc = -1;
 	} else if (strcmp(name, "done") == 0) {
 		on_done(call, object);
 	} else if (strcmp(name, "failed") == 0) {
 		on_failed(call, object);
-	} else if (name[0] == '\0' && !call->ended) {
+	} else if (name[0] == '\0' && !call->stream_ended) {
 		rc = on_token(call, object);
 	}
 	json_decref(object);
@@ -143,27 +144,28 @@
 	int hops;
 
 	if (!text || index < 0) {
-		call->wrong = true;
+		call->invalid = true;
 		return -1;
 	}
-	if (index < (json_int_t)call->next)
+	if (index < (json_int_t)call->next_token)
 		return 0;
-	if (index > (json_int_t)call->next) {
-		call->wrong = true;
+	if (index > (json_int_t)call->next_token) {
+		call->invalid = true;
 		return -1;
 	}
 	hops = read_hops(object, hop_us);
-	if (!call->sink->token(call->sink->ctx, call->next, text, hop_us, hops))
+	if (!call->sink->on_token(call->sink->ctx, call->next_token, text,
+				  hop_us, hops))
 		return -1;
-	call->next++;
+	call->next_token++;
 	return 0;
 }
 
 static void on_failed(struct ep_call *call, const json_t *object)
 {
-	call->ended = true;
+	call->stream_ended = true;
 	call->answer->end = CORE_END_STAGE;
-	call->answer->stage =
+	call->answer->failed_stage =
 		(int)json_integer_value(json_object_get(object, "stage"));
 }
 
@@ -173,11 +175,11 @@
 	json_int_t tokens =
 		json_integer_value(json_object_get(object, "tokens"));
 
-	call->ended = true;
-	if (tokens == (json_int_t)call->next)
+	call->stream_ended = true;
+	if (tokens == (json_int_t)call->next_token)
 		call->answer->end = CORE_END_WHOLE;
 	else
-		call->wrong = true;
+		call->invalid = true;
 }
 
 static bool ids_match(const struct ep_call *call, const json_t *object)
@@ -208,14 +210,14 @@
 {
 	struct ep_answer *answer = call->answer;
 
-	if (call->wrong)
+	if (call->invalid)
 		answer->end = CORE_END_WRONG;
-	else if (call->ended)
+	else if (call->stream_ended)
 		return;
 	else if (code != CURLE_OK)
 		answer->end = ep_never_sent(call, code) ? CORE_END_UNSENT
 							: CORE_END_CUT;
-	else if (ep_status_proves_unbegun(call))
+	else if (ep_status_proves_not_begun(call))
 		answer->end = CORE_END_REFUSED;
 	else if (answer->status != 200)
 		answer->end = CORE_END_STATUS;
--- a/src/ep_plain.c
+++ b/src/ep_plain.c
@@ -18,8 +18,8 @@
 
 const struct ep_protocol ep_plain = {
 	.prepare = plain_prepare,
-	.header = plain_header,
-	.receive = plain_receive,
+	.receive_header = plain_header,
+	.receive_body = plain_receive,
 	.finish = plain_finish,
 	.probe = plain_probe,
 	.cancel = plain_cancel,
@@ -45,7 +45,7 @@
 	}
 	curl_easy_setopt(call->easy, CURLOPT_CUSTOMREQUEST, request->method);
 	for (i = 0; i < request->header_count; i++) {
-		if (ep_add_line(call, request->headers[i]))
+		if (ep_add_header_line(call, request->headers[i]))
 			return EP_E_MEMORY;
 	}
 	if (request->content_type &&
@@ -77,7 +77,7 @@
 							: CORE_END_CUT;
 	else if (echo_is_wrong(call))
 		answer->end = CORE_END_WRONG;
-	else if (ep_status_proves_unbegun(call))
+	else if (ep_status_proves_not_begun(call))
 		answer->end = CORE_END_REFUSED;
 	else if (answer->status >= HTTP_SERVER_ERROR)
 		answer->end = CORE_END_STATUS;
@@ -91,10 +91,11 @@
 
 	snprintf(attempt, sizeof(attempt), "%u",
 		 call->request->dispatch->attempt);
-	if (call->echo[0] && strcmp(call->echo, call->request->id) != 0)
+	if (call->echoed_request[0] &&
+	    strcmp(call->echoed_request, call->request->id) != 0)
 		return true;
-	return call->echo_attempt[0] &&
-	       strcmp(call->echo_attempt, attempt) != 0;
+	return call->echoed_attempt[0] &&
+	       strcmp(call->echoed_attempt, attempt) != 0;
 }
 
 /* Closing the connection is all that a plain service can be told. */
--- a/src/ep_sse.c
+++ b/src/ep_sse.c
@@ -31,7 +31,7 @@
 	for (i = 0; i < len; i++) {
 		if (bytes[i] != '\n') {
 			if (sse->line_len + 1 >= sizeof(sse->line))
-				return EP_SSE_E_LONG;
+				return EP_SSE_E_TOO_LONG;
 			sse->line[sse->line_len++] = bytes[i];
 			continue;
 		}
@@ -81,7 +81,7 @@
 	size_t len = strlen(value);
 
 	if (len >= sizeof(sse->name))
-		return EP_SSE_E_LONG;
+		return EP_SSE_E_TOO_LONG;
 	memcpy(sse->name, value, len + 1);
 	return EP_SSE_OK;
 }
@@ -92,7 +92,7 @@
 	size_t len = strlen(value);
 
 	if (sse->data_len + len + 2 >= sizeof(sse->data))
-		return EP_SSE_E_LONG;
+		return EP_SSE_E_TOO_LONG;
 	if (sse->has_data)
 		sse->data[sse->data_len++] = '\n';
 	memcpy(sse->data + sse->data_len, value, len);
--- a/src/ep_sse.h
+++ b/src/ep_sse.h
@@ -10,8 +10,8 @@
 
 enum ep_sse_err {
 	EP_SSE_OK = 0,
-	EP_SSE_E_LONG = -1,    /* a line or name beyond its bound */
-	EP_SSE_E_STOPPED = -2, /* the handler asked to stop */
+	EP_SSE_E_TOO_LONG = -1, /* a line or name beyond its bound */
+	EP_SSE_E_STOPPED = -2,	/* the handler asked to stop */
 };
 
 /* Takes one event; a value other than 0 stops the reading. */
--- a/src/front_req.c
+++ b/src/front_req.c
@@ -14,7 +14,7 @@
 		       const struct core_dispatch *dispatch);
 static bool on_token(void *ctx, uint32_t index, const char *text,
 		     const uint32_t *hop_us, int hop_count);
-static enum ep_wish on_poll(void *ctx);
+static enum ep_poll_result on_poll(void *ctx);
 static void on_alive(void *ctx);
 static bool keep_token(struct front_req *req, const char *text);
 static void post_progress(struct front_req *req, const uint32_t *hop_us,
@@ -87,13 +87,13 @@
 		.prompt =
 			json_string_value(json_object_get(req->json, "prompt")),
 		.max_tokens = req->arrival.max_tokens,
-		.given = req->tokens,
-		.given_count = req->token_count,
+		.delivered = req->tokens,
+		.delivered_count = req->token_count,
 	};
 	struct ep_sink sink = {
-		.token = on_token,
-		.wish = on_poll,
-		.alive = on_alive,
+		.on_token = on_token,
+		.poll = on_poll,
+		.on_stages_alive = on_alive,
 		.ctx = req,
 	};
 
@@ -115,8 +115,8 @@
 	event.ended.req = req->id;
 	event.ended.attempt = dispatch->attempt;
 	event.ended.end = req->answer.end;
-	event.ended.stage = req->answer.stage;
-	event.ended.silent = req->answer.silent;
+	event.ended.stage = req->answer.failed_stage;
+	event.ended.silent = req->answer.silent_stages;
 	event.ended.status = req->answer.status;
 	event.ended.tokens = req->token_count;
 	if (req->answer.end == CORE_END_WHOLE && dispatch->downstream_key[0])
@@ -148,11 +148,11 @@
  * Looks at what the core has said meanwhile.  A final answer goes out while
  * the attempt still runs; the result says whether the attempt goes on.
  */
-static enum ep_wish on_poll(void *ctx)
+static enum ep_poll_result on_poll(void *ctx)
 {
 	struct front_req *req = ctx;
 	struct core_action action;
-	enum ep_wish wish = EP_GO_ON;
+	enum ep_poll_result wish = EP_CONTINUE;
 
 	while (take_action(req, &action, false)) {
 		if (action.type == CORE_ACT_ANSWER) {
