--- a/bench/bench_ledger.c
+++ b/bench/bench_ledger.c
@@ -213,7 +213,7 @@
 	slot->reply_us = sim_now + latency;
 	call_count[read]++;
 	if (c->outage && sim_now >= OUTAGE_FROM_US && sim_now < OUTAGE_TO_US) {
-		slot->reply.status = KV_LOST; /* it hangs */
+		slot->reply.status = KV_NO_ANSWER; /* it hangs */
 		slot->apply_us = MAG_NEVER;
 		slot->reply_us = call->deadline_us;
 		return;
@@ -221,7 +221,7 @@
 	if (bucket_us[read] < sim_now)
 		bucket_us[read] = sim_now;
 	if (bucket_us[read] > sim_now + BURST_US) {
-		slot->reply.status = KV_LIMITED;
+		slot->reply.status = KV_RATE_LIMITED;
 		slot->apply_us = MAG_NEVER;
 		slot->reply_us = sim_now + REFUSE_US;
 		limited++;
--- a/regress/check_gate.c
+++ b/regress/check_gate.c
@@ -44,10 +44,12 @@
 	if (strcmp(word, "seed") == 0)
 		pf_gate_init(gate, (uint64_t)at);
 	if (strcmp(word, "budget") == 0)
-		pf_gate_budget(gate, a, b, now);
-	if (strcmp(word, "answered") == 0 && pf_gate_result(gate, true, now))
+		pf_gate_set_budget(gate, a, b, now);
+	if (strcmp(word, "answered") == 0 &&
+	    pf_gate_record_result(gate, true, now))
 		fprintf(out, "%ld up\n", at);
-	if (strcmp(word, "failed") == 0 && pf_gate_result(gate, false, now))
+	if (strcmp(word, "failed") == 0 &&
+	    pf_gate_record_result(gate, false, now))
 		fprintf(out, "%ld down\n", at);
 	if (strcmp(word, "failed") == 0 && gate->down)
 		fprintf(out, "%ld next probe at %ld\n", at,
@@ -55,7 +57,7 @@
 	if (strcmp(word, "ask") != 0)
 		return;
 	while (a-- > 0)
-		counts[pf_gate_ask(gate, now)]++;
+		counts[pf_gate_admit(gate, now)]++;
 	fprintf(out, "%ld pass %d, over budget %d, paused %d\n", at,
 		counts[PF_GATE_PASS], counts[PF_GATE_OVER_BUDGET],
 		counts[PF_GATE_PAUSED]);
--- a/regress/check_ldg.c
+++ b/regress/check_ldg.c
@@ -204,10 +204,10 @@
 	c->at_us = drv_now + DRV_LATENCY / 2;
 	switch (c->fault) {
 	case FAULT_REFUSE:
-		c->reply.status = KV_UNSENT;
+		c->reply.status = KV_NOT_SENT;
 		return;
 	case FAULT_LIMIT:
-		c->reply.status = KV_LIMITED;
+		c->reply.status = KV_RATE_LIMITED;
 		return;
 	case FAULT_LATE:
 		c->phase = CALL_LATE;
@@ -221,14 +221,14 @@
 	}
 	drv_carry_out(c);
 	if (c->fault == FAULT_LOSE)
-		c->reply.status = KV_LOST;
+		c->reply.status = KV_NO_ANSWER;
 }
 
 /* The sender of a late write hears nothing; the write itself stays. */
 static void drv_lose_late(struct drv_call *c)
 {
 	struct drv_router *r = &routers[c->router];
-	struct kv_reply lost = { .id = c->call.id, .status = KV_LOST };
+	struct kv_reply lost = { .id = c->call.id, .status = KV_NO_ANSWER };
 
 	c->at_us = MAG_NEVER;
 	if (r->ldg && r->incarnation == c->incarnation)
--- a/regress/check_matrix.c
+++ b/regress/check_matrix.c
@@ -665,7 +665,7 @@
 	*lost = *c;
 	lost->applied = true;
 	lost->call.value = NULL;
-	lost->reply.status = KV_LOST;
+	lost->reply.status = KV_NO_ANSWER;
 	lost->reply_us = c->call.deadline_us;
 	c->incarnation = 0; /* nobody waits for this one */
 	c->call.deadline_us = MAG_NEVER;
@@ -684,7 +684,7 @@
 	c->applied = true;
 	c->reply.status = KV_OK;
 	if (kv_down_until > now) {
-		c->reply.status = KV_UNSENT;
+		c->reply.status = KV_NOT_SENT;
 	} else if (c->call.op == KV_GET && !cell->version) {
 		c->reply.status = KV_ABSENT;
 	} else if (c->call.op == KV_GET) {
@@ -698,14 +698,14 @@
 		cell->version++;
 		if (kv_lose) {
 			kv_lose = false;
-			c->reply.status = KV_LOST;
+			c->reply.status = KV_NO_ANSWER;
 			c->reply_us = c->call.deadline_us;
 		}
 	}
 	c->reply.version = cell->version;
 	if (c->reply_us > c->call.deadline_us) {
 		c->reply_us = c->call.deadline_us;
-		c->reply.status = KV_LOST;
+		c->reply.status = KV_NO_ANSWER;
 	}
 }
 
--- a/regress/check_plc.c
+++ b/regress/check_plc.c
@@ -88,14 +88,15 @@
 /* The platform's side of a lease. */
 static void lease(struct run *run, struct holder *holder)
 {
-	struct kv_reply reply = { .id = holder->call.id, .status = KV_UNSENT };
+	struct kv_reply reply = { .id = holder->call.id,
+				  .status = KV_NOT_SENT };
 	bool free_now = run->now >= run->lease_until;
 	const char *name = holder->call.value;
 
 	bool down = run->platform_down || holder->cut;
 
 	holder->call_running = false;
-	if (!down && holder->call.op == KV_LEASE_DROP) {
+	if (!down && holder->call.op == KV_LEASE_RELEASE) {
 		run->lease_until = 0;
 		reply.status = KV_OK;
 	} else if (!down) {
--- a/regress/check_pub.c
+++ b/regress/check_pub.c
@@ -129,7 +129,7 @@
 	if (!any && call->op != KV_CAS)
 		return false;
 	w.left--;
-	reply->status = KV_LOST;
+	reply->status = KV_NO_ANSWER;
 	if (strcmp(kind, "first") == 0) {
 		snprintf(line, sizeof(line), "%s", w.line);
 		do_line(line);
@@ -142,9 +142,9 @@
 		w.late = *call;
 		w.late.value = strndup(call->value, call->len);
 	} else if (strcmp(kind, "unsent") == 0) {
-		reply->status = KV_UNSENT;
+		reply->status = KV_NOT_SENT;
 	} else if (strcmp(kind, "limited") == 0) {
-		reply->status = KV_LIMITED;
+		reply->status = KV_RATE_LIMITED;
 	}
 	return true;
 }
--- a/regress/net.h
+++ b/regress/net.h
@@ -250,7 +250,7 @@
 		return;
 	node->call_running = false;
 	reply.id = node->call_id;
-	reply.status = KV_UNSENT;
+	reply.status = KV_NOT_SENT;
 	if (!net->platform_down && !net->platform_cut[i]) {
 		reply.status = KV_OK;
 		reply.value = net_list(net, i, &reply.len);
--- a/regress/tool_kv.c
+++ b/regress/tool_kv.c
@@ -23,9 +23,9 @@
 	[KV_OK] = "ok",
 	[KV_ABSENT] = "absent",
 	[KV_CONFLICT] = "conflict",
-	[KV_LIMITED] = "limited",
-	[KV_UNSENT] = "unsent",
-	[KV_LOST] = "lost",
+	[KV_RATE_LIMITED] = "limited",
+	[KV_NOT_SENT] = "unsent",
+	[KV_NO_ANSWER] = "lost",
 };
 
 static const char *const op_names[KV_OP_COUNT] = {
@@ -33,10 +33,10 @@
 	[KV_WATCH] = "watch",
 	[KV_CAS] = "cas",
 	[KV_DELETE] = "delete",
-	[KV_LEASE_TAKE] = "take",
-	[KV_LEASE_DROP] = "drop",
+	[KV_LEASE_ACQUIRE] = "take",
+	[KV_LEASE_RELEASE] = "drop",
 	[KV_INSTANCES] = "instances",
-	[KV_LOADS] = "loads",
+	[KV_LOAD_REPORTS] = "loads",
 };
 
 static void tool_call(struct pf *pf, const char *line)
@@ -63,7 +63,7 @@
 	call.op = op;
 	call.version = strtoull(words[2], NULL, 10);
 	call.value = words[3];
-	if (op == KV_LEASE_TAKE || op == KV_LEASE_DROP) {
+	if (op == KV_LEASE_ACQUIRE || op == KV_LEASE_RELEASE) {
 		call.value = words[2];
 		call.ttl_ms = (uint32_t)atoi(words[3]);
 	}
--- a/src/cnt.h
+++ b/src/cnt.h
@@ -63,8 +63,8 @@
 	CNT_COUNTER(CNT_PF_WATCHES, "platform_watches_total", "watches, each counted once however long it waits") \
 	CNT_COUNTER(CNT_PF_SWAPS, "platform_swaps_total", "compare-and-swap writes") \
 	CNT_COUNTER(CNT_PF_DELETES, "platform_deletes_total", "deletions of a key") \
-	CNT_COUNTER(CNT_PF_LEASE_TAKES, "platform_lease_takes_total", "leases taken or renewed") \
-	CNT_COUNTER(CNT_PF_LEASE_DROPS, "platform_lease_drops_total", "leases given back") \
+	CNT_COUNTER(CNT_PF_LEASE_ACQUIRES, "platform_lease_takes_total", "leases taken or renewed") \
+	CNT_COUNTER(CNT_PF_LEASE_RELEASES, "platform_lease_drops_total", "leases given back") \
 	CNT_COUNTER(CNT_PF_INSTANCES, "platform_instance_lists_total", "reads of the list of instances") \
 	CNT_COUNTER(CNT_PF_LOADS, "platform_load_reports_total", "reads of the load reports") \
 	CNT_COUNTER(CNT_PF_FAILURES, "platform_failures_total", "calls that got no answer")
--- a/src/kv.h
+++ b/src/kv.h
@@ -15,28 +15,28 @@
 
 enum kv_op {
 	KV_GET,
-	KV_WATCH,      /* waits until the version differs, or the deadline */
-	KV_CAS,	       /* version 0: create if absent */
-	KV_DELETE,     /* only at the given version */
-	KV_LEASE_TAKE, /* also renews; value is the holder's name */
-	KV_LEASE_DROP,
-	KV_INSTANCES, /* the lagging list */
-	KV_LOADS,     /* load reports */
+	KV_WATCH,	  /* waits until the version differs, or the deadline */
+	KV_CAS,		  /* version 0: create if absent */
+	KV_DELETE,	  /* only at the given version */
+	KV_LEASE_ACQUIRE, /* also renews; value is the holder's name */
+	KV_LEASE_RELEASE,
+	KV_INSTANCES,	 /* the lagging list */
+	KV_LOAD_REPORTS, /* load reports */
 	KV_OP_COUNT
 };
 
 /*
- * How a call ended.  KV_LOST says that the call was sent and no answer came:
- * a write may have landed or may still land.  KV_UNSENT says that it can
- * never land.
+ * How a call ended.  KV_NO_ANSWER says that the call was sent and no answer
+ * came: a write may have landed or may still land.  KV_NOT_SENT says that it
+ * can never land.
  */
 enum kv_status {
 	KV_OK,
-	KV_ABSENT,   /* no such key */
-	KV_CONFLICT, /* another version, or the lease is another's */
-	KV_LIMITED,  /* refused for its rate; nothing changed */
-	KV_UNSENT,
-	KV_LOST,
+	KV_ABSENT,	 /* no such key */
+	KV_CONFLICT,	 /* another version, or the lease is another's */
+	KV_RATE_LIMITED, /* refused for its rate; nothing changed */
+	KV_NOT_SENT,
+	KV_NO_ANSWER,
 };
 
 struct kv_call {
@@ -44,10 +44,10 @@
 	enum kv_op op;
 	char key[KV_KEY_MAX];
 	uint64_t version; /* KV_CAS, KV_DELETE: the version it replaces */
-	char *value;	  /* KV_CAS, KV_LEASE_TAKE; the shell frees it */
+	char *value;	  /* KV_CAS, KV_LEASE_ACQUIRE; the shell frees it */
 	size_t len;
 	int64_t deadline_us;
-	uint32_t ttl_ms; /* KV_LEASE_TAKE */
+	uint32_t ttl_ms; /* KV_LEASE_ACQUIRE */
 };
 
 struct kv_reply {
--- a/src/ldg.c
+++ b/src/ldg.c
@@ -295,7 +295,7 @@
 static void ldg_call_overdue(struct ldg *ldg, struct ldg_shard *shard,
 			     int64_t now)
 {
-	struct kv_reply lost = { .id = shard->call_id, .status = KV_LOST };
+	struct kv_reply lost = { .id = shard->call_id, .status = KV_NO_ANSWER };
 
 	if (shard->call_id && shard->call_deadline_us <= now)
 		ldg_shard_reply(ldg, shard, &lost, now);
--- a/src/ldg_call.c
+++ b/src/ldg_call.c
@@ -65,13 +65,14 @@
 void ldg_shard_reply(struct ldg *ldg, struct ldg_shard *shard,
 		     const struct kv_reply *reply, int64_t now)
 {
-	bool answered = reply->status != KV_UNSENT && reply->status != KV_LOST;
+	bool answered =
+		reply->status != KV_NOT_SENT && reply->status != KV_NO_ANSWER;
 
 	shard->call_id = 0;
 	ldg->calls_out--;
 	if (answered)
 		ldg_answered(ldg);
-	if (reply->status == KV_LIMITED) {
+	if (reply->status == KV_RATE_LIMITED) {
 		ldg_shard_back_off(ldg, shard, now);
 		ldg_slow_down(ldg, now);
 	}
@@ -264,7 +265,7 @@
 {
 	if (reply->status == KV_OK)
 		shard->head_version = reply->version;
-	if (reply->status != KV_LIMITED)
+	if (reply->status != KV_RATE_LIMITED)
 		shard->head_due = false;
 }
 
@@ -315,7 +316,7 @@
 	struct ldg_seg *seg =
 		cds_list_first_entry(&shard->expired, struct ldg_seg, node);
 
-	if (reply->status == KV_LIMITED || reply->status == KV_UNSENT)
+	if (reply->status == KV_RATE_LIMITED || reply->status == KV_NOT_SENT)
 		return;
 	cds_list_del(&seg->node);
 	ldg_seg_free(seg);
@@ -338,14 +339,14 @@
 		}
 		return;
 	}
-	ldg_batch_drop(shard, reply->status == KV_LOST);
-	if (reply->status == KV_CONFLICT || reply->status == KV_LOST)
+	ldg_batch_drop(shard, reply->status == KV_NO_ANSWER);
+	if (reply->status == KV_CONFLICT || reply->status == KV_NO_ANSWER)
 		shard->step = STEP_STALE;
 	/*
 	 * Reads have a rate of their own, and a view from after the claim is
 	 * what proves that nothing ran.
 	 */
-	if (reply->status == KV_LIMITED && ldg_shard_unseen(shard))
+	if (reply->status == KV_RATE_LIMITED && ldg_shard_unseen(shard))
 		shard->step = STEP_STALE;
 	if (reply->status == KV_CONFLICT) {
 		shard->contended = true;
@@ -419,7 +420,7 @@
 {
 	struct ldg_shard *other;
 
-	ldg->failures += reply->status == KV_UNSENT ? LDG_FAILURES_DOWN : 1;
+	ldg->failures += reply->status == KV_NOT_SENT ? LDG_FAILURES_DOWN : 1;
 	if (ldg->failures < LDG_FAILURES_DOWN)
 		return;
 	if (!ldg->down)
--- a/src/pf.c
+++ b/src/pf.c
@@ -106,12 +106,13 @@
 	[KV_WATCH] = { "GET", false, CNT_PF_WATCHES, pf_prepare_watch },
 	[KV_CAS] = { "PUT", true, CNT_PF_SWAPS, pf_prepare_write },
 	[KV_DELETE] = { "DELETE", true, CNT_PF_DELETES, pf_prepare_write },
-	[KV_LEASE_TAKE] = { "POST", true, CNT_PF_LEASE_TAKES, pf_prepare_take },
-	[KV_LEASE_DROP] = { "DELETE", true, CNT_PF_LEASE_DROPS,
-			    pf_prepare_drop },
+	[KV_LEASE_ACQUIRE] = { "POST", true, CNT_PF_LEASE_ACQUIRES,
+			       pf_prepare_take },
+	[KV_LEASE_RELEASE] = { "DELETE", true, CNT_PF_LEASE_RELEASES,
+			       pf_prepare_drop },
 	[KV_INSTANCES] = { "GET", false, CNT_PF_INSTANCES,
 			   pf_prepare_instances },
-	[KV_LOADS] = { "GET", false, CNT_PF_LOADS, pf_prepare_loads },
+	[KV_LOAD_REPORTS] = { "GET", false, CNT_PF_LOADS, pf_prepare_loads },
 };
 
 /*
@@ -164,12 +165,12 @@
 
 /*
  * Sets the most calls a second (0: no bound) and at once.  Calls over the
- * budget end as KV_LIMITED without reaching the service.
+ * budget end as KV_RATE_LIMITED without reaching the service.
  */
 void pf_set_budget(struct pf *pf, uint32_t calls_per_s, uint32_t burst)
 {
 	pthread_mutex_lock(&pf->lock);
-	pf_gate_budget(&pf->gate, calls_per_s, burst, clk_now_us());
+	pf_gate_set_budget(&pf->gate, calls_per_s, burst, clk_now_us());
 	pthread_mutex_unlock(&pf->lock);
 }
 
@@ -183,13 +184,13 @@
 void pf_set_seed(struct pf *pf, uint64_t seed)
 {
 	pthread_mutex_lock(&pf->lock);
-	pf_gate_seed(&pf->gate, seed);
+	pf_gate_set_seed(&pf->gate, seed);
 	pthread_mutex_unlock(&pf->lock);
 }
 
 /*
  * Makes the calls under way end, within about a second, and every later call
- * end as KV_UNSENT; for a stop that must not wait for a watch.
+ * end as KV_NOT_SENT; for a stop that must not wait for a watch.
  */
 void pf_interrupt(struct pf *pf)
 {
@@ -217,14 +218,14 @@
 
 	memset(reply, 0, sizeof(*reply));
 	reply->id = call->id;
-	reply->status = KV_UNSENT;
+	reply->status = KV_NOT_SENT;
 	if (call->deadline_us <= clk_now_us() ||
 	    atomic_load(&req.pf->interrupted))
 		return;
 	verdict = pf_admit_paced(req.pf, call->deadline_us);
 	if (verdict != PF_GATE_PASS) {
 		if (verdict == PF_GATE_OVER_BUDGET)
-			reply->status = KV_LIMITED;
+			reply->status = KV_RATE_LIMITED;
 		return;
 	}
 	cnt_add(CNT_PF_CALLS, 1);
@@ -239,20 +240,20 @@
 {
 	struct pf *pf = req->pf;
 	struct pf_handle *handle = pf_handle_get(pf);
-	enum kv_status status = KV_UNSENT;
+	enum kv_status status = KV_NOT_SENT;
 	size_t first = atomic_load(&pf->preferred);
 	size_t at;
 	size_t i;
 
 	if (!handle)
-		return KV_UNSENT;
-	for (i = 0; i < pf->address_count && status == KV_UNSENT; i++) {
+		return KV_NOT_SENT;
+	for (i = 0; i < pf->address_count && status == KV_NOT_SENT; i++) {
 		at = (first + i) % pf->address_count;
 		status = pf_try(req, handle->curl, pf->addresses[at]);
 	}
-	if (status == KV_LOST)
+	if (status == KV_NO_ANSWER)
 		at = (at + 1) % pf->address_count;
-	if (status != KV_UNSENT)
+	if (status != KV_NOT_SENT)
 		atomic_store(&pf->preferred, at);
 	pf_handle_put(pf, handle);
 	return status;
@@ -265,11 +266,11 @@
 	const struct pf_op *op = &pf_ops[req->call->op];
 	int64_t left_ms =
 		(req->call->deadline_us - clk_now_us()) / MAG_US_PER_MS;
-	enum kv_status status = KV_UNSENT;
+	enum kv_status status = KV_NOT_SENT;
 	CURLcode code;
 
 	if (left_ms <= 0)
-		return KV_UNSENT;
+		return KV_NOT_SENT;
 	req->headers = NULL;
 	req->body = NULL;
 	req->answer_len = 0;
@@ -336,11 +337,11 @@
 	long sent = 0;
 
 	if (code == CURLE_COULDNT_CONNECT)
-		return KV_UNSENT;
+		return KV_NOT_SENT;
 	if (curl_easy_getinfo(curl, CURLINFO_REQUEST_SIZE, &sent) == CURLE_OK &&
 	    sent == 0)
-		return KV_UNSENT;
-	return KV_LOST;
+		return KV_NOT_SENT;
+	return KV_NO_ANSWER;
 }
 
 /* Turns the service's answer into the reply. */
@@ -355,7 +356,7 @@
 	case PF_HTTP_OK:
 	case PF_HTTP_CREATED:
 	case PF_HTTP_NO_CONTENT:
-		if (req->call->op == KV_LEASE_TAKE)
+		if (req->call->op == KV_LEASE_ACQUIRE)
 			pf_take_fence(req);
 		if (pf_ops[req->call->op].writes)
 			return KV_OK;
@@ -364,7 +365,7 @@
 		req->answer = NULL;
 		if (!reply->value)
 			reply->value = calloc(1, 1);
-		return reply->value ? KV_OK : KV_LOST;
+		return reply->value ? KV_OK : KV_NO_ANSWER;
 	case PF_HTTP_UNCHANGED:
 		reply->version = req->call->version;
 		return KV_OK;
@@ -373,9 +374,9 @@
 	case PF_HTTP_CONFLICT:
 		return KV_CONFLICT;
 	case PF_HTTP_LIMITED:
-		return KV_LIMITED;
+		return KV_RATE_LIMITED;
 	default:
-		return KV_LOST;
+		return KV_NO_ANSWER;
 	}
 }
 
@@ -496,7 +497,7 @@
 	enum pf_gate_verdict verdict;
 
 	pthread_mutex_lock(&pf->lock);
-	verdict = pf_gate_ask(&pf->gate, clk_now_us());
+	verdict = pf_gate_admit(&pf->gate, clk_now_us());
 	pthread_mutex_unlock(&pf->lock);
 	return verdict;
 }
@@ -504,14 +505,14 @@
 /* Tells the gate how a call ended, and logs a change of reach. */
 static void pf_note_result(struct pf *pf, enum kv_status status)
 {
-	bool reached = status != KV_UNSENT && status != KV_LOST;
+	bool reached = status != KV_NOT_SENT && status != KV_NO_ANSWER;
 	bool changed;
 	bool down;
 
 	if (atomic_load(&pf->interrupted))
 		return;
 	pthread_mutex_lock(&pf->lock);
-	changed = pf_gate_result(&pf->gate, reached, clk_now_us());
+	changed = pf_gate_record_result(&pf->gate, reached, clk_now_us());
 	down = pf->gate.down;
 	pthread_mutex_unlock(&pf->lock);
 	if (!reached)
--- a/src/pf_gate.c
+++ b/src/pf_gate.c
@@ -15,26 +15,26 @@
 void pf_gate_init(struct pf_gate *gate, uint64_t seed)
 {
 	memset(gate, 0, sizeof(*gate));
-	pf_gate_seed(gate, seed);
+	pf_gate_set_seed(gate, seed);
 }
 
 /*
  * Sets the seed of the pauses.  It is mixed first (splitmix64), as instances
  * with neighbouring seeds would otherwise draw nearly the same pauses.
  */
-void pf_gate_seed(struct pf_gate *gate, uint64_t seed)
+void pf_gate_set_seed(struct pf_gate *gate, uint64_t seed)
 {
 	uint64_t mixed = seed + UINT64_C(0x9e3779b97f4a7c15);
 
 	mixed = (mixed ^ (mixed >> 30)) * UINT64_C(0xbf58476d1ce4e5b9);
 	mixed = (mixed ^ (mixed >> 27)) * UINT64_C(0x94d049bb133111eb);
 	mixed ^= mixed >> 31;
-	gate->random = mixed ? mixed : 1;
+	gate->rng_state = mixed ? mixed : 1;
 }
 
 /* Sets the most calls a second and at once; calls_per_s 0 lifts it. */
-void pf_gate_budget(struct pf_gate *gate, uint32_t calls_per_s, uint32_t burst,
-		    int64_t now)
+void pf_gate_set_budget(struct pf_gate *gate, uint32_t calls_per_s,
+			uint32_t burst, int64_t now)
 {
 	gate->calls_per_s = calls_per_s;
 	gate->burst = burst ? burst : calls_per_s;
@@ -50,7 +50,7 @@
  * service again.  The sign of such a burst would be refusals for the rate
  * right after platform-reachable.
  */
-enum pf_gate_verdict pf_gate_ask(struct pf_gate *gate, int64_t now)
+enum pf_gate_verdict pf_gate_admit(struct pf_gate *gate, int64_t now)
 {
 	double refill;
 
@@ -76,17 +76,17 @@
  * Notes how a call ended.  Returns true if the service has just gone down or
  * come back, which gate->down tells.
  */
-bool pf_gate_result(struct pf_gate *gate, bool reached, int64_t now)
+bool pf_gate_record_result(struct pf_gate *gate, bool reached, int64_t now)
 {
 	bool was_down = gate->down;
 
 	if (reached) {
-		gate->failures = 0;
+		gate->consecutive_failures = 0;
 		gate->down = false;
 		return was_down;
 	}
-	gate->failures++;
-	if (gate->failures < PF_GATE_FAILURES_DOWN)
+	gate->consecutive_failures++;
+	if (gate->consecutive_failures < PF_GATE_FAILURES_DOWN)
 		return false;
 	gate->down = true;
 	gate->retry_at_us = now + pf_gate_pause(gate);
@@ -96,7 +96,7 @@
 /* A pause that doubles with the failures, times 0.5 to 1.5. */
 static int64_t pf_gate_pause(struct pf_gate *gate)
 {
-	uint32_t shift = gate->failures - PF_GATE_FAILURES_DOWN;
+	uint32_t shift = gate->consecutive_failures - PF_GATE_FAILURES_DOWN;
 	int64_t pause;
 
 	if (shift > PF_GATE_SHIFT_MAX)
@@ -110,8 +110,8 @@
 /* xorshift64*: small, and the same for the same seed on every machine. */
 static uint64_t pf_gate_random(struct pf_gate *gate)
 {
-	gate->random ^= gate->random >> 12;
-	gate->random ^= gate->random << 25;
-	gate->random ^= gate->random >> 27;
-	return (gate->random * UINT64_C(2685821657736338717)) >> 33;
+	gate->rng_state ^= gate->rng_state >> 12;
+	gate->rng_state ^= gate->rng_state << 25;
+	gate->rng_state ^= gate->rng_state >> 27;
+	return (gate->rng_state * UINT64_C(2685821657736338717)) >> 33;
 }
--- a/src/pf_gate.h
+++ b/src/pf_gate.h
@@ -21,17 +21,17 @@
 	uint32_t burst;
 	double tokens;
 	int64_t refilled_us;
-	uint32_t failures; /* in a row */
+	uint32_t consecutive_failures; /* in a row */
 	int64_t retry_at_us;
-	uint64_t random;
+	uint64_t rng_state;
 	bool down;
 };
 
 void pf_gate_init(struct pf_gate *gate, uint64_t seed);
-void pf_gate_seed(struct pf_gate *gate, uint64_t seed);
-void pf_gate_budget(struct pf_gate *gate, uint32_t calls_per_s, uint32_t burst,
-		    int64_t now);
-enum pf_gate_verdict pf_gate_ask(struct pf_gate *gate, int64_t now);
-bool pf_gate_result(struct pf_gate *gate, bool reached, int64_t now);
+void pf_gate_set_seed(struct pf_gate *gate, uint64_t seed);
+void pf_gate_set_budget(struct pf_gate *gate, uint32_t calls_per_s,
+			uint32_t burst, int64_t now);
+enum pf_gate_verdict pf_gate_admit(struct pf_gate *gate, int64_t now);
+bool pf_gate_record_result(struct pf_gate *gate, bool reached, int64_t now);
 
 #endif /* PF_GATE_H */
--- a/src/plc.c
+++ b/src/plc.c
@@ -185,7 +185,7 @@
 		return false;
 	memset(call, 0, sizeof(*call));
 	call->id = drop ? 2 : 1;
-	call->op = drop ? KV_LEASE_DROP : KV_LEASE_TAKE;
+	call->op = drop ? KV_LEASE_RELEASE : KV_LEASE_ACQUIRE;
 	call->ttl_ms = (uint32_t)(PLC_TTL_US / MAG_US_PER_MS);
 	snprintf(call->key, sizeof(call->key), "place/%s",
 		 plc->settings.data_centre);
--- a/src/pub_apply.c
+++ b/src/pub_apply.c
@@ -391,7 +391,7 @@
 			return PUB_OK;
 		if (status == KV_CONFLICT)
 			return PUB_AGAIN;
-		if (status != KV_LOST)
+		if (status != KV_NO_ANSWER)
 			break;
 		job->lost = true;
 	}
--- a/src/pub_kv.c
+++ b/src/pub_kv.c
@@ -41,11 +41,11 @@
 int pub_create(struct pub *pub, const char *key, const char *value,
 	       int64_t deadline_us)
 {
-	enum kv_status status = KV_LOST;
+	enum kv_status status = KV_NO_ANSWER;
 	struct kv_reply reply;
 	int try;
 
-	for (try = 0; try < PUB_TRIES && status == KV_LOST; try++)
+	for (try = 0; try < PUB_TRIES && status == KV_NO_ANSWER; try++)
 		status = pub_put(pub, key, 0, value, deadline_us, &reply);
 	return status == KV_OK || status == KV_CONFLICT ? PUB_OK : PUB_E_DOWN;
 }
@@ -59,12 +59,12 @@
 {
 	struct kv_reply reply;
 	char key[KV_KEY_MAX];
-	enum kv_status status = KV_LOST;
+	enum kv_status status = KV_NO_ANSWER;
 	int err = PUB_OK;
 	int try;
 
 	pub_chunk_key(key, chunk);
-	for (try = 0; try < PUB_TRIES && status == KV_LOST; try++)
+	for (try = 0; try < PUB_TRIES && status == KV_NO_ANSWER; try++)
 		status = pub_put(pub, key, 0, text, deadline_us, &reply);
 	if (status == KV_OK)
 		return PUB_OK;
--- a/src/watch.c
+++ b/src/watch.c
@@ -351,7 +351,7 @@
 
 static void take_loads(struct watch *watch)
 {
-	json_t *loads = fetch(watch, KV_LOADS, "loads");
+	json_t *loads = fetch(watch, KV_LOAD_REPORTS, "loads");
 	json_t *load;
 	size_t i;
 
@@ -388,7 +388,7 @@
 		.op = op,
 		.deadline_us = clk_now_us() + watch->settings.call_timeout_us,
 	};
-	struct kv_reply reply = { .status = KV_UNSENT };
+	struct kv_reply reply = { .status = KV_NOT_SENT };
 	json_t *root;
 	json_t *list;
 
