--- a/regress/check_fd.c
+++ b/regress/check_fd.c
@@ -17,7 +17,7 @@
 	uint64_t want;
 
 	(void)state;
-	assert_int_equal(fd_plan(512, 1024, 1048576, &want), FD_OK);
+	assert_int_equal(fd_new_soft_limit(512, 1024, 1048576, &want), FD_OK);
 	assert_int_equal(want, fd_needed(512));
 	assert_true(want > 2048);
 }
@@ -28,7 +28,7 @@
 	uint64_t want;
 
 	(void)state;
-	assert_int_equal(fd_plan(64, 20000, 20000, &want), FD_OK);
+	assert_int_equal(fd_new_soft_limit(64, 20000, 20000, &want), FD_OK);
 	assert_int_equal(want, 20000);
 }
 
@@ -41,7 +41,8 @@
 	uint64_t want;
 
 	(void)state;
-	assert_int_equal(fd_plan(8192, 1024, 4096, &want), FD_E_HARD);
+	assert_int_equal(fd_new_soft_limit(8192, 1024, 4096, &want),
+			 FD_E_HARD_LIMIT);
 }
 
 int main(void)
--- a/src/cnt.h
+++ b/src/cnt.h
@@ -37,9 +37,9 @@
 	CNT_COUNTER(CNT_PEER_RECEIVED, "peer_messages_received_total", "heartbeats taken") \
 	CNT_COUNTER(CNT_PEER_DROP_CLUSTER, "peer_dropped_cluster_total", "messages of another cluster") \
 	CNT_COUNTER(CNT_PEER_DROP_VERSION, "peer_dropped_version_total", "messages of an unknown version") \
-	CNT_COUNTER(CNT_PEER_DROP_FORM, "peer_dropped_form_total", "malformed messages") \
+	CNT_COUNTER(CNT_PEER_DROP_MALFORMED, "peer_dropped_form_total", "malformed messages") \
 	CNT_COUNTER(CNT_PEER_DROP_OLD, "peer_dropped_old_total", "messages that came late or twice") \
-	CNT_COUNTER(CNT_PEER_DROP_STRANGER, "peer_dropped_stranger_total", "messages of an unknown instance") \
+	CNT_COUNTER(CNT_PEER_DROP_UNKNOWN, "peer_dropped_stranger_total", "messages of an unknown instance") \
 	CNT_COUNTER(CNT_PEER_DROP_FULL, "peer_dropped_full_total", "messages that found no room") \
 	CNT_COUNTER(CNT_SPREAD_FULL, "spread_records_refused_total", "records that found no room") \
 	CNT_COUNTER(CNT_RPC_MALFORMED, "rpc_malformed_total", "datagrams and calls that no instance of this version sends") \
--- a/src/fd.c
+++ b/src/fd.c
@@ -18,14 +18,16 @@
 
 /*
  * Says what the soft limit should become: at least what is needed, never
- * lower than it is.  Returns 0, or FD_E_HARD if the hard limit forbids it.
+ * lower than it is.  Returns 0, or FD_E_HARD_LIMIT if the hard limit forbids
+ * it.
  */
-int fd_plan(uint32_t threads, uint64_t soft, uint64_t hard, uint64_t *want)
+int fd_new_soft_limit(uint32_t threads, uint64_t soft, uint64_t hard,
+		      uint64_t *want)
 {
 	uint64_t needed = fd_needed(threads);
 
 	*want = soft > needed ? soft : needed;
-	return *want > hard ? FD_E_HARD : FD_OK;
+	return *want > hard ? FD_E_HARD_LIMIT : FD_OK;
 }
 
 /*
@@ -41,8 +43,8 @@
 
 	if (getrlimit(RLIMIT_NOFILE, &limit))
 		return FD_E_SYSTEM;
-	if (fd_plan(threads, limit.rlim_cur, limit.rlim_max, &want))
-		return FD_E_HARD;
+	if (fd_new_soft_limit(threads, limit.rlim_cur, limit.rlim_max, &want))
+		return FD_E_HARD_LIMIT;
 	if (want == limit.rlim_cur)
 		return FD_OK;
 	limit.rlim_cur = want;
