--- a/src/front.c
+++ b/src/front.c
@@ -14,15 +14,15 @@
 static void on_thread_end(const struct mg_context *ctx, int type, void *thread);
 static int on_connection(const struct mg_connection *conn, void **data);
 static void on_connection_closed(const struct mg_connection *conn);
-static void refuse_unread(struct front_req *req, int status, const char *why);
+static void refuse_early(struct front_req *req, int status, const char *why);
 static int on_request(struct mg_connection *conn);
 static struct cds_list_head *bucket_of(struct front *front, uint64_t id);
-static void enlist(struct front *front, struct front_req *req);
-static void delist(struct front *front, struct front_req *req);
-static struct front_req *find(struct front *front, uint64_t id);
-static uint64_t action_req(const struct core_action *action);
+static void register_request(struct front *front, struct front_req *req);
+static void unregister_request(struct front *front, struct front_req *req);
+static struct front_req *find_request(struct front *front, uint64_t id);
+static uint64_t action_request_id(const struct core_action *action);
 
-/* Makes a front that does not listen yet; NULL if memory is short. */
+/* Creates a front that does not listen yet; NULL if out of memory. */
 struct front *front_new(const struct front_settings *settings)
 {
 	struct front *front = calloc(1, sizeof(*front));
@@ -37,7 +37,7 @@
 	return front;
 }
 
-/* Starts to listen.  Returns 0 or FRONT_E_LISTEN. */
+/* Starts to listen.  Returns 0, FRONT_E_MEMORY or FRONT_E_LISTEN. */
 int front_start(struct front *front, struct loop *loop)
 {
 	char threads[16];
@@ -78,8 +78,8 @@
 }
 
 /*
- * Publishes the set that request threads read; the front owns it.  Readers
- * of the old set may still run, so it is freed after a grace period.
+ * Publishes a new configuration to the request threads and takes ownership of
+ * it.  Threads may still read the old one, so it is freed after a grace period.
  */
 void front_set_config(struct front *front, struct cfg_set *set)
 {
@@ -90,7 +90,10 @@
 	cfg_free(old);
 }
 
-/* Hands an action to the thread of its request; the loop's thread calls it. */
+/*
+ * Queues an action for the thread that serves the request.  Runs on the loop's
+ * thread.  Drops the action if the request no longer exists.
+ */
 void front_deliver(struct front *front, struct core_action *action)
 {
 	struct front_action *node = malloc(sizeof(*node));
@@ -100,7 +103,7 @@
 		abort();
 	node->action = *action;
 	pthread_mutex_lock(&front->lock);
-	req = find(front, action_req(action));
+	req = find_request(front, action_request_id(action));
 	if (req) {
 		cds_list_add_tail(&node->node, &req->actions);
 		pthread_cond_signal(&req->wake);
@@ -113,13 +116,13 @@
 	pthread_mutex_unlock(&front->lock);
 }
 
-/* From here on each connection ends after the answer that it carries. */
+/* From now on, every connection is closed after its current response. */
 void front_close_connections(struct front *front)
 {
 	atomic_store(&front->closing, true);
 }
 
-/* From here on each new request is refused at once. */
+/* From now on, every new request is refused immediately. */
 void front_refuse_new(struct front *front)
 {
 	atomic_store(&front->refusing, true);
@@ -131,7 +134,7 @@
 	return atomic_load(&front->open);
 }
 
-/* Stops listening once no request is in progress, and frees the front. */
+/* Waits until no request is in progress, stops listening, frees the front. */
 void front_free(struct front *front)
 {
 	if (!front)
@@ -146,14 +149,14 @@
 	free(front);
 }
 
-/* Each server thread gets its own state for calls to endpoints. */
+/* Creates the state for calls to endpoints, one for each server thread. */
 static void *on_thread_start(const struct mg_context *ctx, int type)
 {
-	const int worker = 1;
+	const int server_thread = 1;
 
 	struct front *front = mg_get_user_data(ctx);
 
-	if (type != worker)
+	if (type != server_thread)
 		return NULL;
 	rcu_register_thread();
 	return ep_new(front->settings.connect_timeout_ms, front->cancel);
@@ -186,20 +189,25 @@
 }
 
 /*
- * Refuses a request that the core never saw.  Without a key nothing can have
- * run for it.  Of a key nothing was read: it may have run through another
- * instance, and a caller that was told not-run would ask under a new one.
+ * Refuses a request that was not passed to the core.  Without an idempotency
+ * key nothing can have run, so the outcome is not-run.  With a key the outcome
+ * is unknown: its record was not read, and an earlier request with this key may
+ * have run through another instance.  A caller that is told not-run would retry
+ * with a new key and could run the request twice.
  */
-static void refuse_unread(struct front_req *req, int status, const char *why)
+static void refuse_early(struct front_req *req, int status, const char *why)
 {
-	bool keyed = req->arrival.key[0] != '\0';
+	bool has_key = req->arrival.key[0] != '\0';
 	uint32_t retry_after_s = status == 503 ? FRONT_RETRY_AFTER_S : 0;
 
-	front_write_refusal(req, status, keyed ? MAG_UNKNOWN : MAG_NOT_RUN,
+	front_write_refusal(req, status, has_key ? MAG_UNKNOWN : MAG_NOT_RUN,
 			    retry_after_s, why);
 }
 
-/* Carries one request; returns the status to end CivetWeb's own handling. */
+/*
+ * Serves one request.  A status other than 0 tells CivetWeb that the request
+ * has been handled.
+ */
 static int on_request(struct mg_connection *conn)
 {
 	struct front *front = mg_get_user_data(mg_get_context(conn));
@@ -219,11 +227,11 @@
 		 (unsigned long long)req.id);
 	status = req.ep ? front_read(&req, &why) : 503;
 	if (status) {
-		refuse_unread(&req, status, why);
+		refuse_early(&req, status, why);
 	} else {
-		enlist(front, &req);
+		register_request(front, &req);
 		front_serve(&req);
-		delist(front, &req);
+		unregister_request(front, &req);
 	}
 	front_read_free(&req);
 	atomic_fetch_sub(&front->open, 1);
@@ -235,7 +243,7 @@
 	return &front->buckets[id % FRONT_BUCKETS];
 }
 
-static void enlist(struct front *front, struct front_req *req)
+static void register_request(struct front *front, struct front_req *req)
 {
 	pthread_cond_init(&req->wake, NULL);
 	CDS_INIT_LIST_HEAD(&req->actions);
@@ -244,8 +252,8 @@
 	pthread_mutex_unlock(&front->lock);
 }
 
-/* Once this returns, no action can reach the request any more. */
-static void delist(struct front *front, struct front_req *req)
+/* After this returns, no action can be queued for the request. */
+static void unregister_request(struct front *front, struct front_req *req)
 {
 	struct front_action *action, *next;
 
@@ -260,7 +268,7 @@
 	pthread_cond_destroy(&req->wake);
 }
 
-static struct front_req *find(struct front *front, uint64_t id)
+static struct front_req *find_request(struct front *front, uint64_t id)
 {
 	struct front_req *req;
 
@@ -271,7 +279,7 @@
 	return NULL;
 }
 
-static uint64_t action_req(const struct core_action *action)
+static uint64_t action_request_id(const struct core_action *action)
 {
 	switch (action->type) {
 	case CORE_ACT_DISPATCH:
--- a/src/front.h
+++ b/src/front.h
@@ -2,8 +2,9 @@
 #define FRONT_H
 
 /*
- * Callers: an HTTP server whose threads each carry one request from its first
- * byte to its last.  Decisions come from the core as actions.
+ * The HTTP server for callers.  Each server thread handles one request from
+ * its first byte to its last.  The core makes the decisions and sends them as
+ * actions.
  */
 
 #include <stdbool.h>
@@ -22,9 +23,9 @@
 
 struct front_settings {
 	char listen[MAG_ADDR_MAX];   /* "ip:port" */
-	uint32_t threads;	     /* concurrent requests */
-	uint32_t connect_timeout_ms; /* to an endpoint */
-	uint32_t body_max;	     /* bytes of a request's body */
+	uint32_t threads;	     /* requests served at the same time */
+	uint32_t connect_timeout_ms; /* for connections to endpoints */
+	uint32_t body_max;	     /* longest request body, in bytes */
 	char instance[MAG_NAME_MAX];
 	uint64_t incarnation;
 };
--- a/src/front_in.c
+++ b/src/front_in.c
@@ -10,25 +10,27 @@
 #include "front_int.h"
 
 #define FRONT_BEARER	      "Bearer "
-#define FRONT_PREFIX_BYTES    256 /* of a prompt, for affinity to caches */
-#define FRONT_BYTES_PER_TOKEN 4	  /* estimate for a prompt's length */
+#define FRONT_PREFIX_BYTES    256 /* of a prompt, hashed for cache affinity */
+#define FRONT_BYTES_PER_TOKEN 4	  /* to estimate a prompt's length */
 #define FRONT_TIMEOUT_MAX_MS  86400000
 
-static int read_line(struct front_req *req, const char **why);
-static int read_key(struct front_req *req, const char **why);
-static int read_allowance(struct front_req *req, const char **why);
+static int read_request_line(struct front_req *req, const char **why);
+static int read_idempotency_key(struct front_req *req, const char **why);
+static int read_timeout(struct front_req *req, const char **why);
 static int read_body(struct front_req *req, const char **why);
-static int read_more(struct front_req *req, size_t room, const char **why);
+static int read_body_bytes(struct front_req *req, size_t room,
+			   const char **why);
 static int read_headers(struct front_req *req, const char **why);
 static int read_model(struct front_req *req, const char **why);
-static void hash_account(struct front_req *req);
+static void hash_account_key(struct front_req *req);
 static void hash_fingerprint(struct front_req *req);
 static void hash_prefix(struct front_req *req, const char *prompt);
 static bool routes_to_model(struct front_req *req);
 
 /*
- * Reads a request whole and turns it into an arrival.  Returns 0, or the
- * status of a refusal with its reason in why; nothing has been done then.
+ * Reads a complete request and fills in its core_arrival.  Returns 0, or an
+ * HTTP error status with its reason in why; the core has not received the
+ * request then.
  */
 int front_read(struct front_req *req, const char **why)
 {
@@ -36,20 +38,20 @@
 
 	req->arrival.req = req->id;
 	req->arrival.wall_ms = clk_wall_ms();
-	status = read_line(req, why);
+	status = read_request_line(req, why);
 	if (!status)
-		status = read_key(req, why);
+		status = read_idempotency_key(req, why);
 	if (!status && atomic_load(&req->front->refusing)) {
 		*why = "this instance is stopping";
 		status = 503;
 	}
 	if (!status)
-		status = read_allowance(req, why);
+		status = read_timeout(req, why);
 	if (!status)
 		status = read_body(req, why);
 	if (status)
 		return status;
-	hash_account(req);
+	hash_account_key(req);
 	req->json = json_loadb(req->body, req->body_len, 0, NULL);
 	hash_fingerprint(req);
 	req->is_model = routes_to_model(req);
@@ -58,7 +60,7 @@
 	return read_headers(req, why);
 }
 
-/* Frees what front_read took. */
+/* Frees what front_read allocated, and the response of the last attempt. */
 void front_read_free(struct front_req *req)
 {
 	uint32_t i;
@@ -74,8 +76,8 @@
 	free(req->answer.body);
 }
 
-/* Takes method, host and path. */
-static int read_line(struct front_req *req, const char **why)
+/* Reads the method, the host, the path and the content type. */
+static int read_request_line(struct front_req *req, const char **why)
 {
 	const struct mg_request_info *info = mg_get_request_info(req->conn);
 	const char *host = mg_get_header(req->conn, "Host");
@@ -108,7 +110,7 @@
 	return 0;
 }
 
-static int read_key(struct front_req *req, const char **why)
+static int read_idempotency_key(struct front_req *req, const char **why)
 {
 	const char *key = mg_get_header(req->conn, "Idempotency-Key");
 
@@ -122,7 +124,7 @@
 	return 0;
 }
 
-static int read_allowance(struct front_req *req, const char **why)
+static int read_timeout(struct front_req *req, const char **why)
 {
 	const char *text = mg_get_header(req->conn, "Magnolia-Deadline-Ms");
 	char *end;
@@ -141,7 +143,7 @@
 	return 0;
 }
 
-/* Reads the body whole, up to its bound. */
+/* Reads the complete body, at most body_max bytes. */
 static int read_body(struct front_req *req, const char **why)
 {
 	const struct mg_request_info *info = mg_get_request_info(req->conn);
@@ -159,10 +161,10 @@
 		*why = "memory is short";
 		return 503;
 	}
-	return read_more(req, room, why);
+	return read_body_bytes(req, room, why);
 }
 
-static int read_more(struct front_req *req, size_t room, const char **why)
+static int read_body_bytes(struct front_req *req, size_t room, const char **why)
 {
 	const struct mg_request_info *info = mg_get_request_info(req->conn);
 	int got;
@@ -183,7 +185,7 @@
 	return 0;
 }
 
-/* Takes the headers that a plain service gets to see. */
+/* Collects the headers that are forwarded to a plain service. */
 static int read_headers(struct front_req *req, const char **why)
 {
 	const struct mg_request_info *info = mg_get_request_info(req->conn);
@@ -204,7 +206,7 @@
 	return 0;
 }
 
-/* Takes the fields of a model request from its JSON body. */
+/* Reads the fields of a model request from its JSON body. */
 static int read_model(struct front_req *req, const char **why)
 {
 	json_t *max_tokens = json_object_get(req->json, "max_tokens");
@@ -239,26 +241,28 @@
 	return 0;
 }
 
-/* The configuration holds only hashes of the accounts' keys. */
-static void hash_account(struct front_req *req)
+/* Hashes the bearer key, as the configuration contains only key hashes. */
+static void hash_account_key(struct front_req *req)
 {
-	const char *bearer = mg_get_header(req->conn, "Authorization");
+	const char *authorization = mg_get_header(req->conn, "Authorization");
 	uint8_t hash[MAG_DIGEST_BYTES];
-	size_t skip = strlen(FRONT_BEARER);
+	size_t prefix_len = strlen(FRONT_BEARER);
 
-	if (!bearer || strncmp(bearer, FRONT_BEARER, skip) != 0)
+	if (!authorization ||
+	    strncmp(authorization, FRONT_BEARER, prefix_len) != 0)
 		return;
-	crypto_generichash(hash, sizeof(hash), (const uint8_t *)bearer + skip,
-			   strlen(bearer + skip), NULL, 0);
+	crypto_generichash(hash, sizeof(hash),
+			   (const uint8_t *)authorization + prefix_len,
+			   strlen(authorization + prefix_len), NULL, 0);
 	sodium_bin2hex(req->arrival.account_key_hash,
 		       sizeof(req->arrival.account_key_hash), hash,
 		       sizeof(hash));
 }
 
 /*
- * The fingerprint tells a repeat from another request under the same key.  A
- * JSON body is hashed in a canonical form, so that a repeat whose fields come
- * in another order still counts as the same.
+ * Computes the fingerprint, which distinguishes a repeated request from a
+ * different request with the same key.  A JSON body is hashed in a canonical
+ * form, so that a repeat with its fields in another order still matches.
  */
 static void hash_fingerprint(struct front_req *req)
 {
@@ -298,11 +302,11 @@
 	memcpy(&req->arrival.prefix, hash, sizeof(req->arrival.prefix));
 }
 
-/* Looks the route up in the published set. */
+/* Returns whether the request's route leads to a model service. */
 static bool routes_to_model(struct front_req *req)
 {
 	const struct cfg_set *set;
-	bool model = false;
+	bool is_model_route = false;
 	int route;
 
 	rcu_read_lock();
@@ -311,9 +315,10 @@
 		route = cfg_find_route(set, req->arrival.host,
 				       req->arrival.path);
 		if (route >= 0)
-			model = set->services[set->routes[route].service]
+			is_model_route =
+				set->services[set->routes[route].service]
 					.kind == CFG_MODEL;
 	}
 	rcu_read_unlock();
-	return model;
+	return is_model_route;
 }
--- a/src/front_int.h
+++ b/src/front_int.h
@@ -1,7 +1,7 @@
 #ifndef FRONT_INT_H
 #define FRONT_INT_H
 
-/* One caller's request between its HTTP connection and the core. */
+/* State of a caller's request, shared by the files of the front module. */
 
 #include <pthread.h>
 #include <stdatomic.h>
@@ -21,14 +21,15 @@
 	struct loop *loop;
 	struct mg_context *server;
 	struct ep_cancel *cancel;
-	struct cfg_set *set;  /* published by RCU */
-	pthread_mutex_t lock; /* of the buckets */
+	struct cfg_set *set; /* current configuration; read under RCU */
+	pthread_mutex_t
+		lock; /* protects the buckets and the requests' actions */
 	struct cds_list_head buckets[FRONT_BUCKETS];
 	atomic_uint_fast64_t next_id;
 	atomic_uint open;
-	atomic_uint connections; /* each holds a thread of the server */
+	atomic_uint connections; /* each occupies a server thread */
 	atomic_bool refusing;
-	atomic_bool closing; /* connections end after their answer */
+	atomic_bool closing; /* close connections after the response */
 };
 
 struct front_action {
@@ -47,28 +48,28 @@
 	struct cds_list_head actions; /* under front->lock */
 	struct core_arrival arrival;
 	const char *method;
-	char path[CORE_PATH_MAX]; /* with its query */
+	char path[CORE_PATH_MAX]; /* includes the query string */
 	const char *content_type;
-	char *headers[MG_MAX_HEADERS]; /* for a plain service */
+	char *headers[MG_MAX_HEADERS]; /* "Name: value"; plain services only */
 	size_t header_count;
 	char *body;
 	size_t body_len;
-	json_t *json; /* the body, if it is a JSON object */
+	json_t *json; /* the parsed body; NULL if it is not JSON */
 	bool is_model;
 	bool stream;
-	char **tokens;
+	char **tokens; /* delivered so far */
 	uint32_t token_count;
 	uint32_t token_capacity;
-	const struct core_dispatch *running; /* the attempt under way */
+	const struct core_dispatch *running; /* current attempt, or NULL */
 	struct ep_answer answer;
-	bool head_sent;	  /* of a stream */
-	bool body_unread; /* the connection can't carry another request */
-	bool caller_gone; /* a write failed */
+	bool head_sent;	  /* the head of a streamed response is sent */
+	bool body_unread; /* the connection can't be reused */
+	bool caller_gone; /* a write to the caller failed */
 	bool answered;
-	int64_t progress_due_us;
+	int64_t progress_due_us; /* when to report progress next */
 };
 
-/* front_in.c: 0, or the status of a refusal whose reason is in why. */
+/* front_in.c: returns 0, or an HTTP error status and its reason in why. */
 int front_read(struct front_req *req, const char **why);
 void front_read_free(struct front_req *req);
 
--- a/src/front_out.c
+++ b/src/front_out.c
@@ -6,9 +6,9 @@
 #define FRONT_HEAD_MAX	   768
 #define FRONT_DEFAULT_TYPE "application/json"
 
-static void write_whole(struct front_req *req, int status,
-			enum mag_outcome outcome, const char *extra,
-			const char *type, const char *body, size_t len);
+static void write_response(struct front_req *req, int status,
+			   enum mag_outcome outcome, const char *extra,
+			   const char *type, const char *body, size_t len);
 static void write_chunk(struct front_req *req, const char *text);
 static const char *connection_header(struct front_req *req);
 static void write_stream_head(struct front_req *req);
@@ -17,10 +17,11 @@
 static void write_relay(struct front_req *req);
 static void write_replay(struct front_req *req,
 			 const struct core_answer *answer);
-static char *join_tokens(const struct front_req *req);
-static void to_caller(struct front_req *req, const void *bytes, size_t len);
+static char *format_model_response(const struct front_req *req);
+static void write_to_caller(struct front_req *req, const void *bytes,
+			    size_t len);
 
-/* Sends one token of a stream, the head before the first. */
+/* Sends one token of a stream, preceded by the head if it is the first. */
 void front_write_token(struct front_req *req, uint32_t index, const char *text)
 {
 	json_t *object =
@@ -37,7 +38,7 @@
 	json_decref(object);
 }
 
-/* Sends the final answer that the core decided on. */
+/* Sends the final response that the core decided on, unless one was sent. */
 void front_write_answer(struct front_req *req, struct core_answer *answer)
 {
 	if (req->answered)
@@ -55,7 +56,7 @@
 				    answer->retry_after_s, answer->why);
 }
 
-/* Sends a refusal that the router makes itself. */
+/* Sends an error response that the router generates itself. */
 void front_write_refusal(struct front_req *req, int status,
 			 enum mag_outcome outcome, uint32_t retry_after_s,
 			 const char *why)
@@ -74,39 +75,40 @@
 			 retry_after_s);
 	if (status == 401)
 		snprintf(extra, sizeof(extra), "WWW-Authenticate: Bearer\r\n");
-	write_whole(req, status, outcome, extra, FRONT_DEFAULT_TYPE,
-		    body ? body : "", body ? strlen(body) : 0);
+	write_response(req, status, outcome, extra, FRONT_DEFAULT_TYPE,
+		       body ? body : "", body ? strlen(body) : 0);
 	free(body);
 	json_decref(object);
 }
 
 /*
- * Makes what a record keeps of an answer: its type, a newline, its body.
- * NULL if it is too long to keep.
+ * Encodes the response for storage in a record: content type, newline, body.
+ * Returns NULL if it exceeds LDG_ANSWER_MAX or memory is out; the caller frees
+ * the result.
  */
 char *front_record_answer(const struct front_req *req, size_t *len)
 {
 	const struct ep_answer *answer = &req->answer;
 	size_t type_len = strlen(answer->content_type);
-	char *kept;
+	char *stored;
 
 	*len = type_len + 1 + answer->body_len;
 	if (*len > LDG_ANSWER_MAX)
 		return NULL;
-	kept = malloc(*len + 1);
-	if (!kept)
+	stored = malloc(*len + 1);
+	if (!stored)
 		return NULL;
-	memcpy(kept, answer->content_type, type_len);
-	kept[type_len] = '\n';
+	memcpy(stored, answer->content_type, type_len);
+	stored[type_len] = '\n';
 	if (answer->body_len)
-		memcpy(kept + type_len + 1, answer->body, answer->body_len);
-	kept[*len] = '\0';
-	return kept;
+		memcpy(stored + type_len + 1, answer->body, answer->body_len);
+	stored[*len] = '\0';
+	return stored;
 }
 
-static void write_whole(struct front_req *req, int status,
-			enum mag_outcome outcome, const char *extra,
-			const char *type, const char *body, size_t len)
+static void write_response(struct front_req *req, int status,
+			   enum mag_outcome outcome, const char *extra,
+			   const char *type, const char *body, size_t len)
 {
 	char *head = NULL;
 	int used;
@@ -122,25 +124,25 @@
 		req->caller_gone = true;
 		return;
 	}
-	to_caller(req, head, (size_t)used);
+	write_to_caller(req, head, (size_t)used);
 	if (strcmp(req->method ? req->method : "", "HEAD") != 0)
-		to_caller(req, body, len);
+		write_to_caller(req, body, len);
 	free(head);
 }
 
 /*
- * Says whether the connection may carry another request.  A connection that
- * waits for its next request holds a thread of the server, and callers whose
- * connections found no thread would wait seconds for the first byte; so idle
- * connections may hold half of the threads at most.
+ * Returns the Connection header, which decides whether the connection may be
+ * reused.  An idle keep-alive connection occupies a server thread, and callers
+ * whose connections get no thread would wait seconds for the first byte.  Idle
+ * connections may therefore occupy at most half of the threads.
  */
 static const char *connection_header(struct front_req *req)
 {
 	struct front *front = req->front;
-	bool crowded =
+	bool too_many_connections =
 		2 * atomic_load(&front->connections) > front->settings.threads;
 
-	if (!req->running && !req->body_unread && !crowded &&
+	if (!req->running && !req->body_unread && !too_many_connections &&
 	    !atomic_load(&front->closing))
 		return "";
 	mg_disable_connection_keep_alive(req->conn);
@@ -159,21 +161,21 @@
 			"Magnolia-Request: %s\r\n"
 			"Trailer: Magnolia-Outcome\r\n%s\r\n",
 			req->id_text, connection_header(req));
-	to_caller(req, head, (size_t)used);
+	write_to_caller(req, head, (size_t)used);
 	req->head_sent = true;
 }
 
-/* Ends a stream by an event that carries the outcome, then the trailer. */
+/* Ends a stream with an event that has the outcome, followed by the trailer. */
 static void write_stream_end(struct front_req *req,
 			     const struct core_answer *answer)
 {
-	bool whole = answer->kind == CORE_ANSWER_RELAY;
+	bool complete = answer->kind == CORE_ANSWER_RELAY;
 	char trailer[96];
 	char event[512];
 
 	if (!req->head_sent)
 		write_stream_head(req);
-	if (whole)
+	if (complete)
 		snprintf(event, sizeof(event),
 			 "event: done\ndata: {\"outcome\":\"ran\","
 			 "\"tokens\":%u}\n\n",
@@ -187,7 +189,7 @@
 	write_chunk(req, event);
 	snprintf(trailer, sizeof(trailer), "0\r\nMagnolia-Outcome: %s\r\n\r\n",
 		 mag_outcome_name(answer->outcome));
-	to_caller(req, trailer, strlen(trailer));
+	write_to_caller(req, trailer, strlen(trailer));
 }
 
 static void write_relay(struct front_req *req)
@@ -196,20 +198,21 @@
 	char *text;
 
 	if (!req->is_model) {
-		write_whole(req, answer->status, MAG_RAN,
-			    answer->headers ? answer->headers : "",
-			    answer->content_type[0] ? answer->content_type
-						    : FRONT_DEFAULT_TYPE,
-			    answer->body ? answer->body : "", answer->body_len);
+		write_response(req, answer->status, MAG_RAN,
+			       answer->headers ? answer->headers : "",
+			       answer->content_type[0] ? answer->content_type
+						       : FRONT_DEFAULT_TYPE,
+			       answer->body ? answer->body : "",
+			       answer->body_len);
 		return;
 	}
-	text = join_tokens(req);
-	write_whole(req, 200, MAG_RAN, "", FRONT_DEFAULT_TYPE, text ? text : "",
-		    text ? strlen(text) : 0);
+	text = format_model_response(req);
+	write_response(req, 200, MAG_RAN, "", FRONT_DEFAULT_TYPE,
+		       text ? text : "", text ? strlen(text) : 0);
 	free(text);
 }
 
-/* Sends the answer that the record kept, or says that it kept none. */
+/* Sends the response stored in the record, or the reason why none is there. */
 static void write_replay(struct front_req *req,
 			 const struct core_answer *answer)
 {
@@ -220,21 +223,21 @@
 
 	end = body ? memchr(body, '\n', answer->body_len) : NULL;
 	if (!end) {
-		/* Only its length kept the answer out of the record. */
-		write_whole(req, answer->status, MAG_RAN, extra, "text/plain",
-			    answer->why, strlen(answer->why));
+		/* A response is missing only if it was too long to store. */
+		write_response(req, answer->status, MAG_RAN, extra,
+			       "text/plain", answer->why, strlen(answer->why));
 		return;
 	}
 	if (end > body && (size_t)(end - body) < sizeof(type)) {
 		memcpy(type, body, (size_t)(end - body));
 		type[end - body] = '\0';
 	}
-	write_whole(req, answer->status, MAG_RAN, extra, type, end + 1,
-		    answer->body_len - (size_t)(end + 1 - body));
+	write_response(req, answer->status, MAG_RAN, extra, type, end + 1,
+		       answer->body_len - (size_t)(end + 1 - body));
 }
 
-/* Makes the whole answer of a model as JSON; the caller frees it. */
-static char *join_tokens(const struct front_req *req)
+/* Formats a model's complete response as JSON; the caller frees it. */
+static char *format_model_response(const struct front_req *req)
 {
 	json_t *object;
 	char *joined = NULL;
@@ -266,12 +269,13 @@
 		req->caller_gone = true;
 		return;
 	}
-	to_caller(req, chunk, (size_t)used);
+	write_to_caller(req, chunk, (size_t)used);
 	free(chunk);
 }
 
-/* Writes to the caller and notes when it has left. */
-static void to_caller(struct front_req *req, const void *bytes, size_t len)
+/* Writes to the caller; a failed write means that the caller is gone. */
+static void write_to_caller(struct front_req *req, const void *bytes,
+			    size_t len)
 {
 	if (len && !req->caller_gone && mg_write(req->conn, bytes, len) <= 0)
 		req->caller_gone = true;
--- a/src/front_req.c
+++ b/src/front_req.c
@@ -4,9 +4,10 @@
 #include "clk.h"
 #include "front_int.h"
 
-#define FRONT_PROGRESS_US (50 * MAG_US_PER_MS) /* between two reports */
+#define FRONT_PROGRESS_US                                                      \
+	(50 * MAG_US_PER_MS) /* between two progress reports */
 
-static bool take_action(struct front_req *req, struct core_action *action,
+static bool next_action(struct front_req *req, struct core_action *action,
 			bool wait);
 static void run_attempt(struct front_req *req,
 			const struct core_dispatch *dispatch);
@@ -15,15 +16,15 @@
 static bool on_token(void *ctx, uint32_t index, const char *text,
 		     const uint32_t *hop_us, int hop_count);
 static enum ep_poll_result on_poll(void *ctx);
-static void on_alive(void *ctx);
-static bool keep_token(struct front_req *req, const char *text);
+static void on_stages_alive(void *ctx);
+static bool store_token(struct front_req *req, const char *text);
 static void post_progress(struct front_req *req, const uint32_t *hop_us,
 			  int hop_count);
 static void post_caller_gone(struct front_req *req);
 
 /*
- * Carries a request that has been read: hands it to the core and does what
- * the core says until the caller is answered and no attempt runs.
+ * Serves a request that has been read: passes it to the core and executes the
+ * core's actions until the caller has its response and no attempt is running.
  */
 void front_serve(struct front_req *req)
 {
@@ -38,7 +39,7 @@
 				    1, "memory is short");
 		return;
 	}
-	while (!req->answered && take_action(req, &action, true)) {
+	while (!req->answered && next_action(req, &action, true)) {
 		if (action.type == CORE_ACT_DISPATCH) {
 			run_attempt(req, &action.dispatch);
 		} else if (action.type == CORE_ACT_ANSWER) {
@@ -48,8 +49,8 @@
 	}
 }
 
-/* Takes the next action, if need be after waiting for it. */
-static bool take_action(struct front_req *req, struct core_action *action,
+/* Removes the next action from the queue; waits for one if wait is set. */
+static bool next_action(struct front_req *req, struct core_action *action,
 			bool wait)
 {
 	struct front_action *node = NULL;
@@ -70,7 +71,7 @@
 	return true;
 }
 
-/* Carries one attempt and tells the core how it ended. */
+/* Runs one attempt and reports its end to the core. */
 static void run_attempt(struct front_req *req,
 			const struct core_dispatch *dispatch)
 {
@@ -93,7 +94,7 @@
 	struct ep_sink sink = {
 		.on_token = on_token,
 		.poll = on_poll,
-		.on_stages_alive = on_alive,
+		.on_stages_alive = on_stages_alive,
 		.ctx = req,
 	};
 
@@ -126,13 +127,16 @@
 		abort();
 }
 
-/* Hands a token on to the caller and, now and then, progress to the core. */
+/*
+ * Forwards a token to the caller and, every FRONT_PROGRESS_US, reports progress
+ * to the core.  Returns false, which stops the attempt, if out of memory.
+ */
 static bool on_token(void *ctx, uint32_t index, const char *text,
 		     const uint32_t *hop_us, int hop_count)
 {
 	struct front_req *req = ctx;
 
-	if (!keep_token(req, text))
+	if (!store_token(req, text))
 		return false;
 	if (req->stream && !req->answered && !req->caller_gone) {
 		front_write_token(req, index, text);
@@ -145,29 +149,30 @@
 }
 
 /*
- * Looks at what the core has said meanwhile.  A final answer goes out while
- * the attempt still runs; the result says whether the attempt goes on.
+ * Executes the actions that have arrived while the attempt runs.  A final
+ * response is sent even though the attempt is still running.  Returns whether
+ * the attempt continues.
  */
 static enum ep_poll_result on_poll(void *ctx)
 {
 	struct front_req *req = ctx;
 	struct core_action action;
-	enum ep_poll_result wish = EP_CONTINUE;
+	enum ep_poll_result result = EP_CONTINUE;
 
-	while (take_action(req, &action, false)) {
+	while (next_action(req, &action, false)) {
 		if (action.type == CORE_ACT_ANSWER) {
 			front_write_answer(req, &action.answer);
 			free(action.answer.body);
 		} else if (action.type == CORE_ACT_CANCEL &&
 			   action.cancel.attempt == req->running->attempt) {
-			wish = action.cancel.probe ? EP_PROBE : EP_CANCEL;
+			result = action.cancel.probe ? EP_PROBE : EP_CANCEL;
 		}
 	}
-	return wish;
+	return result;
 }
 
-/* The core waits for the stream a while longer. */
-static void on_alive(void *ctx)
+/* Reports that all stages answered the probe, so the core waits longer. */
+static void on_stages_alive(void *ctx)
 {
 	struct front_req *req = ctx;
 	struct core_event event = { .type = CORE_EV_PROGRESS };
@@ -179,8 +184,8 @@
 	loop_post(req->front->loop, &event);
 }
 
-/* Keeps a token: a later attempt has to be told what was delivered. */
-static bool keep_token(struct front_req *req, const char *text)
+/* Stores a token, as a later attempt must send the tokens delivered so far. */
+static bool store_token(struct front_req *req, const char *text)
 {
 	uint32_t room = req->token_capacity ? 2 * req->token_capacity : 64;
 	char **tokens;
