--- a/src/ep.c
+++ b/src/ep.c
@@ -15,15 +15,15 @@
 
 static size_t on_body(char *bytes, size_t size, size_t count, void *ctx);
 static size_t on_header(char *bytes, size_t size, size_t count, void *ctx);
-static bool began(enum core_end end);
+static bool may_be_running(enum core_end end);
 static int prepare(struct ep_call *call);
 static CURLcode transfer(struct ep_call *call, bool *cancelled);
-static bool to_cancel(struct ep_call *call);
+static bool should_cancel(struct ep_call *call);
 static bool finished(struct ep_call *call, CURLcode *code);
 static void copy_header(char *dst, size_t size, const char *line, size_t len,
 			const char *name);
 
-/* Makes the state of one thread for its calls; NULL if memory is short. */
+/* Creates a server thread's state for calls; NULL if out of memory. */
 struct ep *ep_new(long connect_ms, struct ep_cancel *cancel)
 {
 	struct ep *ep = calloc(1, sizeof(*ep));
@@ -40,7 +40,7 @@
 	return ep;
 }
 
-/* Frees the state of a thread and closes its connections. */
+/* Frees a thread's state and closes its connections. */
 void ep_free(struct ep *ep)
 {
 	if (!ep)
@@ -49,15 +49,15 @@
 	free(ep);
 }
 
-/* Lets a running call look at once whether it is cancelled; any thread. */
+/* Makes a running call poll its sink immediately; called from any thread. */
 void ep_wake(struct ep *ep)
 {
 	curl_multi_wakeup(ep->multi);
 }
 
 /*
- * Carries one attempt to its end and says in answer how it ended.  Without
- * memory for it nothing is sent, which CORE_END_UNSENT says.
+ * Runs one attempt to its end and stores in answer how it ended.  If out of
+ * memory, nothing is sent and the attempt ends as CORE_END_UNSENT.
  */
 void ep_run(struct ep *ep, const struct ep_request *request,
 	    const struct ep_sink *sink, struct ep_answer *answer)
@@ -83,7 +83,7 @@
 	}
 	if (cancelled && answer->end != CORE_END_WHOLE)
 		answer->end = CORE_END_CANCELLED;
-	if (began(answer->end))
+	if (may_be_running(answer->end))
 		call->protocol->cancel(call);
 	curl_slist_free_all(call->headers);
 	curl_easy_cleanup(call->easy);
@@ -100,7 +100,7 @@
 	return ep_add_header_line(call, line);
 }
 
-/* Adds a whole line of a request's head.  Returns 0 or EP_E_MEMORY. */
+/* Adds a complete header line to the request.  Returns 0 or EP_E_MEMORY. */
 int ep_add_header_line(struct ep_call *call, const char *line)
 {
 	struct curl_slist *list = curl_slist_append(call->headers, line);
@@ -111,7 +111,7 @@
 	return EP_OK;
 }
 
-/* Keeps bytes of the answer; false if it grows beyond EP_BODY_MAX. */
+/* Appends to the response body; false beyond EP_BODY_MAX or out of memory. */
 bool ep_append_body(struct ep_call *call, const char *bytes, size_t len)
 {
 	struct ep_answer *answer = call->answer;
@@ -131,8 +131,11 @@
 	return true;
 }
 
-/* Tells whether the service declares the answer's status as a proof that
- * nothing began, and the answer carries the mark of it. */
+/*
+ * Returns whether the response proves that the endpoint did not begin the
+ * request: the service's configuration lists its status in not_begun_status,
+ * and it has the header X-Not-Begun.
+ */
 bool ep_status_proves_not_begun(const struct ep_call *call)
 {
 	const int *list = call->request->dispatch->not_begun_status;
@@ -148,8 +151,8 @@
 }
 
 /*
- * Tells whether a transfer failed before any byte of the request could leave:
- * there never was a connection.  Anything later is ambiguous.
+ * Returns whether a transfer failed before any byte of the request could be
+ * sent, because no connection was established.  Any later failure is ambiguous.
  */
 bool ep_never_sent(const struct ep_call *call, CURLcode code)
 {
@@ -164,14 +167,14 @@
 	return code == CURLE_OPERATION_TIMEDOUT && connects == 0 && sent == 0;
 }
 
-/* Tells whether endpoints may still be at work on an attempt that ended. */
-static bool began(enum core_end end)
+/* Returns whether endpoints may still be working on an attempt that ended. */
+static bool may_be_running(enum core_end end)
 {
 	return end != CORE_END_WHOLE && end != CORE_END_UNSENT &&
 	       end != CORE_END_REFUSED;
 }
 
-/* Sets what all protocols share, then lets the protocol add its own. */
+/* Sets the options common to all protocols, then those of the protocol. */
 static int prepare(struct ep_call *call)
 {
 	const struct core_dispatch *dispatch = call->request->dispatch;
@@ -188,10 +191,10 @@
 	curl_easy_setopt(call->easy, CURLOPT_HEADERFUNCTION, on_header);
 	curl_easy_setopt(call->easy, CURLOPT_HEADERDATA, call);
 	/*
-	 * libcurl sends a request again by itself when a reused connection
-	 * closes before the first byte of the answer.  The endpoint may have
-	 * run the first one, and nobody would notice the second.  A fresh
-	 * connection is never retried that way.
+	 * libcurl silently resends a request when a reused connection closes
+	 * before the first byte of the response.  The endpoint may have run
+	 * the first request, and the second would run unnoticed.  libcurl
+	 * never resends on a new connection.
 	 */
 	if (dispatch->once) {
 		curl_easy_setopt(call->easy, CURLOPT_FRESH_CONNECT, 1L);
@@ -208,7 +211,7 @@
 	return EP_OK;
 }
 
-/* Runs the transfer until it ends or the sink asks to cancel it. */
+/* Runs the transfer until it ends or the sink cancels it. */
 static CURLcode transfer(struct ep_call *call, bool *cancelled)
 {
 	CURLM *multi = call->ep->multi;
@@ -220,7 +223,7 @@
 		curl_multi_perform(multi, &running);
 		if (finished(call, &code))
 			break;
-		if (to_cancel(call)) {
+		if (should_cancel(call)) {
 			*cancelled = true;
 			code = CURLE_ABORTED_BY_CALLBACK;
 			break;
@@ -231,8 +234,8 @@
 	return code;
 }
 
-/* Does what the sink wishes; true ends the transfer. */
-static bool to_cancel(struct ep_call *call)
+/* Polls the sink and probes the stages if asked to; true cancels. */
+static bool should_cancel(struct ep_call *call)
 {
 	switch (call->sink->poll(call->sink->ctx)) {
 	case EP_CANCEL:
@@ -248,7 +251,7 @@
 	}
 }
 
-/* Takes the transfer's result once there is one. */
+/* Returns whether the transfer has ended, with its result and status. */
 static bool finished(struct ep_call *call, CURLcode *code)
 {
 	long status = 0;
@@ -276,12 +279,12 @@
 	return size * count;
 }
 
-/* Notes the headers that matter: the ids, the proof, the type. */
+/* Stores the ids, the content type and whether X-Not-Begun is present. */
 static size_t on_header(char *bytes, size_t size, size_t count, void *ctx)
 {
 	struct ep_call *call = ctx;
 	size_t len = size * count;
-	char mark[4] = "";
+	char not_begun_value[4] = "";
 
 	copy_header(call->echoed_request, sizeof(call->echoed_request), bytes,
 		    len, "Magnolia-Request");
@@ -290,13 +293,14 @@
 	copy_header(call->answer->content_type,
 		    sizeof(call->answer->content_type), bytes, len,
 		    "Content-Type");
-	copy_header(mark, sizeof(mark), bytes, len, "X-Not-Begun");
-	if (mark[0])
+	copy_header(not_begun_value, sizeof(not_begun_value), bytes, len,
+		    "X-Not-Begun");
+	if (not_begun_value[0])
 		call->not_begun = true;
 	return call->protocol->receive_header(call, bytes, len) ? len : 0;
 }
 
-/* Copies a header's value if the line is that header's. */
+/* Copies the value of a header line if it has the given name. */
 static void copy_header(char *dst, size_t size, const char *line, size_t len,
 			const char *name)
 {
--- a/src/ep.h
+++ b/src/ep.h
@@ -2,8 +2,8 @@
 #define EP_H
 
 /*
- * Calls to endpoints: one attempt at a time, in the thread of its request.
- * The protocol of each kind of service stands behind a table of functions.
+ * Calls to endpoints.  Each attempt runs in the thread of its request, one at
+ * a time.  Each kind of service has its protocol as a table of functions.
  */
 
 #include <stdbool.h>
@@ -23,37 +23,38 @@
 	EP_E_MEMORY = -1,
 };
 
-/* What the attempt sends; all pointers belong to the caller. */
+/* Input of an attempt; the caller of ep_run owns everything it points to. */
 struct ep_request {
 	const struct core_dispatch *dispatch;
-	const char *id; /* Magnolia-Request */
+	const char *id; /* value of the header Magnolia-Request */
 	const char *method;
-	const char *path; /* with its query */
+	const char *path; /* includes the query string */
 	const char *content_type;
-	const char *const *headers; /* plain: "Name: value", for the endpoint */
+	const char *const *headers; /* plain services: "Name: value" */
 	size_t header_count;
 	const char *body;
 	size_t body_len;
-	const char *prompt; /* model: the rest */
+	/* The rest is used for model services only. */
+	const char *prompt;
 	uint32_t max_tokens;
-	char *const *delivered; /* tokens delivered so far */
+	char *const *delivered; /* tokens that the caller already has */
 	uint32_t delivered_count;
 };
 
 enum ep_poll_result {
 	EP_CONTINUE,
 	EP_CANCEL,
-	EP_PROBE, /* cancel if a stage gives no sign of life */
+	EP_PROBE, /* probe the stages; cancel if one does not answer */
 };
 
-/* Where the attempt reports to while it runs. */
+/* Callbacks of a running attempt. */
 struct ep_sink {
-	/* A token with the expected index; false stops the attempt. */
+	/* Receives the next token in order; false stops the attempt. */
 	bool (*on_token)(void *ctx, uint32_t index, const char *text,
 			 const uint32_t *hop_us, int hop_count);
-	/* Called often; says whether the attempt is to go on. */
+	/* Called repeatedly; decides whether the attempt continues. */
 	enum ep_poll_result (*poll)(void *ctx);
-	/* Every stage gave a sign of life; the attempt goes on. */
+	/* Every stage answered the probe; the attempt continues. */
 	void (*on_stages_alive)(void *ctx);
 	void *ctx;
 };
@@ -61,11 +62,10 @@
 struct ep_answer {
 	enum core_end end;
 	int failed_stage;
-	uint32_t silent_stages; /* stages, as bits, that did not answer the
-				   probe */
+	uint32_t silent_stages; /* mask of those without an answer */
 	int status;
 	char content_type[EP_TYPE_MAX];
-	char *headers; /* plain: lines for the caller; the caller frees it */
+	char *headers; /* plain: header lines to relay; the caller frees it */
 	size_t headers_len;
 	char *body; /* the caller frees it */
 	size_t body_len;
--- a/src/ep_cancel.c
+++ b/src/ep_cancel.c
@@ -15,7 +15,7 @@
 #define EP_CANCEL_POLL_MS    1000
 #define EP_CANCEL_QUEUE_MAX  4096
 
-struct ep_cancel_note {
+struct ep_cancel_message {
 	struct cds_list_head node;
 	char url[EP_CANCEL_URL_MAX];
 	char *body;
@@ -31,12 +31,14 @@
 };
 
 static void *cancel_main(void *arg);
-static bool cancel_begin_all(struct ep_cancel *cancel);
-static void cancel_begin(struct ep_cancel *cancel, struct ep_cancel_note *note);
-static void cancel_end_done(struct ep_cancel *cancel);
-static size_t cancel_drop(char *bytes, size_t size, size_t count, void *ctx);
-
-/* Starts the thread; NULL if that fails. */
+static bool cancel_start_queued(struct ep_cancel *cancel);
+static void cancel_start(struct ep_cancel *cancel,
+			 struct ep_cancel_message *message);
+static void cancel_free_done(struct ep_cancel *cancel);
+static size_t cancel_discard_body(char *bytes, size_t size, size_t count,
+				  void *ctx);
+
+/* Starts the thread; NULL on failure. */
 struct ep_cancel *ep_cancel_start(void)
 {
 	struct ep_cancel *cancel = calloc(1, sizeof(*cancel));
@@ -56,38 +58,39 @@
 }
 
 /*
- * Queues a note to an engine.  A stage that hangs takes its time to answer;
- * if the request's thread waited for it, the stream would go on that much
- * later.  Returns 0, or -1 if the note was dropped: the engine then works for
- * nobody until its own deadline.
+ * Queues a cancellation for an engine.  The request's thread does not wait for
+ * the engine's response, since a stage that hangs would delay the resumption of
+ * the stream.  Returns 0, or -1 if the cancellation was dropped: the engine
+ * then works in vain until the attempt's deadline.
  */
 int ep_cancel_post(struct ep_cancel *cancel, const char *address,
 		   const char *body)
 {
-	struct ep_cancel_note *note = calloc(1, sizeof(*note));
+	struct ep_cancel_message *message = calloc(1, sizeof(*message));
 	int rc = -1;
 
-	if (!note)
+	if (!message)
 		return -1;
-	snprintf(note->url, sizeof(note->url), "http://%s/v1/cancel", address);
-	note->body = strdup(body);
+	snprintf(message->url, sizeof(message->url), "http://%s/v1/cancel",
+		 address);
+	message->body = strdup(body);
 	pthread_mutex_lock(&cancel->lock);
-	if (note->body && cancel->queued < EP_CANCEL_QUEUE_MAX) {
-		cds_list_add_tail(&note->node, &cancel->queue);
+	if (message->body && cancel->queued < EP_CANCEL_QUEUE_MAX) {
+		cds_list_add_tail(&message->node, &cancel->queue);
 		cancel->queued++;
 		rc = 0;
 	}
 	pthread_mutex_unlock(&cancel->lock);
 	if (rc) {
-		free(note->body);
-		free(note);
+		free(message->body);
+		free(message);
 		return rc;
 	}
 	curl_multi_wakeup(cancel->multi);
 	return 0;
 }
 
-/* Sends what is queued, ends the thread and frees the state. */
+/* Sends the queued cancellations, ends the thread and frees the state. */
 void ep_cancel_stop(struct ep_cancel *cancel)
 {
 	if (!cancel)
@@ -109,9 +112,9 @@
 	bool stopping;
 
 	do {
-		stopping = cancel_begin_all(cancel);
+		stopping = cancel_start_queued(cancel);
 		curl_multi_perform(cancel->multi, &running);
-		cancel_end_done(cancel);
+		cancel_free_done(cancel);
 		if (running || !stopping)
 			curl_multi_poll(cancel->multi, NULL, 0,
 					EP_CANCEL_POLL_MS, NULL);
@@ -119,45 +122,47 @@
 	return NULL;
 }
 
-/* Starts what is queued; returns true once the thread is to end. */
-static bool cancel_begin_all(struct ep_cancel *cancel)
+/* Starts the queued transfers; returns whether the thread must end. */
+static bool cancel_start_queued(struct ep_cancel *cancel)
 {
-	struct ep_cancel_note *note;
+	struct ep_cancel_message *message;
 	bool stopping;
 
 	pthread_mutex_lock(&cancel->lock);
 	while (!cds_list_empty(&cancel->queue)) {
-		note = cds_list_first_entry(&cancel->queue,
-					    struct ep_cancel_note, node);
-		cds_list_del(&note->node);
+		message = cds_list_first_entry(&cancel->queue,
+					       struct ep_cancel_message, node);
+		cds_list_del(&message->node);
 		cancel->queued--;
-		cancel_begin(cancel, note);
+		cancel_start(cancel, message);
 	}
 	stopping = cancel->stopping;
 	pthread_mutex_unlock(&cancel->lock);
 	return stopping;
 }
 
-static void cancel_begin(struct ep_cancel *cancel, struct ep_cancel_note *note)
+static void cancel_start(struct ep_cancel *cancel,
+			 struct ep_cancel_message *message)
 {
 	CURL *easy = curl_easy_init();
 
 	if (easy) {
-		curl_easy_setopt(easy, CURLOPT_URL, note->url);
-		curl_easy_setopt(easy, CURLOPT_COPYPOSTFIELDS, note->body);
+		curl_easy_setopt(easy, CURLOPT_URL, message->url);
+		curl_easy_setopt(easy, CURLOPT_COPYPOSTFIELDS, message->body);
 		curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS,
 				 EP_CANCEL_TIMEOUT_MS);
 		curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
 		curl_easy_setopt(easy, CURLOPT_PROXY, "");
-		curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, cancel_drop);
+		curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION,
+				 cancel_discard_body);
 		curl_multi_add_handle(cancel->multi, easy);
 	}
-	free(note->body);
-	free(note);
+	free(message->body);
+	free(message);
 }
 
-/* Frees the calls that have ended; how they ended changes nothing. */
-static void cancel_end_done(struct ep_cancel *cancel)
+/* Frees the transfers that have ended; their results are ignored. */
+static void cancel_free_done(struct ep_cancel *cancel)
 {
 	CURLMsg *msg;
 	CURL *easy;
@@ -172,7 +177,8 @@
 	}
 }
 
-static size_t cancel_drop(char *bytes, size_t size, size_t count, void *ctx)
+static size_t cancel_discard_body(char *bytes, size_t size, size_t count,
+				  void *ctx)
 {
 	(void)bytes;
 	(void)ctx;
--- a/src/ep_cancel.h
+++ b/src/ep_cancel.h
@@ -1,7 +1,7 @@
 #ifndef EP_CANCEL_H
 #define EP_CANCEL_H
 
-/* Tells engines that an attempt is over, beside the requests' threads. */
+/* A thread that sends cancellations of attempts to engines. */
 
 struct ep_cancel;
 
--- a/src/ep_engine.c
+++ b/src/ep_engine.c
@@ -16,13 +16,13 @@
 static void engine_cancel(struct ep_call *call);
 static char *engine_body(const struct ep_call *call);
 static json_t *engine_chain(const struct core_dispatch *dispatch);
-static json_t *engine_given(const struct ep_request *request);
+static json_t *engine_delivered(const struct ep_request *request);
 static int on_event(void *ctx, const char *name, const char *data);
 static int on_token(struct ep_call *call, const json_t *object);
 static void on_failed(struct ep_call *call, const json_t *object);
 static void on_done(struct ep_call *call, const json_t *object);
 static bool ids_match(const struct ep_call *call, const json_t *object);
-static int read_hops(const json_t *object, uint32_t *hop_us);
+static int read_hop_times(const json_t *object, uint32_t *hop_us);
 
 const struct ep_protocol ep_engine = {
 	.prepare = engine_prepare,
@@ -48,7 +48,7 @@
 	return ep_add_header(call, "Content-Type", "application/json");
 }
 
-/* Makes the order to the first stage: the chain, and where to go on. */
+/* Formats the request body for the first stage; the caller frees it. */
 static char *engine_body(const struct ep_call *call)
 {
 	const struct ep_request *request = call->request;
@@ -60,7 +60,7 @@
 	body = json_pack(
 		"{s:s, s:i, s:i, s:o, s:i, s:i, s:I, s:s, s:i, s:o}", "request",
 		request->id, "attempt", (int)dispatch->attempt, "from",
-		(int)dispatch->resume, "given", engine_given(request),
+		(int)dispatch->resume, "given", engine_delivered(request),
 		"max_tokens", (int)request->max_tokens, "priority",
 		(int)dispatch->priority, "deadline_ms", (json_int_t)left_ms,
 		"prompt", request->prompt, "layers", (int)dispatch->layers,
@@ -90,16 +90,16 @@
 	return chain;
 }
 
-/* The tokens delivered so far, from which a new stage rebuilds its cache. */
-static json_t *engine_given(const struct ep_request *request)
+/* Lists the delivered tokens, from which a new stage rebuilds its cache. */
+static json_t *engine_delivered(const struct ep_request *request)
 {
-	json_t *given = json_array();
+	json_t *tokens = json_array();
 	uint32_t i;
 
 	for (i = 0; i < request->dispatch->resume; i++)
-		json_array_append_new(given,
+		json_array_append_new(tokens,
 				      json_string(request->delivered[i]));
-	return given;
+	return tokens;
 }
 
 static bool engine_receive(struct ep_call *call, const char *bytes, size_t len)
@@ -109,7 +109,7 @@
 	return ep_sse_feed(&call->sse, bytes, len) == EP_SSE_OK;
 }
 
-/* Takes one event of the stream; a value other than 0 breaks it off. */
+/* Handles one event of the stream; a value other than 0 aborts it. */
 static int on_event(void *ctx, const char *name, const char *data)
 {
 	struct ep_call *call = ctx;
@@ -117,7 +117,7 @@
 	int rc = 0;
 
 	if (!json_is_object(object) || !ids_match(call, object)) {
-		/* Another request's token must not reach this caller. */
+		/* Never deliver a token of another request to this caller. */
 		call->invalid = true;
 		rc = -1;
 	} else if (strcmp(name, "done") == 0) {
@@ -132,9 +132,9 @@
 }
 
 /*
- * Delivers a token that has the expected index.  An index that was delivered
- * before is a duplicate and dropped; one further on means that a token is
- * missing, and the caller would get an answer with a hole.
+ * Delivers a token that has the expected index.  A lower index is a duplicate
+ * and is dropped.  A higher index means that a token is missing; the attempt
+ * fails, as the caller would get an incomplete response.
  */
 static int on_token(struct ep_call *call, const json_t *object)
 {
@@ -153,7 +153,7 @@
 		call->invalid = true;
 		return -1;
 	}
-	hops = read_hops(object, hop_us);
+	hops = read_hop_times(object, hop_us);
 	if (!call->sink->on_token(call->sink->ctx, call->next_token, text,
 				  hop_us, hops))
 		return -1;
@@ -169,7 +169,7 @@
 		(int)json_integer_value(json_object_get(object, "stage"));
 }
 
-/* The stream is whole only if it counts the tokens that were delivered. */
+/* The stream is complete only if its token count matches those delivered. */
 static void on_done(struct ep_call *call, const json_t *object)
 {
 	json_int_t tokens =
@@ -192,7 +192,7 @@
 	       attempt == (json_int_t)call->request->dispatch->attempt;
 }
 
-static int read_hops(const json_t *object, uint32_t *hop_us)
+static int read_hop_times(const json_t *object, uint32_t *hop_us)
 {
 	const json_t *hops = json_object_get(object, "hops_us");
 	size_t count = json_array_size(hops);
@@ -226,8 +226,8 @@
 }
 
 /*
- * Tells every stage to drop the attempt.  The survivors of a chain that broke
- * would else go on working for nobody, and count as busy meanwhile.
+ * Tells every stage to cancel the attempt.  Otherwise the remaining stages of a
+ * failed chain would keep working in vain and count as busy.
  */
 static void engine_cancel(struct ep_call *call)
 {
@@ -244,7 +244,7 @@
 	free(body);
 }
 
-/* An engine's head says nothing to the caller. */
+/* No header of an engine's response is relayed to the caller. */
 static bool engine_header(struct ep_call *call, const char *line, size_t len)
 {
 	(void)call;
--- a/src/ep_header.c
+++ b/src/ep_header.c
@@ -4,10 +4,10 @@
 #include "ep_header.h"
 #include "mag.h"
 
-static bool listed(const char *const *names, size_t count, const char *name,
-		   size_t len);
+static bool is_in_list(const char *const *names, size_t count, const char *name,
+		       size_t len);
 
-/* Headers that concern one connection only (RFC 9110, section 7.6.1). */
+/* Hop-by-hop headers (RFC 9110, section 7.6.1). */
 static const char *const hop_by_hop[] = {
 	"Connection",
 	"Keep-Alive",
@@ -21,11 +21,11 @@
 };
 
 /*
- * What the router sets itself.  A bearer key is between the caller and the
- * router, and a caller's own key must not reach an endpoint, which would hold
- * keys of two accounts for one.
+ * Headers that the router sets itself or never relays.  The bearer key is only
+ * meant for the router.  A caller's idempotency key must not reach an endpoint,
+ * which would treat equal keys of two client accounts as the same key.
  */
-static const char *const set_here[] = {
+static const char *const not_relayed[] = {
 	"Authorization",
 	"Content-Length",
 	"Content-Type",
@@ -39,16 +39,16 @@
 	"Idempotent-Replayed",
 };
 
-/* Tells whether a caller's header goes to the endpoint. */
+/* Returns whether a caller's header is sent to the endpoint. */
 bool ep_header_to_endpoint(const char *name)
 {
 	size_t len = strlen(name);
 
-	return !listed(hop_by_hop, MAG_ARRAY_SIZE(hop_by_hop), name, len) &&
-	       !listed(set_here, MAG_ARRAY_SIZE(set_here), name, len);
+	return !is_in_list(hop_by_hop, MAG_ARRAY_SIZE(hop_by_hop), name, len) &&
+	       !is_in_list(not_relayed, MAG_ARRAY_SIZE(not_relayed), name, len);
 }
 
-/* Tells whether a line of an endpoint's answer is a header for the caller. */
+/* Returns whether a line of an endpoint's response is sent to the caller. */
 bool ep_header_to_caller(const char *line, size_t len)
 {
 	const char *colon = memchr(line, ':', len);
@@ -56,12 +56,12 @@
 	if (!colon || colon == line)
 		return false;
 	len = (size_t)(colon - line);
-	return !listed(hop_by_hop, MAG_ARRAY_SIZE(hop_by_hop), line, len) &&
-	       !listed(set_here, MAG_ARRAY_SIZE(set_here), line, len);
+	return !is_in_list(hop_by_hop, MAG_ARRAY_SIZE(hop_by_hop), line, len) &&
+	       !is_in_list(not_relayed, MAG_ARRAY_SIZE(not_relayed), line, len);
 }
 
-static bool listed(const char *const *names, size_t count, const char *name,
-		   size_t len)
+static bool is_in_list(const char *const *names, size_t count, const char *name,
+		       size_t len)
 {
 	size_t i;
 
--- a/src/ep_header.h
+++ b/src/ep_header.h
@@ -1,7 +1,7 @@
 #ifndef EP_HEADER_H
 #define EP_HEADER_H
 
-/* Which headers pass between a caller and a plain service. */
+/* Decides which headers are relayed between a caller and a plain service. */
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/src/ep_int.h
+++ b/src/ep_int.h
@@ -1,37 +1,37 @@
 #ifndef EP_INT_H
 #define EP_INT_H
 
-/* Between the call to an endpoint and the protocol that it speaks. */
+/* Internal interface between ep.c and the protocols of the endpoints. */
 
 #include <curl/curl.h>
 
 #include "ep.h"
 #include "ep_sse.h"
 
-#define EP_HEADERS_MAX 16384	     /* longest headers that are taken */
-#define EP_BODY_MAX    (1024 * 1024) /* longest answer that is taken */
+#define EP_HEADERS_MAX 16384	     /* longest response headers, in bytes */
+#define EP_BODY_MAX    (1024 * 1024) /* longest response body, in bytes */
 
 struct ep {
 	CURLM *multi;
-	long connect_ms; /* longest wait for a connection */
+	long connect_ms; /* timeout for connecting, in ms */
 	struct ep_cancel *cancel;
 };
 
 struct ep_call;
 
-/* A protocol towards endpoints; one for each enum cfg_service_kind. */
+/* Protocol of an endpoint; there is one for each enum cfg_service_kind. */
 struct ep_protocol {
-	/* Sets URL, headers and body; 0 or EP_E_MEMORY. */
+	/* Sets URL, headers and body.  Returns 0 or EP_E_MEMORY. */
 	int (*prepare)(struct ep_call *call);
-	/* Takes a header line of the answer; false breaks the transfer off. */
+	/* Receives a header line of the response; false aborts. */
 	bool (*receive_header)(struct ep_call *call, const char *line,
 			       size_t len);
-	/* Takes bytes of the answer; false breaks the transfer off. */
+	/* Receives a part of the response body; false aborts. */
 	bool (*receive_body)(struct ep_call *call, const char *bytes,
 			     size_t len);
-	/* Says how the attempt ended, once the transfer has. */
+	/* Sets how the attempt ended; called after the transfer. */
 	void (*finish)(struct ep_call *call, CURLcode code);
-	/* Asks each stage for a sign of life; returns the silent ones. */
+	/* Probes each stage; returns a mask of those without an answer. */
 	uint32_t (*probe)(struct ep_call *call);
 	/* Tells the endpoint that the attempt is cancelled. */
 	void (*cancel)(struct ep_call *call);
@@ -46,13 +46,13 @@
 	const struct ep_sink *sink;
 	struct ep_answer *answer;
 	struct ep_sse sse;
-	char *request_body; /* the body, when the protocol made it */
-	char echoed_request[EP_ID_MAX]; /* Magnolia-Request of the answer */
+	char *request_body;		/* if the protocol allocated it */
+	char echoed_request[EP_ID_MAX]; /* Magnolia-Request of the response */
 	char echoed_attempt[16];
-	bool not_begun;	   /* header X-Not-Begun of the answer */
-	bool stream_ended; /* the stream said done or failed */
-	bool invalid;	   /* ids of another request or attempt */
-	bool too_long;
+	bool not_begun;	   /* the response has the header X-Not-Begun */
+	bool stream_ended; /* received the event done or failed */
+	bool invalid;	   /* wrong ids, or an event that breaks the protocol */
+	bool too_long;	   /* the body exceeds EP_BODY_MAX */
 	uint32_t next_token; /* index of the next token to deliver */
 };
 
--- a/src/ep_plain.c
+++ b/src/ep_plain.c
@@ -14,7 +14,7 @@
 static void plain_finish(struct ep_call *call, CURLcode code);
 static uint32_t plain_probe(struct ep_call *call);
 static void plain_cancel(struct ep_call *call);
-static bool echo_is_wrong(const struct ep_call *call);
+static bool has_wrong_ids(const struct ep_call *call);
 
 const struct ep_protocol ep_plain = {
 	.prepare = plain_prepare,
@@ -25,7 +25,7 @@
 	.cancel = plain_cancel,
 };
 
-/* Sends the caller's request as it came, with our ids and key. */
+/* Sends the caller's request with the router's ids and downstream key. */
 static int plain_prepare(struct ep_call *call)
 {
 	const struct ep_request *request = call->request;
@@ -63,10 +63,10 @@
 }
 
 /*
- * An answer counts only if it is whole and carries this attempt's ids: an
- * endpoint or a relay that crosses answers would else hand one caller the
- * booking of another.  A service that echoes no ids sends none; its fresh
- * connection has carried this one request only.
+ * A response is valid only if it is complete and has the ids of this attempt.
+ * Otherwise an endpoint or a relay that mixes up responses would give one
+ * caller the booking of another.  A service that echoes no ids is accepted:
+ * a request that must not run twice has a connection of its own.
  */
 static void plain_finish(struct ep_call *call, CURLcode code)
 {
@@ -75,7 +75,7 @@
 	if (code != CURLE_OK)
 		answer->end = ep_never_sent(call, code) ? CORE_END_UNSENT
 							: CORE_END_CUT;
-	else if (echo_is_wrong(call))
+	else if (has_wrong_ids(call))
 		answer->end = CORE_END_WRONG;
 	else if (ep_status_proves_not_begun(call))
 		answer->end = CORE_END_REFUSED;
@@ -85,7 +85,7 @@
 		answer->end = CORE_END_WHOLE;
 }
 
-static bool echo_is_wrong(const struct ep_call *call)
+static bool has_wrong_ids(const struct ep_call *call)
 {
 	char attempt[16];
 
@@ -98,13 +98,13 @@
 	       strcmp(call->echoed_attempt, attempt) != 0;
 }
 
-/* Closing the connection is all that a plain service can be told. */
+/* A plain service has no cancel call; closing the connection must do. */
 static void plain_cancel(struct ep_call *call)
 {
 	(void)call;
 }
 
-/* A plain service has one stage; nobody else can be silent. */
+/* A plain service has no probe; its only stage counts as not answering. */
 static uint32_t plain_probe(struct ep_call *call)
 {
 	(void)call;
@@ -112,8 +112,8 @@
 }
 
 /*
- * Keeps a line of the answer's head for the caller.  Beyond the bound the
- * attempt breaks off: an answer without some of its headers is not whole.
+ * Stores a header line for the caller.  Beyond EP_HEADERS_MAX the attempt is
+ * aborted, as a response with missing headers is incomplete.
  */
 static bool plain_header(struct ep_call *call, const char *line, size_t len)
 {
--- a/src/ep_probe.c
+++ b/src/ep_probe.c
@@ -5,17 +5,19 @@
 #define PROBE_URL_MAX	 128
 #define PROBE_TIMEOUT_MS 300L
 
-static CURL *probe_begin(CURLM *multi, const struct core_stage *stage);
+static CURL *probe_start(CURLM *multi, const struct core_stage *stage);
 static void probe_wait(CURLM *multi);
-static uint32_t probe_silent(CURLM *multi, CURL *const *probes, int count);
-static size_t probe_drop(char *bytes, size_t size, size_t count, void *ctx);
+static uint32_t probe_find_silent(CURLM *multi, CURL *const *probes, int count);
+static size_t probe_discard_body(char *bytes, size_t size, size_t count,
+				 void *ctx);
 
 /*
- * Asks every stage of a chain that stalled for its state, all at once.  A
- * stalled stream does not say where it stopped: a process that hangs keeps
- * its connections up, and the stages before it only wait.  Blaming one of
- * those would keep the one that hangs in the next chain, and the caller would
- * wait for it again.  Returns the stages, as bits, that gave no answer.
+ * Requests the state of every stage of a stalled chain, all in parallel.  A
+ * stalled stream does not show which stage stopped: a process that hangs keeps
+ * its connections open, and the stages before it merely wait.  If one of those
+ * were blamed, the next chain would include the stage that hangs, and the
+ * caller would wait for it again.  Returns a bit mask of the stages that did
+ * not answer.
  */
 uint32_t ep_engine_probe(struct ep_call *call)
 {
@@ -28,9 +30,9 @@
 	if (!multi)
 		return 0;
 	for (i = 0; i < dispatch->stage_count; i++)
-		probes[i] = probe_begin(multi, &dispatch->stages[i]);
+		probes[i] = probe_start(multi, &dispatch->stages[i]);
 	probe_wait(multi);
-	silent = probe_silent(multi, probes, dispatch->stage_count);
+	silent = probe_find_silent(multi, probes, dispatch->stage_count);
 	for (i = 0; i < dispatch->stage_count; i++) {
 		if (!probes[i])
 			continue;
@@ -41,7 +43,7 @@
 	return silent;
 }
 
-static CURL *probe_begin(CURLM *multi, const struct core_stage *stage)
+static CURL *probe_start(CURLM *multi, const struct core_stage *stage)
 {
 	CURL *easy = curl_easy_init();
 	char url[PROBE_URL_MAX];
@@ -53,7 +55,7 @@
 	curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, PROBE_TIMEOUT_MS);
 	curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(easy, CURLOPT_PROXY, "");
-	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, probe_drop);
+	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, probe_discard_body);
 	curl_multi_add_handle(multi, easy);
 	return easy;
 }
@@ -69,8 +71,8 @@
 	} while (running);
 }
 
-/* Any answer is a sign of life, whatever its status. */
-static uint32_t probe_silent(CURLM *multi, CURL *const *probes, int count)
+/* A stage that sends any response is alive, whatever the status. */
+static uint32_t probe_find_silent(CURLM *multi, CURL *const *probes, int count)
 {
 	uint32_t silent = 0;
 	CURLMsg *msg;
@@ -88,7 +90,8 @@
 	return silent;
 }
 
-static size_t probe_drop(char *bytes, size_t size, size_t count, void *ctx)
+static size_t probe_discard_body(char *bytes, size_t size, size_t count,
+				 void *ctx)
 {
 	(void)bytes;
 	(void)ctx;
--- a/src/ep_sse.c
+++ b/src/ep_sse.c
@@ -5,13 +5,13 @@
 #define SSE_NAME_FIELD "event:"
 #define SSE_DATA_FIELD "data:"
 
-static int sse_line(struct ep_sse *sse);
-static int sse_dispatch(struct ep_sse *sse);
+static int sse_handle_line(struct ep_sse *sse);
+static int sse_emit_event(struct ep_sse *sse);
 static int sse_set_name(struct ep_sse *sse, const char *value);
 static int sse_add_data(struct ep_sse *sse, const char *value);
-static const char *sse_value(const char *line, const char *field);
+static const char *sse_field_value(const char *line, const char *field);
 
-/* Makes a reader that hands each whole event to the handler. */
+/* Initializes a parser that passes each complete event to the handler. */
 void ep_sse_init(struct ep_sse *sse, ep_sse_fn handler, void *ctx)
 {
 	memset(sse, 0, sizeof(*sse));
@@ -20,8 +20,8 @@
 }
 
 /*
- * Takes the next bytes of a stream, cut anywhere.  Returns 0 or a negative
- * enum ep_sse_err; after an error the reader must not be fed again.
+ * Parses the next bytes of a stream, which may be split anywhere.  Returns 0 or
+ * a negative enum ep_sse_err; do not feed the parser again after an error.
  */
 int ep_sse_feed(struct ep_sse *sse, const char *bytes, size_t len)
 {
@@ -35,15 +35,15 @@
 			sse->line[sse->line_len++] = bytes[i];
 			continue;
 		}
-		rc = sse_line(sse);
+		rc = sse_handle_line(sse);
 		if (rc)
 			return rc;
 	}
 	return EP_SSE_OK;
 }
 
-/* Takes a whole line; an empty one ends the event. */
-static int sse_line(struct ep_sse *sse)
+/* Handles a complete line; an empty one ends the event. */
+static int sse_handle_line(struct ep_sse *sse)
 {
 	const char *value;
 
@@ -51,18 +51,18 @@
 		sse->line_len--;
 	sse->line[sse->line_len] = '\0';
 	if (sse->line_len == 0)
-		return sse_dispatch(sse);
+		return sse_emit_event(sse);
 	sse->line_len = 0;
-	value = sse_value(sse->line, SSE_NAME_FIELD);
+	value = sse_field_value(sse->line, SSE_NAME_FIELD);
 	if (value)
 		return sse_set_name(sse, value);
-	value = sse_value(sse->line, SSE_DATA_FIELD);
+	value = sse_field_value(sse->line, SSE_DATA_FIELD);
 	if (value)
 		return sse_add_data(sse, value);
 	return EP_SSE_OK;
 }
 
-static int sse_dispatch(struct ep_sse *sse)
+static int sse_emit_event(struct ep_sse *sse)
 {
 	int rc = 0;
 
@@ -86,7 +86,7 @@
 	return EP_SSE_OK;
 }
 
-/* Several data lines of one event are joined by a newline. */
+/* Joins several data lines of one event with newlines. */
 static int sse_add_data(struct ep_sse *sse, const char *value)
 {
 	size_t len = strlen(value);
@@ -101,8 +101,8 @@
 	return EP_SSE_OK;
 }
 
-/* Returns the value of a field's line, NULL if the line is another's. */
-static const char *sse_value(const char *line, const char *field)
+/* Returns the value if the line is of the given field, else NULL. */
+static const char *sse_field_value(const char *line, const char *field)
 {
 	size_t len = strlen(field);
 
--- a/src/ep_sse.h
+++ b/src/ep_sse.h
@@ -1,7 +1,7 @@
 #ifndef EP_SSE_H
 #define EP_SSE_H
 
-/* Reader of server-sent events as engines stream them. */
+/* Parser for the server-sent events of an engine's stream. */
 
 #include <stddef.h>
 
@@ -10,11 +10,11 @@
 
 enum ep_sse_err {
 	EP_SSE_OK = 0,
-	EP_SSE_E_TOO_LONG = -1, /* a line or name beyond its bound */
-	EP_SSE_E_STOPPED = -2,	/* the handler asked to stop */
+	EP_SSE_E_TOO_LONG = -1, /* a line, name or data is too long */
+	EP_SSE_E_STOPPED = -2,	/* the handler stopped the parser */
 };
 
-/* Takes one event; a value other than 0 stops the reading. */
+/* Handles one event; a value other than 0 stops the parser. */
 typedef int (*ep_sse_fn)(void *ctx, const char *name, const char *data);
 
 struct ep_sse {
