--- a/src/pf.c
+++ b/src/pf.c
@@ -22,21 +22,21 @@
 #define PF_ADDRESSES_MAX      8
 #define PF_URL_MAX	      512
 #define PF_CONNECT_TIMEOUT_MS 500
-#define PF_ANSWER_MAX	      (2U << 20) /* values are at most a megabyte */
-#define PF_PACE_US	      2000	 /* between looks at the budget */
-#define PF_WATCH_MARGIN_MS    100 /* a watch ends this much before its call */
+#define PF_ANSWER_MAX	      (2U << 20) /* values have at most a megabyte */
+#define PF_PACE_US	      2000	 /* between two checks of the budget */
+#define PF_WATCH_MARGIN_MS    100 /* from a watch's end to its deadline */
 
 enum pf_http {
 	PF_HTTP_OK = 200,
 	PF_HTTP_CREATED = 201,
 	PF_HTTP_NO_CONTENT = 204,
-	PF_HTTP_UNCHANGED = 304,
-	PF_HTTP_ABSENT = 404,
+	PF_HTTP_NOT_MODIFIED = 304,
+	PF_HTTP_NOT_FOUND = 404,
 	PF_HTTP_CONFLICT = 409,
-	PF_HTTP_LIMITED = 429,
+	PF_HTTP_TOO_MANY_REQUESTS = 429,
 };
 
-/* One libcurl handle with its open connections; one thread at a time. */
+/* A libcurl handle and its connections; used by one thread at a time. */
 struct pf_handle {
 	struct cds_list_head node;
 	CURL *curl;
@@ -48,26 +48,26 @@
 	struct pf_gate gate;
 	char addresses[PF_ADDRESSES_MAX][MAG_ADDR_MAX];
 	size_t address_count;
-	atomic_size_t preferred; /* address that answered last */
+	atomic_size_t preferred; /* index of the address to try first */
 	atomic_bool interrupted;
 	atomic_bool paced;
 };
 
-/* A call under way. */
+/* A call in progress. */
 struct pf_request {
 	struct pf *pf;
 	const struct kv_call *call;
 	struct kv_reply *reply;
 	char url[PF_URL_MAX];
 	struct curl_slist *headers;
-	char *body; /* NULL: the call's own value, or none */
+	char *body; /* NULL: send the call's value, if any */
 	size_t body_len;
 	char *answer;
 	size_t answer_len;
 	uint64_t version;
 };
 
-/* How an operation is said in HTTP, and which counter it adds to. */
+/* How an operation maps to HTTP, and the counter that it increments. */
 struct pf_op {
 	const char *method;
 	bool writes;
@@ -78,8 +78,10 @@
 static int pf_prepare_get(struct pf_request *req, const char *address);
 static int pf_prepare_watch(struct pf_request *req, const char *address);
 static int pf_prepare_write(struct pf_request *req, const char *address);
-static int pf_prepare_take(struct pf_request *req, const char *address);
-static int pf_prepare_drop(struct pf_request *req, const char *address);
+static int pf_prepare_lease_acquire(struct pf_request *req,
+				    const char *address);
+static int pf_prepare_lease_release(struct pf_request *req,
+				    const char *address);
 static int pf_prepare_instances(struct pf_request *req, const char *address);
 static int pf_prepare_loads(struct pf_request *req, const char *address);
 static void pf_call(void *ctx, const struct kv_call *call,
@@ -88,12 +90,12 @@
 static enum kv_status pf_try(struct pf_request *req, CURL *curl,
 			     const char *address);
 static void pf_set_options(struct pf_request *req, CURL *curl, int64_t left_ms);
-static enum kv_status pf_failed(CURL *curl, CURLcode code);
-static enum kv_status pf_answered(struct pf_request *req, CURL *curl);
-static void pf_take_fence(struct pf_request *req);
+static enum kv_status pf_status_of_failure(CURL *curl, CURLcode code);
+static enum kv_status pf_status_of_response(struct pf_request *req, CURL *curl);
+static void pf_read_fence(struct pf_request *req);
 static enum pf_gate_verdict pf_admit(struct pf *pf);
 static enum pf_gate_verdict pf_admit_paced(struct pf *pf, int64_t deadline_us);
-static void pf_note_result(struct pf *pf, enum kv_status status);
+static void pf_record_result(struct pf *pf, enum kv_status status);
 static struct pf_handle *pf_handle_get(struct pf *pf);
 static void pf_handle_put(struct pf *pf, struct pf_handle *handle);
 static size_t pf_on_body(char *data, size_t size, size_t count, void *ctx);
@@ -107,19 +109,19 @@
 	[KV_CAS] = { "PUT", true, CNT_PF_SWAPS, pf_prepare_write },
 	[KV_DELETE] = { "DELETE", true, CNT_PF_DELETES, pf_prepare_write },
 	[KV_LEASE_ACQUIRE] = { "POST", true, CNT_PF_LEASE_ACQUIRES,
-			       pf_prepare_take },
+			       pf_prepare_lease_acquire },
 	[KV_LEASE_RELEASE] = { "DELETE", true, CNT_PF_LEASE_RELEASES,
-			       pf_prepare_drop },
+			       pf_prepare_lease_release },
 	[KV_INSTANCES] = { "GET", false, CNT_PF_INSTANCES,
 			   pf_prepare_instances },
 	[KV_LOAD_REPORTS] = { "GET", false, CNT_PF_LOADS, pf_prepare_loads },
 };
 
 /*
- * Opens a client of the service at the given "ip:port" addresses, which are
- * copied.  No connection is made yet.  Returns NULL if memory is short or
- * there is no usable address.  curl_global_init is called here; open the
- * first client before threads start.
+ * Creates a client of the service at the given "ip:port" addresses, which are
+ * copied; at most PF_ADDRESSES_MAX are used.  Does not connect yet.  Returns
+ * NULL if out of memory, if there is no address or if one is too long.  Calls
+ * curl_global_init, so create the first client before any thread starts.
  */
 struct pf *pf_open(const char *const *addresses, size_t count)
 {
@@ -147,7 +149,7 @@
 	return NULL;
 }
 
-/* Closes all connections; no call may be under way. */
+/* Closes all connections; no call may be in progress. */
 void pf_close(struct pf *pf)
 {
 	struct pf_handle *handle;
@@ -164,8 +166,8 @@
 }
 
 /*
- * Sets the most calls a second (0: no bound) and at once.  Calls over the
- * budget end as KV_RATE_LIMITED without reaching the service.
+ * Sets the budget: calls per second (0: unlimited) and burst size.  Without
+ * pacing, calls over the budget end as KV_RATE_LIMITED and are not sent.
  */
 void pf_set_budget(struct pf *pf, uint32_t calls_per_s, uint32_t burst)
 {
@@ -174,13 +176,13 @@
 	pthread_mutex_unlock(&pf->lock);
 }
 
-/* With pacing, a call over the budget waits for it until its deadline. */
+/* With pacing, a call over the budget waits, at most until its deadline. */
 void pf_set_pacing(struct pf *pf, bool paced)
 {
 	atomic_store(&pf->paced, paced);
 }
 
-/* Replaces the random seed of the pauses after failures. */
+/* Sets the random seed of the pauses after failures. */
 void pf_set_seed(struct pf *pf, uint64_t seed)
 {
 	pthread_mutex_lock(&pf->lock);
@@ -189,8 +191,8 @@
 }
 
 /*
- * Makes the calls under way end, within about a second, and every later call
- * end as KV_NOT_SENT; for a stop that must not wait for a watch.
+ * Aborts the calls in progress, within about a second, and makes every later
+ * call end as KV_NOT_SENT.  A shutdown then does not have to wait for a watch.
  */
 void pf_interrupt(struct pf *pf)
 {
@@ -198,9 +200,9 @@
 }
 
 /*
- * Returns the call table over this client.  A call's value stays the
- * caller's; the caller frees the reply's value.  A watch that ended
- * unchanged is KV_OK with the version that was asked for and no value.
+ * Returns the kv_backend of this client.  The caller keeps ownership of a
+ * call's value and frees the reply's value.  A watch that ends without a change
+ * returns KV_OK, the version given in the call, and no value.
  */
 struct kv_backend pf_backend(struct pf *pf)
 {
@@ -209,7 +211,7 @@
 	return backend;
 }
 
-/* Carries out one call and fills in its reply. */
+/* Executes one call and fills in its reply. */
 static void pf_call(void *ctx, const struct kv_call *call,
 		    struct kv_reply *reply)
 {
@@ -231,11 +233,11 @@
 	cnt_add(CNT_PF_CALLS, 1);
 	cnt_add(pf_ops[call->op].counter, 1);
 	reply->status = pf_try_addresses(&req);
-	pf_note_result(req.pf, reply->status);
+	pf_record_result(req.pf, reply->status);
 	free(req.answer);
 }
 
-/* Tries each address once, going on only if nothing was sent. */
+/* Tries each address once, continuing only if nothing was sent. */
 static enum kv_status pf_try_addresses(struct pf_request *req)
 {
 	struct pf *pf = req->pf;
@@ -259,7 +261,7 @@
 	return status;
 }
 
-/* Sends the call to one address and turns what came into a status. */
+/* Sends the call to one address and returns the resulting status. */
 static enum kv_status pf_try(struct pf_request *req, CURL *curl,
 			     const char *address)
 {
@@ -279,14 +281,15 @@
 	if (op->prepare(req, address) == 0) {
 		pf_set_options(req, curl, left_ms);
 		code = curl_easy_perform(curl);
-		status = code ? pf_failed(curl, code) : pf_answered(req, curl);
+		status = code ? pf_status_of_failure(curl, code)
+			      : pf_status_of_response(req, curl);
 	}
 	curl_slist_free_all(req->headers);
 	free(req->body);
 	return status;
 }
 
-/* Sets up the handle for one transfer. */
+/* Sets the options of one transfer. */
 static void pf_set_options(struct pf_request *req, CURL *curl, int64_t left_ms)
 {
 	const struct pf_op *op = &pf_ops[req->call->op];
@@ -319,20 +322,20 @@
 				 (curl_off_t)len);
 	}
 	/*
-	 * libcurl sends a request again by itself when a connection that it
-	 * reused breaks before the answer.  A swap that landed would then
-	 * come back as a conflict with itself.  Writes therefore never go
-	 * over a reused connection.
+	 * libcurl silently resends a request when a reused connection breaks
+	 * before the response.  A compare-and-swap that was applied would then
+	 * conflict with itself.  Writes therefore never use a reused
+	 * connection.
 	 */
 	curl_easy_setopt(curl, CURLOPT_FRESH_CONNECT, 1L);
 	curl_easy_setopt(curl, CURLOPT_FORBID_REUSE, 1L);
 }
 
 /*
- * Tells what a failed transfer proves.  Only if no byte of the request was
- * handed to the system is the call known to have no effect.
+ * Returns the status of a failed transfer.  The call is known to have no effect
+ * only if no byte of the request was passed to the kernel.
  */
-static enum kv_status pf_failed(CURL *curl, CURLcode code)
+static enum kv_status pf_status_of_failure(CURL *curl, CURLcode code)
 {
 	long sent = 0;
 
@@ -344,8 +347,8 @@
 	return KV_NO_ANSWER;
 }
 
-/* Turns the service's answer into the reply. */
-static enum kv_status pf_answered(struct pf_request *req, CURL *curl)
+/* Converts the service's response to the reply. */
+static enum kv_status pf_status_of_response(struct pf_request *req, CURL *curl)
 {
 	struct kv_reply *reply = req->reply;
 	long status = 0;
@@ -357,7 +360,7 @@
 	case PF_HTTP_CREATED:
 	case PF_HTTP_NO_CONTENT:
 		if (req->call->op == KV_LEASE_ACQUIRE)
-			pf_take_fence(req);
+			pf_read_fence(req);
 		if (pf_ops[req->call->op].writes)
 			return KV_OK;
 		reply->value = req->answer;
@@ -366,22 +369,22 @@
 		if (!reply->value)
 			reply->value = calloc(1, 1);
 		return reply->value ? KV_OK : KV_NO_ANSWER;
-	case PF_HTTP_UNCHANGED:
+	case PF_HTTP_NOT_MODIFIED:
 		reply->version = req->call->version;
 		return KV_OK;
-	case PF_HTTP_ABSENT:
+	case PF_HTTP_NOT_FOUND:
 		return KV_ABSENT;
 	case PF_HTTP_CONFLICT:
 		return KV_CONFLICT;
-	case PF_HTTP_LIMITED:
+	case PF_HTTP_TOO_MANY_REQUESTS:
 		return KV_RATE_LIMITED;
 	default:
 		return KV_NO_ANSWER;
 	}
 }
 
-/* Reads a lease's fencing number; without one it is 0, which none has. */
-static void pf_take_fence(struct pf_request *req)
+/* Reads a lease's fencing token; 0, which is never valid, if missing. */
+static void pf_read_fence(struct pf_request *req)
 {
 	json_t *body = json_loadb(req->answer ? req->answer : "",
 				  req->answer_len, 0, NULL);
@@ -391,7 +394,7 @@
 	json_decref(body);
 }
 
-/* GET of a key. */
+/* Reads a key with GET. */
 static int pf_prepare_get(struct pf_request *req, const char *address)
 {
 	snprintf(req->url, sizeof(req->url), "http://%s/kv/%s", address,
@@ -399,7 +402,7 @@
 	return 0;
 }
 
-/* GET that the service holds until the version differs. */
+/* Long-polls a key: the service delays the GET until the version differs. */
 static int pf_prepare_watch(struct pf_request *req, const char *address)
 {
 	int64_t wait_ms =
@@ -413,7 +416,7 @@
 	return 0;
 }
 
-/* PUT or DELETE under the condition of a version. */
+/* Writes with PUT or DELETE on the condition that the version matches. */
 static int pf_prepare_write(struct pf_request *req, const char *address)
 {
 	char header[64];
@@ -426,8 +429,8 @@
 	return req->headers ? 0 : -1;
 }
 
-/* POST that takes or renews a lease. */
-static int pf_prepare_take(struct pf_request *req, const char *address)
+/* Acquires or renews a lease with POST. */
+static int pf_prepare_lease_acquire(struct pf_request *req, const char *address)
 {
 	json_t *body = json_pack("{s:s%, s:I}", "holder", req->call->value,
 				 req->call->len, "ttl_ms",
@@ -443,8 +446,8 @@
 	return 0;
 }
 
-/* DELETE of a lease that the caller holds. */
-static int pf_prepare_drop(struct pf_request *req, const char *address)
+/* Releases the caller's lease with DELETE. */
+static int pf_prepare_lease_release(struct pf_request *req, const char *address)
 {
 	char *holder =
 		curl_easy_escape(NULL, req->call->value, (int)req->call->len);
@@ -457,14 +460,14 @@
 	return 0;
 }
 
-/* GET of the lagging list of instances. */
+/* Reads the list of instances, which lags behind, with GET. */
 static int pf_prepare_instances(struct pf_request *req, const char *address)
 {
 	snprintf(req->url, sizeof(req->url), "http://%s/instances", address);
 	return 0;
 }
 
-/* GET of the load reports. */
+/* Reads the load reports with GET. */
 static int pf_prepare_loads(struct pf_request *req, const char *address)
 {
 	snprintf(req->url, sizeof(req->url), "http://%s/loads", address);
@@ -491,7 +494,7 @@
 	return verdict;
 }
 
-/* Asks the gate under its lock. */
+/* Asks the gate to admit a call, with the lock held. */
 static enum pf_gate_verdict pf_admit(struct pf *pf)
 {
 	enum pf_gate_verdict verdict;
@@ -502,8 +505,8 @@
 	return verdict;
 }
 
-/* Tells the gate how a call ended, and logs a change of reach. */
-static void pf_note_result(struct pf *pf, enum kv_status status)
+/* Records a call's result and logs when the service goes down or returns. */
+static void pf_record_result(struct pf *pf, enum kv_status status)
 {
 	bool reached = status != KV_NOT_SENT && status != KV_NO_ANSWER;
 	bool changed;
@@ -522,7 +525,7 @@
 			  pf->addresses[atomic_load(&pf->preferred)]);
 }
 
-/* Takes an idle handle, or makes one; NULL if memory is short. */
+/* Returns an idle handle or a new one; NULL if out of memory. */
 static struct pf_handle *pf_handle_get(struct pf *pf)
 {
 	struct pf_handle *handle = NULL;
@@ -547,7 +550,7 @@
 	return handle;
 }
 
-/* Returns a handle; the one used last is taken first. */
+/* Puts a handle back; the most recently used one is reused first. */
 static void pf_handle_put(struct pf *pf, struct pf_handle *handle)
 {
 	pthread_mutex_lock(&pf->lock);
@@ -555,7 +558,7 @@
 	pthread_mutex_unlock(&pf->lock);
 }
 
-/* Collects the answer's body, NUL-terminated, up to a bound. */
+/* Appends to the NUL-terminated response body, up to PF_ANSWER_MAX bytes. */
 static size_t pf_on_body(char *data, size_t size, size_t count, void *ctx)
 {
 	struct pf_request *req = ctx;
@@ -574,7 +577,7 @@
 	return len;
 }
 
-/* Picks the version out of the headers. */
+/* Parses the header X-Version. */
 static size_t pf_on_header(char *data, size_t size, size_t count, void *ctx)
 {
 	static const char name[] = "X-Version:";
@@ -591,7 +594,7 @@
 	return len;
 }
 
-/* Ends a transfer when the client is interrupted. */
+/* Aborts the transfer if the client is interrupted. */
 static int pf_on_progress(void *ctx, curl_off_t dltotal, curl_off_t dlnow,
 			  curl_off_t ultotal, curl_off_t ulnow)
 {
--- a/src/pf.h
+++ b/src/pf.h
@@ -2,8 +2,9 @@
 #define PF_H
 
 /*
- * Client of the platform's key-value service over HTTP.  Calls block until
- * their stored deadline; any number of threads may call at once.
+ * HTTP client of the platform's key-value service.  A call blocks until it has
+ * a response or reaches the deadline stored in it; any number of threads may
+ * call at the same time.
  */
 
 #include <stdbool.h>
--- a/src/pf_async.c
+++ b/src/pf_async.c
@@ -14,40 +14,40 @@
 	struct kv_call call;
 };
 
-/* A queue and the threads that empty it. */
-struct pf_async_lane {
+/* A queue and the threads that process it. */
+struct pf_async_queue {
 	struct pf_async *async;
 	pthread_mutex_t lock;
 	pthread_cond_t ready;
 	bool stopped;
-	struct cds_list_head queue;
+	struct cds_list_head items;
 	pthread_t threads[PF_ASYNC_THREADS_MAX];
 	int thread_count;
 };
 
-enum pf_async_lane_id {
-	PF_LANE_CALLS,
-	PF_LANE_WATCHES, /* apart, as a watch keeps its thread for long */
-	PF_LANE_COUNT
+enum pf_async_queue_id {
+	PF_QUEUE_CALLS,
+	PF_QUEUE_WATCHES, /* separate, as a watch blocks its thread for long */
+	PF_QUEUE_COUNT
 };
 
 struct pf_async {
 	struct kv_backend backend;
 	pf_async_fn fn;
 	void *ctx;
-	struct pf_async_lane lanes[PF_LANE_COUNT];
+	struct pf_async_queue queues[PF_QUEUE_COUNT];
 };
 
-static int pf_async_start_lane(struct pf_async *async, enum pf_async_lane_id id,
-			       int threads);
-static void pf_async_stop_lane(struct pf_async_lane *lane);
-static void *pf_async_run(void *arg);
-static struct pf_async_item *pf_async_take(struct pf_async_lane *lane);
+static int pf_async_start_queue(struct pf_async *async,
+				enum pf_async_queue_id id, int threads);
+static void pf_async_stop_queue(struct pf_async_queue *queue);
+static void *pf_async_thread(void *arg);
+static struct pf_async_item *pf_async_next(struct pf_async_queue *queue);
 
 /*
- * Starts a pool of threads over a blocking call table, and a thread of its
- * own for watches.  Each reply goes to fn.  Returns NULL if a thread can't
- * be started.
+ * Starts a pool of threads for a blocking kv_backend, plus one thread for
+ * watches.  Each reply is passed to fn.  Returns NULL if out of memory or a
+ * thread can't be started.
  */
 struct pf_async *pf_async_start(const struct kv_backend *backend, int threads,
 				pf_async_fn fn, void *ctx)
@@ -59,8 +59,8 @@
 	async->backend = *backend;
 	async->fn = fn;
 	async->ctx = ctx;
-	if (pf_async_start_lane(async, PF_LANE_CALLS, threads) < 0 ||
-	    pf_async_start_lane(async, PF_LANE_WATCHES, 1) < 0) {
+	if (pf_async_start_queue(async, PF_QUEUE_CALLS, threads) < 0 ||
+	    pf_async_start_queue(async, PF_QUEUE_WATCHES, 1) < 0) {
 		pf_async_stop(async);
 		return NULL;
 	}
@@ -68,38 +68,38 @@
 }
 
 /*
- * Queues a call, whose value is freed once the call has ended.  Returns 0 or
- * a negative enum pf_async_err, in which case the value stays the caller's
- * and no reply will come.
+ * Queues a call and frees its value when the call has ended.  Returns 0 or a
+ * negative enum pf_async_err; on an error the caller still owns the value and
+ * there is no reply.
  */
 int pf_async_post(struct pf_async *async, const struct kv_call *call)
 {
-	enum pf_async_lane_id id =
-		call->op == KV_WATCH ? PF_LANE_WATCHES : PF_LANE_CALLS;
-	struct pf_async_lane *lane = &async->lanes[id];
+	enum pf_async_queue_id id =
+		call->op == KV_WATCH ? PF_QUEUE_WATCHES : PF_QUEUE_CALLS;
+	struct pf_async_queue *queue = &async->queues[id];
 	struct pf_async_item *item = malloc(sizeof(*item));
 	int err = PF_ASYNC_OK;
 
 	if (!item)
 		return PF_ASYNC_E_MEMORY;
 	item->call = *call;
-	pthread_mutex_lock(&lane->lock);
-	if (lane->stopped) {
+	pthread_mutex_lock(&queue->lock);
+	if (queue->stopped) {
 		err = PF_ASYNC_E_STOPPED;
 	} else {
-		cds_list_add_tail(&item->node, &lane->queue);
-		pthread_cond_signal(&lane->ready);
+		cds_list_add_tail(&item->node, &queue->items);
+		pthread_cond_signal(&queue->ready);
 	}
-	pthread_mutex_unlock(&lane->lock);
+	pthread_mutex_unlock(&queue->lock);
 	if (err)
 		free(item);
 	return err;
 }
 
 /*
- * Takes no more calls, carries out those that are queued, each bounded by
- * its deadline, waits for the threads and frees the pool.  A watch under way
- * ends early only if the client below is interrupted first.
+ * Rejects further calls, executes the queued ones, each limited by its
+ * deadline, waits for the threads and frees the pool.  A watch in progress ends
+ * early only if the backend's client was interrupted before (pf_interrupt).
  */
 void pf_async_stop(struct pf_async *async)
 {
@@ -107,56 +107,57 @@
 
 	if (!async)
 		return;
-	for (id = 0; id < PF_LANE_COUNT; id++)
-		pf_async_stop_lane(&async->lanes[id]);
+	for (id = 0; id < PF_QUEUE_COUNT; id++)
+		pf_async_stop_queue(&async->queues[id]);
 	free(async);
 }
 
-/* Starts the threads of one queue; returns 0 or PF_ASYNC_E_MEMORY. */
-static int pf_async_start_lane(struct pf_async *async, enum pf_async_lane_id id,
-			       int threads)
+/* Starts the threads of one queue.  Returns 0 or PF_ASYNC_E_MEMORY. */
+static int pf_async_start_queue(struct pf_async *async,
+				enum pf_async_queue_id id, int threads)
 {
-	struct pf_async_lane *lane = &async->lanes[id];
+	struct pf_async_queue *queue = &async->queues[id];
 	int i;
 
-	lane->async = async;
-	pthread_mutex_init(&lane->lock, NULL);
-	pthread_cond_init(&lane->ready, NULL);
-	CDS_INIT_LIST_HEAD(&lane->queue);
+	queue->async = async;
+	pthread_mutex_init(&queue->lock, NULL);
+	pthread_cond_init(&queue->ready, NULL);
+	CDS_INIT_LIST_HEAD(&queue->items);
 	for (i = 0; i < threads && i < PF_ASYNC_THREADS_MAX; i++) {
-		if (pthread_create(&lane->threads[i], NULL, pf_async_run, lane))
+		if (pthread_create(&queue->threads[i], NULL, pf_async_thread,
+				   queue))
 			return PF_ASYNC_E_MEMORY;
-		lane->thread_count++;
+		queue->thread_count++;
 	}
 	return PF_ASYNC_OK;
 }
 
-/* Stops a queue, also one whose threads were started only in part. */
-static void pf_async_stop_lane(struct pf_async_lane *lane)
+/* Stops a queue, even if only some of its threads were started. */
+static void pf_async_stop_queue(struct pf_async_queue *queue)
 {
 	int i;
 
-	if (!lane->async)
+	if (!queue->async)
 		return;
-	pthread_mutex_lock(&lane->lock);
-	lane->stopped = true;
-	pthread_cond_broadcast(&lane->ready);
-	pthread_mutex_unlock(&lane->lock);
-	for (i = 0; i < lane->thread_count; i++)
-		pthread_join(lane->threads[i], NULL);
-	pthread_cond_destroy(&lane->ready);
-	pthread_mutex_destroy(&lane->lock);
+	pthread_mutex_lock(&queue->lock);
+	queue->stopped = true;
+	pthread_cond_broadcast(&queue->ready);
+	pthread_mutex_unlock(&queue->lock);
+	for (i = 0; i < queue->thread_count; i++)
+		pthread_join(queue->threads[i], NULL);
+	pthread_cond_destroy(&queue->ready);
+	pthread_mutex_destroy(&queue->lock);
 }
 
-/* A thread of the pool: carries out calls until the pool is stopped. */
-static void *pf_async_run(void *arg)
+/* Main function of a pool thread: executes calls until the pool stops. */
+static void *pf_async_thread(void *arg)
 {
-	struct pf_async_lane *lane = arg;
-	struct pf_async *async = lane->async;
+	struct pf_async_queue *queue = arg;
+	struct pf_async *async = queue->async;
 	struct pf_async_item *item;
 	struct kv_reply reply;
 
-	while ((item = pf_async_take(lane))) {
+	while ((item = pf_async_next(queue))) {
 		memset(&reply, 0, sizeof(reply));
 		async->backend.call(async->backend.ctx, &item->call, &reply);
 		free(item->call.value);
@@ -166,19 +167,19 @@
 	return NULL;
 }
 
-/* Waits for the next call; NULL once stopped with nothing queued. */
-static struct pf_async_item *pf_async_take(struct pf_async_lane *lane)
+/* Waits for the next call; NULL if stopped and the queue is empty. */
+static struct pf_async_item *pf_async_next(struct pf_async_queue *queue)
 {
 	struct pf_async_item *item = NULL;
 
-	pthread_mutex_lock(&lane->lock);
-	while (cds_list_empty(&lane->queue) && !lane->stopped)
-		pthread_cond_wait(&lane->ready, &lane->lock);
-	if (!cds_list_empty(&lane->queue)) {
-		item = cds_list_first_entry(&lane->queue, struct pf_async_item,
+	pthread_mutex_lock(&queue->lock);
+	while (cds_list_empty(&queue->items) && !queue->stopped)
+		pthread_cond_wait(&queue->ready, &queue->lock);
+	if (!cds_list_empty(&queue->items)) {
+		item = cds_list_first_entry(&queue->items, struct pf_async_item,
 					    node);
 		cds_list_del(&item->node);
 	}
-	pthread_mutex_unlock(&lane->lock);
+	pthread_mutex_unlock(&queue->lock);
 	return item;
 }
--- a/src/pf_async.h
+++ b/src/pf_async.h
@@ -1,13 +1,13 @@
 #ifndef PF_ASYNC_H
 #define PF_ASYNC_H
 
-/* Carries calls to the platform's service out on threads of its own. */
+/* Thread pool for calls to the platform's service. */
 
 #include "kv.h"
 
 struct pf_async;
 
-/* Gets the reply on one of the pool's threads; the reply's value is its. */
+/* Runs on one of the pool's threads; takes ownership of the reply's value. */
 typedef void (*pf_async_fn)(void *ctx, const struct kv_reply *reply);
 
 enum pf_async_err {
--- a/src/pf_gate.c
+++ b/src/pf_gate.c
@@ -3,15 +3,15 @@
 #include "mag.h"
 #include "pf_gate.h"
 
-#define PF_GATE_FAILURES_DOWN 3 /* one slow answer is no outage */
+#define PF_GATE_FAILURES_DOWN 3 /* a single slow response is not an outage */
 #define PF_GATE_PAUSE_MIN_US  (50 * MAG_US_PER_MS)
 #define PF_GATE_PAUSE_MAX_US  (2 * MAG_US_PER_S)
 #define PF_GATE_SHIFT_MAX     6
 
 static uint64_t pf_gate_random(struct pf_gate *gate);
-static int64_t pf_gate_pause(struct pf_gate *gate);
+static int64_t pf_gate_draw_pause(struct pf_gate *gate);
 
-/* Starts a gate without a budget; the seed spreads the pauses. */
+/* Initializes a gate without a budget; the seed randomizes the pauses. */
 void pf_gate_init(struct pf_gate *gate, uint64_t seed)
 {
 	memset(gate, 0, sizeof(*gate));
@@ -19,8 +19,8 @@
 }
 
 /*
- * Sets the seed of the pauses.  It is mixed first (splitmix64), as instances
- * with neighbouring seeds would otherwise draw nearly the same pauses.
+ * Sets the seed of the pauses.  It is mixed with splitmix64 first, as instances
+ * with adjacent seeds would otherwise draw nearly equal pauses.
  */
 void pf_gate_set_seed(struct pf_gate *gate, uint64_t seed)
 {
@@ -32,7 +32,7 @@
 	gate->rng_state = mixed ? mixed : 1;
 }
 
-/* Sets the most calls a second and at once; calls_per_s 0 lifts it. */
+/* Sets the budget and refills it; calls_per_s 0 means unlimited. */
 void pf_gate_set_budget(struct pf_gate *gate, uint32_t calls_per_s,
 			uint32_t burst, int64_t now)
 {
@@ -43,12 +43,12 @@
 }
 
 /*
- * Tells whether a call may go out.  While the service is down, one call a
- * pause goes out as a probe and the others end at once: callers hear of the
- * outage without waiting for it, and since each instance draws its own
- * pauses, the fleet doesn't come back in one burst that would overload the
- * service again.  The sign of such a burst would be refusals for the rate
- * right after platform-reachable.
+ * Decides whether a call may be sent.  While the service is down, one call per
+ * pause is sent as a probe and the others fail immediately, so callers learn of
+ * the outage without waiting for a timeout.  Each instance draws its own random
+ * pauses, so that the fleet does not return in one burst that would overload
+ * the service again.  Such a burst would show as rate-limited calls right after
+ * the event platform-reachable.
  */
 enum pf_gate_verdict pf_gate_admit(struct pf_gate *gate, int64_t now)
 {
@@ -68,13 +68,13 @@
 		gate->tokens -= 1;
 	}
 	if (gate->down)
-		gate->retry_at_us = now + pf_gate_pause(gate);
+		gate->retry_at_us = now + pf_gate_draw_pause(gate);
 	return PF_GATE_PASS;
 }
 
 /*
- * Notes how a call ended.  Returns true if the service has just gone down or
- * come back, which gate->down tells.
+ * Records whether a call reached the service.  Returns true if gate->down has
+ * changed.
  */
 bool pf_gate_record_result(struct pf_gate *gate, bool reached, int64_t now)
 {
@@ -89,12 +89,15 @@
 	if (gate->consecutive_failures < PF_GATE_FAILURES_DOWN)
 		return false;
 	gate->down = true;
-	gate->retry_at_us = now + pf_gate_pause(gate);
+	gate->retry_at_us = now + pf_gate_draw_pause(gate);
 	return !was_down;
 }
 
-/* A pause that doubles with the failures, times 0.5 to 1.5. */
-static int64_t pf_gate_pause(struct pf_gate *gate)
+/*
+ * Draws a pause.  It doubles with each failure, up to a maximum, and is then
+ * multiplied by a random factor from 0.5 to 1.5.
+ */
+static int64_t pf_gate_draw_pause(struct pf_gate *gate)
 {
 	uint32_t shift = gate->consecutive_failures - PF_GATE_FAILURES_DOWN;
 	int64_t pause;
@@ -107,7 +110,7 @@
 	return pause / 2 + (int64_t)(pf_gate_random(gate) % (uint64_t)pause);
 }
 
-/* xorshift64*: small, and the same for the same seed on every machine. */
+/* xorshift64*: simple, and gives the same sequence on every machine. */
 static uint64_t pf_gate_random(struct pf_gate *gate)
 {
 	gate->rng_state ^= gate->rng_state >> 12;
--- a/src/pf_gate.h
+++ b/src/pf_gate.h
@@ -2,9 +2,9 @@
 #define PF_GATE_H
 
 /*
- * Decides whether a call to the platform's service may go out now: a budget
- * of calls a second, and a pause after failures.  Deterministic; the caller
- * serializes the calls and passes the time in.
+ * Decides whether a call to the platform's service may be sent now.  Applies a
+ * budget of calls per second, and pauses after failures.  Deterministic: the
+ * caller serializes access and passes the time.
  */
 
 #include <stdbool.h>
@@ -17,14 +17,15 @@
 };
 
 struct pf_gate {
-	uint32_t calls_per_s; /* 0: no budget */
+	uint32_t calls_per_s; /* 0: unlimited */
 	uint32_t burst;
-	double tokens;
+	double tokens; /* left in the token bucket */
 	int64_t refilled_us;
-	uint32_t consecutive_failures; /* in a row */
-	int64_t retry_at_us;
+	uint32_t
+		consecutive_failures; /* failed calls since the last response */
+	int64_t retry_at_us;	      /* when down: time of the next probe */
 	uint64_t rng_state;
-	bool down;
+	bool down; /* the service is considered unreachable */
 };
 
 void pf_gate_init(struct pf_gate *gate, uint64_t seed);
