--- a/src/admin.c
+++ b/src/admin.c
@@ -20,15 +20,15 @@
 	atomic_bool stopping;
 };
 
-/* A page as the loop's thread writes it. */
+/* A page while it is written; used on the loop's thread. */
 struct admin_page {
 	struct admin *admin;
-	const char *query; /* "" if there is none */
+	const char *query; /* "" if the URL has no query string */
 	FILE *out;
 	int status;
 };
 
-/* Writes a page; runs on the loop's thread, so that it may read the core. */
+/* Writes a page.  Runs on the loop's thread, so it may read the core. */
 typedef void (*admin_write_fn)(struct core *core, struct admin_page *page);
 
 struct admin_path {
@@ -38,7 +38,7 @@
 };
 
 static int on_request(struct mg_connection *conn);
-static void run_page(struct inst *inst, void *ctx);
+static void write_page(struct inst *inst, void *ctx);
 static void write_health(struct core *core, struct admin_page *page);
 static void write_ready(struct core *core, struct admin_page *page);
 static void write_metrics(struct core *core, struct admin_page *page);
@@ -46,8 +46,8 @@
 static void write_shares(struct core *core, struct admin_page *page);
 static void write_bound(struct core *core, struct admin_page *page);
 static void write_explain(struct core *core, struct admin_page *page);
-static void answer(struct mg_connection *conn, int status, const char *type,
-		   const char *body);
+static void send_response(struct mg_connection *conn, int status,
+			  const char *type, const char *body);
 
 static const struct admin_path admin_paths[] = {
 	{ "/healthz", "text/plain", write_health },
@@ -59,12 +59,13 @@
 	{ "/admin/explain", "application/json", write_explain },
 };
 
-struct admin_run {
+/* Argument of write_page. */
+struct admin_task {
 	const struct admin_path *path;
 	struct admin_page *page;
 };
 
-/* Makes the admin port's state; it listens from admin_start on. */
+/* Creates the admin server; it does not listen before admin_start. */
 struct admin *admin_new(const struct admin_settings *settings,
 			struct loop *loop, struct front *front)
 {
@@ -94,7 +95,7 @@
 	return admin->server ? ADMIN_OK : ADMIN_E_LISTEN;
 }
 
-/* From here on the balancer is told to send nothing new. */
+/* From now on, /readyz tells the load balancer to send no new requests. */
 void admin_set_stopping(struct admin *admin)
 {
 	atomic_store(&admin->stopping, true);
@@ -119,42 +120,42 @@
 		.query = info->query_string ? info->query_string : "",
 		.status = 200,
 	};
-	struct admin_run run = { .page = &page };
+	struct admin_task task = { .page = &page };
 	char *body = NULL;
 	size_t len = 0;
 	size_t i;
 
 	for (i = 0; i < MAG_ARRAY_SIZE(admin_paths); i++) {
 		if (strcmp(info->local_uri_raw, admin_paths[i].path) == 0)
-			run.path = &admin_paths[i];
+			task.path = &admin_paths[i];
 	}
-	page.out = run.path ? open_memstream(&body, &len) : NULL;
+	page.out = task.path ? open_memstream(&body, &len) : NULL;
 	if (!page.out) {
-		answer(conn, 404, "text/plain", "no such page\n");
+		send_response(conn, 404, "text/plain", "no such page\n");
 		return 404;
 	}
-	loop_query(admin->loop, run_page, &run);
+	loop_query(admin->loop, write_page, &task);
 	fclose(page.out);
-	answer(conn, page.status, run.path->type, body);
+	send_response(conn, page.status, task.path->type, body);
 	free(body);
 	return page.status;
 }
 
-static void run_page(struct inst *inst, void *ctx)
+static void write_page(struct inst *inst, void *ctx)
 {
-	struct admin_run *run = ctx;
+	struct admin_task *task = ctx;
 
-	run->path->write(inst_core(inst), run->page);
+	task->path->write(inst_core(inst), task->page);
 }
 
-/* The process lives, and its loop turns. */
+/* A response shows that the process is alive and its loop is running. */
 static void write_health(struct core *core, struct admin_page *page)
 {
 	(void)core;
 	fputs("ok\n", page->out);
 }
 
-/* The balancer sends only to instances that are ready. */
+/* The load balancer sends requests only to instances that are ready. */
 static void write_ready(struct core *core, struct admin_page *page)
 {
 	bool stopping = atomic_load(&page->admin->stopping);
@@ -220,8 +221,8 @@
 	}
 }
 
-static void answer(struct mg_connection *conn, int status, const char *type,
-		   const char *body)
+static void send_response(struct mg_connection *conn, int status,
+			  const char *type, const char *body)
 {
 	mg_printf(conn,
 		  "HTTP/1.1 %d %s\r\nContent-Type: %s\r\n"
--- a/src/admin.h
+++ b/src/admin.h
@@ -1,7 +1,7 @@
 #ifndef ADMIN_H
 #define ADMIN_H
 
-/* The port of operators and of the platform's balancer. */
+/* HTTP server for operators and for the platform's load balancer. */
 
 #include <stdbool.h>
 
