--- a/src/cnt.c
+++ b/src/cnt.c
@@ -14,19 +14,19 @@
 
 static atomic_uint_fast64_t cnt_values[CNT_COUNT];
 
-/* Adds to a counter; any thread may call it. */
+/* Adds n to a counter; may be called from any thread. */
 void cnt_add(enum cnt_id id, uint64_t n)
 {
 	atomic_fetch_add_explicit(&cnt_values[id], n, memory_order_relaxed);
 }
 
-/* Reads a counter. */
+/* Returns the value of a counter; may be called from any thread. */
 uint64_t cnt_get(enum cnt_id id)
 {
 	return atomic_load_explicit(&cnt_values[id], memory_order_relaxed);
 }
 
-/* Writes all counters in the text exposition that /metrics serves. */
+/* Writes all counters in the Prometheus text format, for /metrics. */
 void cnt_write(FILE *out)
 {
 	int i;
--- a/src/cnt.h
+++ b/src/cnt.h
@@ -5,8 +5,8 @@
 #include <stdio.h>
 
 /*
- * Counters of this instance.  CNT_COUNTER(id, name, help); the name is what
- * /metrics shows after the prefix "magnolia_".
+ * Counters of this instance: CNT_COUNTER(id, name, help).  /metrics shows the
+ * name with the prefix "magnolia_".
  */
 /* clang-format off */
 #define CNT_COUNTERS \
@@ -16,7 +16,7 @@
 	CNT_COUNTER(CNT_REQ_NOT_RUN, "requests_not_run_total", "requests answered with outcome not-run") \
 	CNT_COUNTER(CNT_REQ_UNKNOWN, "requests_unknown_total", "requests answered with outcome unknown") \
 	\
-	/* ldg, in the order of enum ldg_verdict */ \
+	/* ldg: ldg_att.c indexes them by enum ldg_verdict */ \
 	CNT_COUNTER(CNT_LDG_GO, "records_reserved_total", "keyed requests that were reserved") \
 	CNT_COUNTER(CNT_LDG_TAKEN_OVER, "records_taken_over_total", "keyed requests that took an ambiguous record over") \
 	CNT_COUNTER(CNT_LDG_REPLAY, "records_replayed_total", "keyed requests answered from the record") \
@@ -26,13 +26,7 @@
 	CNT_COUNTER(CNT_LDG_NOT_RUN, "records_not_run_total", "keyed requests refused, proved that nothing ran") \
 	CNT_COUNTER(CNT_LDG_CANNOT_TELL, "records_cannot_tell_total", "keyed requests refused with the records out of reach") \
 	\
-	/* flow, pick */ \
-	\
-	\
-	/* adm, quar */ \
-	\
-	\
-	/* peer, lim, rpc */ \
+	/* peer, spread, rpc */ \
 	CNT_COUNTER(CNT_PEER_SENT, "peer_messages_sent_total", "heartbeats handed to the network") \
 	CNT_COUNTER(CNT_PEER_RECEIVED, "peer_messages_received_total", "heartbeats taken") \
 	CNT_COUNTER(CNT_PEER_DROP_CLUSTER, "peer_dropped_cluster_total", "messages of another cluster") \
@@ -50,13 +44,6 @@
 	CNT_COUNTER(CNT_RPC_FETCHED, "rpc_fetches_total", "configurations fetched from peers") \
 	CNT_COUNTER(CNT_RPC_FETCH_FAILED, "rpc_fetches_failed_total", "fetches from peers that failed") \
 	\
-	\
-	/* plc */ \
-	\
-	\
-	/* front, ep */ \
-	\
-	\
 	/* pf */ \
 	CNT_COUNTER(CNT_PF_CALLS, "platform_calls_total", "calls to the platform's service, waiting watches included") \
 	CNT_COUNTER(CNT_PF_GETS, "platform_gets_total", "reads of a key") \
