--- a/src/fd.c
+++ b/src/fd.c
@@ -3,50 +3,50 @@
 #include "fd.h"
 
 /*
- * A thread at work holds its caller's connection, one to an endpoint, and the
- * pair by which it is woken.
+ * A thread that serves a request uses the caller's connection, one to an
+ * endpoint, and the pair of descriptors that wakes it up.
  */
-#define FD_A_THREAD 4
-/* Listeners, peers, the platform's service, orders, probes, logs. */
-#define FD_OTHERS 256
+#define FD_PER_THREAD 4
+/* For listeners, peers, the platform's service, orders, probes and logs. */
+#define FD_OTHER 256
 
-/* Returns how many descriptors a number of threads may come to hold. */
+/* Returns how many descriptors a daemon with this many threads may need. */
 uint64_t fd_needed(uint32_t threads)
 {
-	return (uint64_t)threads * FD_A_THREAD + FD_OTHERS;
+	return (uint64_t)threads * FD_PER_THREAD + FD_OTHER;
 }
 
 /*
- * Says what the soft limit should become: at least what is needed, never
- * lower than it is.  Returns 0, or FD_E_HARD_LIMIT if the hard limit forbids
- * it.
+ * Computes the new soft limit: at least the number needed, and never lower than
+ * the current one.  Returns 0, or FD_E_HARD_LIMIT if it exceeds the hard limit.
  */
 int fd_new_soft_limit(uint32_t threads, uint64_t soft, uint64_t hard,
-		      uint64_t *want)
+		      uint64_t *new_soft)
 {
 	uint64_t needed = fd_needed(threads);
 
-	*want = soft > needed ? soft : needed;
-	return *want > hard ? FD_E_HARD_LIMIT : FD_OK;
+	*new_soft = soft > needed ? soft : needed;
+	return *new_soft > hard ? FD_E_HARD_LIMIT : FD_OK;
 }
 
 /*
- * Makes sure that the process may open what its threads need.  Many systems
- * start with a soft limit of 1,024, which the threads of the default setting
- * exceed while they are idle; callers would then connect and get no answer.
- * Returns 0 or a negative enum fd_err.
+ * Raises the soft limit to what the threads need.  Many systems start with a
+ * soft limit of 1,024, which the default number of threads exceeds even while
+ * idle; callers could then connect but would get no response.  Returns 0 or a
+ * negative enum fd_err.
  */
 int fd_reserve(uint32_t threads)
 {
 	struct rlimit limit;
-	uint64_t want;
+	uint64_t new_soft;
 
 	if (getrlimit(RLIMIT_NOFILE, &limit))
 		return FD_E_SYSTEM;
-	if (fd_new_soft_limit(threads, limit.rlim_cur, limit.rlim_max, &want))
+	if (fd_new_soft_limit(threads, limit.rlim_cur, limit.rlim_max,
+			      &new_soft))
 		return FD_E_HARD_LIMIT;
-	if (want == limit.rlim_cur)
+	if (new_soft == limit.rlim_cur)
 		return FD_OK;
-	limit.rlim_cur = want;
+	limit.rlim_cur = new_soft;
 	return setrlimit(RLIMIT_NOFILE, &limit) ? FD_E_SYSTEM : FD_OK;
 }
