--- a/src/loop.c
+++ b/src/loop.c
@@ -8,7 +8,7 @@
 #include "loop.h"
 
 #define LOOP_NS_PER_US 1000
-/* Longest sleep, so that a deadline that was missed can't wait for ever. */
+/* Longest sleep, so that a missed deadline can't delay the loop forever. */
 #define LOOP_SLEEP_MAX_US MAG_US_PER_S
 
 struct loop_event {
@@ -16,7 +16,7 @@
 	struct inst_event event;
 };
 
-struct loop_query_node {
+struct loop_pending_query {
 	struct cds_list_head node;
 	loop_query_fn fn;
 	void *ctx;
@@ -26,15 +26,15 @@
 struct loop {
 	pthread_t thread;
 	pthread_mutex_t lock;
-	pthread_cond_t wake;	/* the loop waits on it */
-	pthread_cond_t queried; /* those who query wait on it */
+	pthread_cond_t wake; /* signalled when there is work for the loop */
+	pthread_cond_t queries_done; /* broadcast when queries have run */
 	struct cds_list_head events;
 	struct cds_list_head queries;
 	struct inst *inst;
 	loop_deliver_fn deliver;
 	void *ctx;
 	bool started;
-	bool ending;
+	bool stopping;
 };
 
 static void *loop_main(void *arg);
@@ -43,7 +43,7 @@
 static void loop_wait(struct loop *loop);
 static void loop_deliver_all(struct loop *loop);
 
-/* Makes a loop around a new instance; NULL if memory is short. */
+/* Creates a loop with a new instance; NULL if out of memory. */
 struct loop *loop_new(const struct inst_settings *settings,
 		      loop_deliver_fn deliver, void *ctx)
 {
@@ -66,7 +66,7 @@
 	pthread_condattr_setclock(&attr, CLOCK_MONOTONIC);
 	pthread_cond_init(&loop->wake, &attr);
 	pthread_condattr_destroy(&attr);
-	pthread_cond_init(&loop->queried, NULL);
+	pthread_cond_init(&loop->queries_done, NULL);
 	return loop;
 }
 
@@ -80,8 +80,8 @@
 }
 
 /*
- * Queues an event of the core from any thread; the core owns what it points
- * to.  Returns 0 or LOOP_E_MEMORY.
+ * Queues an event for the core; may be called from any thread.  The core takes
+ * ownership of what the event points to.  Returns 0 or LOOP_E_MEMORY.
  */
 int loop_post(struct loop *loop, const struct core_event *event)
 {
@@ -91,7 +91,7 @@
 	return loop_post_inst(loop, &wrapped);
 }
 
-/* As loop_post, for any event of the instance. */
+/* Like loop_post, for any event of the instance. */
 int loop_post_inst(struct loop *loop, const struct inst_event *event)
 {
 	struct loop_event *node = malloc(sizeof(*node));
@@ -106,33 +106,33 @@
 	return LOOP_OK;
 }
 
-/* Runs fn on the loop's thread and waits until it has run. */
+/* Runs fn on the loop's thread and waits until it returns. */
 void loop_query(struct loop *loop, loop_query_fn fn, void *ctx)
 {
-	struct loop_query_node query = { .fn = fn, .ctx = ctx };
+	struct loop_pending_query query = { .fn = fn, .ctx = ctx };
 
 	pthread_mutex_lock(&loop->lock);
 	cds_list_add_tail(&query.node, &loop->queries);
 	pthread_cond_signal(&loop->wake);
 	while (!query.done)
-		pthread_cond_wait(&loop->queried, &loop->lock);
+		pthread_cond_wait(&loop->queries_done, &loop->lock);
 	pthread_mutex_unlock(&loop->lock);
 }
 
-/* Ends the thread; events that come later are kept and not handled. */
+/* Ends the thread; events posted later are queued but not handled. */
 void loop_stop(struct loop *loop)
 {
 	if (!loop || !loop->started)
 		return;
 	pthread_mutex_lock(&loop->lock);
-	loop->ending = true;
+	loop->stopping = true;
 	pthread_cond_signal(&loop->wake);
 	pthread_mutex_unlock(&loop->lock);
 	pthread_join(loop->thread, NULL);
 	loop->started = false;
 }
 
-/* Frees a loop that has been stopped, with its instance. */
+/* Stops the loop if it is running, and frees it and its instance. */
 void loop_free(struct loop *loop)
 {
 	struct loop_event *event, *next;
@@ -144,7 +144,7 @@
 		free(event);
 	inst_free(loop->inst);
 	pthread_cond_destroy(&loop->wake);
-	pthread_cond_destroy(&loop->queried);
+	pthread_cond_destroy(&loop->queries_done);
 	pthread_mutex_destroy(&loop->lock);
 	free(loop);
 }
@@ -160,16 +160,15 @@
 	return NULL;
 }
 
-/* Waits for work and moves it to the core and fleet; false when the loop ends.
- */
+/* Waits for work, passes events to the instance; false when stopping. */
 static bool loop_collect(struct loop *loop)
 {
 	struct loop_event *event;
-	bool ending;
+	bool stopping;
 
 	pthread_mutex_lock(&loop->lock);
 	if (cds_list_empty(&loop->events) && cds_list_empty(&loop->queries) &&
-	    !loop->ending)
+	    !loop->stopping)
 		loop_wait(loop);
 	while (!cds_list_empty(&loop->events)) {
 		event = cds_list_first_entry(&loop->events, struct loop_event,
@@ -179,27 +178,27 @@
 		free(event);
 	}
 	loop_run_queries(loop);
-	ending = loop->ending;
+	stopping = loop->stopping;
 	pthread_mutex_unlock(&loop->lock);
-	return !ending;
+	return !stopping;
 }
 
-/* Runs the queries that wait; called with the lock held. */
+/* Runs the pending queries; called with the lock held. */
 static void loop_run_queries(struct loop *loop)
 {
-	struct loop_query_node *query;
+	struct loop_pending_query *query;
 
 	while (!cds_list_empty(&loop->queries)) {
 		query = cds_list_first_entry(&loop->queries,
-					     struct loop_query_node, node);
+					     struct loop_pending_query, node);
 		cds_list_del(&query->node);
 		query->fn(loop->inst, query->ctx);
 		query->done = true;
 	}
-	pthread_cond_broadcast(&loop->queried);
+	pthread_cond_broadcast(&loop->queries_done);
 }
 
-/* Sleeps until the instance's next deadline or an event. */
+/* Waits for the instance's next deadline, an event or a query. */
 static void loop_wait(struct loop *loop)
 {
 	int64_t latest = clk_now_us() + LOOP_SLEEP_MAX_US;
--- a/src/loop.h
+++ b/src/loop.h
@@ -2,18 +2,18 @@
 #define LOOP_H
 
 /*
- * The thread that owns the instance (core and fleet): it takes events from all
- * threads, runs the tick when an event is there or a deadline is due, and hands
- * the actions to the shells.
+ * Event loop: the thread that owns the instance (core and fleet).  It receives
+ * events from all threads, runs a tick when there is an event or a deadline is
+ * due, and delivers the resulting actions to the I/O modules.
  */
 
 #include "inst.h"
 
 struct loop;
 
-/* Carries one action out; must not block. It owns what the action points to. */
+/* Executes an action; must not block.  Owns what the action points to. */
 typedef void (*loop_deliver_fn)(void *ctx, struct inst_action *action);
-/* Runs on the loop's thread between two ticks. */
+/* Called on the loop's thread between two ticks. */
 typedef void (*loop_query_fn)(struct inst *inst, void *ctx);
 
 enum loop_err {
