--- a/src/daemon.c
+++ b/src/daemon.c
@@ -22,7 +22,7 @@
 #define DAEMON_KV_THREADS 4
 
 struct daemon {
-	uint32_t kv_calls_per_s; /* the budget in force */
+	uint32_t kv_calls_per_s; /* current budget of calls to the platform */
 	struct set_settings settings;
 	uint64_t incarnation;
 	struct loop *loop;
@@ -33,16 +33,18 @@
 	struct watch *watch;
 	struct mesh *mesh;
 	struct ord *ord;
-	pthread_mutex_t lock; /* of stopped */
+	pthread_mutex_t lock; /* protects stopped */
 	pthread_cond_t wake;
-	bool stopped; /* the core has nothing left in progress */
+	bool stopped; /* the core has nothing in progress */
 };
 
 static int open_platform(struct daemon *daemon);
-static int make_loop(struct daemon *daemon);
-static void fill_core(const struct daemon *daemon, struct core_settings *to);
-static void fill_fleet(const struct daemon *daemon, struct fleet_settings *to);
-static int make_ports(struct daemon *daemon);
+static int create_loop(struct daemon *daemon);
+static void fill_core_settings(const struct daemon *daemon,
+			       struct core_settings *to);
+static void fill_fleet_settings(const struct daemon *daemon,
+				struct fleet_settings *to);
+static int create_servers(struct daemon *daemon);
 static int start_threads(struct daemon *daemon);
 static int start_mesh(struct daemon *daemon);
 static void release(struct daemon *daemon);
@@ -54,8 +56,8 @@
 static void wait_stopped(struct daemon *daemon);
 
 /*
- * Starts all parts of a router.  Returns 0 and the daemon, or a negative
- * enum daemon_err with nothing left running.
+ * Starts all modules of a router.  Returns 0 and the daemon in out, or a
+ * negative enum daemon_err with nothing left running.
  */
 int daemon_start(const struct set_settings *settings, struct daemon **out)
 {
@@ -72,9 +74,9 @@
 	if (!rc)
 		rc = open_platform(daemon);
 	if (!rc)
-		rc = make_loop(daemon);
+		rc = create_loop(daemon);
 	if (!rc)
-		rc = make_ports(daemon);
+		rc = create_servers(daemon);
 	if (!rc)
 		rc = start_threads(daemon);
 	if (rc) {
@@ -89,9 +91,10 @@
 }
 
 /*
- * Stops without cutting a request off: the health check fails first, so that
- * the balancer sends elsewhere; after its notice new requests are refused;
- * what runs ends; then the process may exit.
+ * Stops without interrupting a request.  First the readiness check fails, so
+ * that the load balancer uses other instances.  After shutdown_notice_ms new
+ * requests are refused.  The requests in progress run to their end before the
+ * function returns.
  */
 void daemon_stop(struct daemon *daemon)
 {
@@ -110,7 +113,7 @@
 	log_event(LOG_STOPPED, "open=0");
 }
 
-/* Returns what went wrong at start, for the operator. */
+/* Returns an error message for a daemon_err of daemon_start. */
 const char *daemon_strerror(int err)
 {
 	switch (err) {
@@ -145,18 +148,19 @@
 	return DAEMON_OK;
 }
 
-static int make_loop(struct daemon *daemon)
+static int create_loop(struct daemon *daemon)
 {
 	struct inst_settings settings = { 0 };
 
-	fill_core(daemon, &settings.core);
-	fill_fleet(daemon, &settings.fleet);
+	fill_core_settings(daemon, &settings.core);
+	fill_fleet_settings(daemon, &settings.fleet);
 	daemon->loop = loop_new(&settings, on_action, daemon);
 	return daemon->loop ? DAEMON_OK : DAEMON_E_MEMORY;
 }
 
-/* Turns the operator's settings into those of the core. */
-static void fill_core(const struct daemon *daemon, struct core_settings *to)
+/* Derives the core's settings from those of the daemon. */
+static void fill_core_settings(const struct daemon *daemon,
+			       struct core_settings *to)
 {
 	const struct set_settings *from = &daemon->settings;
 
@@ -178,8 +182,9 @@
 	to->ledger.batch_max = from->ledger_batch_max;
 }
 
-/* Turns the operator's settings into those of the fleet. */
-static void fill_fleet(const struct daemon *daemon, struct fleet_settings *to)
+/* Derives the fleet's settings from those of the daemon. */
+static void fill_fleet_settings(const struct daemon *daemon,
+				struct fleet_settings *to)
 {
 	const struct set_settings *from = &daemon->settings;
 
@@ -195,7 +200,7 @@
 	to->place = from->place;
 }
 
-static int make_ports(struct daemon *daemon)
+static int create_servers(struct daemon *daemon)
 {
 	const struct set_settings *from = &daemon->settings;
 	struct front_settings front = {
@@ -219,7 +224,7 @@
 	return daemon->admin ? DAEMON_OK : DAEMON_E_MEMORY;
 }
 
-/* The ports open last: a caller must find all parts at work. */
+/* The ports open last, as all modules must run before a caller connects. */
 static int start_threads(struct daemon *daemon)
 {
 	struct kv_backend backend = pf_backend(daemon->pf);
@@ -246,7 +251,7 @@
 	return DAEMON_OK;
 }
 
-/* Listens for peers and names those that the settings know. */
+/* Listens for peers, and adds the peers listed in the settings. */
 static int start_mesh(struct daemon *daemon)
 {
 	const struct set_settings *from = &daemon->settings;
@@ -265,7 +270,7 @@
 	return DAEMON_OK;
 }
 
-/* Frees all that was started, in the order that nothing calls what is gone. */
+/* Stops and frees all modules, each one after those that call it. */
 static void release(struct daemon *daemon)
 {
 	if (daemon->pf)
@@ -287,7 +292,7 @@
 	free(daemon);
 }
 
-/* Carries an action of the instance out; runs on the loop's thread. */
+/* Executes an action of the instance; runs on the loop's thread. */
 static void on_action(void *ctx, struct inst_action *action)
 {
 	struct daemon *daemon = ctx;
@@ -314,9 +319,10 @@
 }
 
 /*
- * Takes this instance's part of the fleet's calls.  The service's rates don't
- * grow with the fleet: were each instance to keep a budget of its own, a fleet
- * that grew would be refused for its rate, bookings first.
+ * Sets this instance's part of the fleet's budget of calls to the platform. The
+ * service's rate limits don't grow with the fleet: if each instance had a
+ * budget of its own, a growing fleet would exceed them, and bookings would be
+ * refused first.
  */
 static void on_role(struct daemon *daemon, const struct inst_role *role)
 {
@@ -342,7 +348,7 @@
 		front_deliver(daemon->front, action);
 }
 
-/* Hands a reply of the platform's service to the core. */
+/* Passes a reply of the platform's service to the core. */
 static void on_kv_reply(void *ctx, const struct kv_reply *reply)
 {
 	struct daemon *daemon = ctx;
--- a/src/daemon.h
+++ b/src/daemon.h
@@ -1,7 +1,7 @@
 #ifndef DAEMON_H
 #define DAEMON_H
 
-/* Puts the parts of magnoliad together and takes them apart again. */
+/* Starts and stops the modules of magnoliad. */
 
 #include "set.h"
 
--- a/src/magnoliad.c
+++ b/src/magnoliad.c
@@ -15,7 +15,7 @@
 static int run(const struct set_settings *settings);
 static void block_signals(sigset_t *signals);
 
-/* The router: reads its settings, serves until SIGTERM or SIGINT. */
+/* Main function of the router: serves until SIGTERM or SIGINT. */
 int main(int argc, char **argv)
 {
 	struct set_settings settings;
@@ -44,7 +44,7 @@
 	return run(&settings);
 }
 
-/* Lists every fault of the settings; nothing has been started. */
+/* Logs every error in the settings, before anything is started. */
 static int print_faults(const struct flt_list *faults)
 {
 	size_t i;
@@ -75,7 +75,7 @@
 	return 0;
 }
 
-/* Blocks the signals that end the daemon, so that sigwait takes them. */
+/* Blocks the signals that stop the daemon, so that sigwait receives them. */
 static void block_signals(sigset_t *signals)
 {
 	signal(SIGPIPE, SIG_IGN);
