--- a/regress/check_gate.c
+++ b/regress/check_gate.c
@@ -10,15 +10,19 @@
 #include "pf_gate.h"
 #include "script.h"
 
-#define GATE_WORD_MAX 32
+#define GATE_COMMAND_MAX 32
 
-static void gate_line(struct pf_gate *gate, FILE *out, const char *line);
+static void gate_run_line(struct pf_gate *gate, FILE *out, const char *line);
 
 /*
- * Lines: "MS budget CALLS BURST", "MS ask COUNT" (prints how many of them
- * pass), "MS answered", "MS failed", "SEED seed".
+ * Script commands, with times in milliseconds:
+ *   MS budget CALLS BURST   sets the budget: CALLS per second, burst size
+ *   MS ask COUNT            asks for COUNT calls, prints how many are admitted
+ *   MS answered             records a call that reached the service
+ *   MS failed               records a call that did not
+ *   SEED seed               reinitializes the gate with this seed
  */
-static void gate_driver(FILE *in, FILE *out)
+static void gate_run_script(FILE *in, FILE *out)
 {
 	struct pf_gate gate;
 	char line[128];
@@ -26,35 +30,35 @@
 	pf_gate_init(&gate, 1);
 	while (fgets(line, sizeof(line), in)) {
 		if (line[0] != '#' && line[0] != '\n')
-			gate_line(&gate, out, line);
+			gate_run_line(&gate, out, line);
 	}
 }
 
-static void gate_line(struct pf_gate *gate, FILE *out, const char *line)
+static void gate_run_line(struct pf_gate *gate, FILE *out, const char *line)
 {
 	int counts[PF_GATE_PAUSED + 1] = { 0 };
-	char word[GATE_WORD_MAX] = "";
+	char command[GATE_COMMAND_MAX] = "";
 	unsigned int a = 0;
 	unsigned int b = 0;
 	long at = 0;
 	int64_t now;
 
-	sscanf(line, "%ld %31s %u %u", &at, word, &a, &b);
+	sscanf(line, "%ld %31s %u %u", &at, command, &a, &b);
 	now = at * MAG_US_PER_MS;
-	if (strcmp(word, "seed") == 0)
+	if (strcmp(command, "seed") == 0)
 		pf_gate_init(gate, (uint64_t)at);
-	if (strcmp(word, "budget") == 0)
+	if (strcmp(command, "budget") == 0)
 		pf_gate_set_budget(gate, a, b, now);
-	if (strcmp(word, "answered") == 0 &&
+	if (strcmp(command, "answered") == 0 &&
 	    pf_gate_record_result(gate, true, now))
 		fprintf(out, "%ld up\n", at);
-	if (strcmp(word, "failed") == 0 &&
+	if (strcmp(command, "failed") == 0 &&
 	    pf_gate_record_result(gate, false, now))
 		fprintf(out, "%ld down\n", at);
-	if (strcmp(word, "failed") == 0 && gate->down)
+	if (strcmp(command, "failed") == 0 && gate->down)
 		fprintf(out, "%ld next probe at %ld\n", at,
 			(long)(gate->retry_at_us / MAG_US_PER_MS));
-	if (strcmp(word, "ask") != 0)
+	if (strcmp(command, "ask") != 0)
 		return;
 	while (a-- > 0)
 		counts[pf_gate_admit(gate, now)]++;
@@ -65,5 +69,5 @@
 
 int main(void)
 {
-	return script_main("regress/gate", gate_driver);
+	return script_main("regress/gate", gate_run_script);
 }
