--- a/regress/fake_platform.c
+++ b/regress/fake_platform.c
@@ -1,9 +1,11 @@
 /*
- * Stand-in of the platform's service: keys under compare-and-swap, leases,
- * watches, the lagging list of instances, load reports, a weight store.
+ * Fake of the platform's service: keys with compare-and-swap, leases, watches,
+ * the list of instances, which lags behind, load reports and a weight store.
  *
- * Faults: lose_after_write, delay_ms, refuse (closes without an answer),
- * limit_per_s, snapshot and rewind (returns with the older state).
+ * Faults: lose_after_write (applies a write but does not reply), delay_ms
+ * (delays each reply), refuse (closes the connection without a reply),
+ * limit_per_s (replies 429 above this rate), snapshot and rewind (saves and
+ * restores the values, like a service that returns with an older state).
  */
 #include <inttypes.h>
 #include <pthread.h>
@@ -25,10 +27,10 @@
 struct plat_entry {
 	struct cds_list_head node;
 	char key[PLAT_NAME_MAX];
-	char *value; /* NULL: deleted; the version stays */
+	char *value; /* NULL: deleted; the version remains */
 	size_t len;
 	uint64_t version;
-	char *old_value; /* as it was at the last "snapshot" */
+	char *old_value; /* value at the last "snapshot" */
 	size_t old_len;
 	uint64_t old_version;
 };
@@ -44,15 +46,15 @@
 struct plat_call {
 	const char *method;
 	const char *prefix;
-	const char *counted_as;
+	const char *counted_as; /* key in /stats; NULL: not counted */
 	void (*handle)(struct fk_request *req, const char *name);
 };
 
 static void plat_get(struct fk_request *req, const char *name);
 static void plat_put(struct fk_request *req, const char *name);
 static void plat_delete(struct fk_request *req, const char *name);
-static void plat_lease_take(struct fk_request *req, const char *name);
-static void plat_lease_drop(struct fk_request *req, const char *name);
+static void plat_lease_acquire(struct fk_request *req, const char *name);
+static void plat_lease_release(struct fk_request *req, const char *name);
 static void plat_instances(struct fk_request *req, const char *name);
 static void plat_set_instances(struct fk_request *req, const char *name);
 static void plat_loads(struct fk_request *req, const char *name);
@@ -64,8 +66,8 @@
 	{ "GET", "/kv/", "gets", plat_get },
 	{ "PUT", "/kv/", "swaps", plat_put },
 	{ "DELETE", "/kv/", "deletes", plat_delete },
-	{ "POST", "/lease/", "lease_takes", plat_lease_take },
-	{ "DELETE", "/lease/", "lease_drops", plat_lease_drop },
+	{ "POST", "/lease/", "lease_takes", plat_lease_acquire },
+	{ "DELETE", "/lease/", "lease_drops", plat_lease_release },
 	{ "GET", "/instances", "instances", plat_instances },
 	{ "PUT", "/instances", NULL, plat_set_instances },
 	{ "GET", "/loads", "loads", plat_loads },
@@ -79,18 +81,18 @@
 static pthread_mutex_t plat_lock = PTHREAD_MUTEX_INITIALIZER;
 static pthread_cond_t plat_changed;
 static json_t *plat_instance_list;
-static json_t *plat_pending_list; /* shown from plat_pending_us on */
+static json_t *plat_pending_list; /* visible from plat_pending_us on */
 static int64_t plat_pending_us;
 static json_t *plat_reports; /* endpoint -> report with taken_us */
 static json_t *plat_counts;
 static int64_t plat_lag_us;
 static long plat_weights_per_s = 1L << 30;
-static int64_t plat_weights_free_us;
+static int64_t plat_weights_busy_until_us;
 static int64_t plat_second;
-static long plat_this_second;
+static long plat_calls_this_second;
 
-/* Finds a key, making an empty entry for one never seen. */
-static struct plat_entry *plat_entry(const char *key)
+/* Returns the entry of a key; adds an empty one if there is none. */
+static struct plat_entry *plat_find_entry(const char *key)
 {
 	struct plat_entry *entry;
 
@@ -105,7 +107,7 @@
 	return entry;
 }
 
-static struct plat_lease *plat_lease(const char *name)
+static struct plat_lease *plat_find_lease(const char *name)
 {
 	struct plat_lease *lease;
 
@@ -120,9 +122,9 @@
 	return lease;
 }
 
-/* Answers with a version header; the lock is not held. */
-static void plat_answer(struct fk_request *req, int status, uint64_t version,
-			const char *value, size_t len)
+/* Replies with the header X-Version; called without the lock. */
+static void plat_reply(struct fk_request *req, int status, uint64_t version,
+		       const char *value, size_t len)
 {
 	char header[64];
 
@@ -130,7 +132,7 @@
 	fk_answer(req, status, header, value, len);
 }
 
-/* Waits for a change until a deadline; returns false once it is over. */
+/* Waits for a change; returns false once the deadline has passed. */
 static bool plat_wait(int64_t until_us)
 {
 	struct timespec until = { .tv_sec = until_us / MAG_US_PER_S,
@@ -139,7 +141,7 @@
 	return pthread_cond_timedwait(&plat_changed, &plat_lock, &until) == 0;
 }
 
-/* GET of a key, at once or when its version differs from wait_version. */
+/* GET /kv/KEY: replies at once, or once the version is not wait_version. */
 static void plat_get(struct fk_request *req, const char *name)
 {
 	bool watch = strstr(req->query, "wait_version=") != NULL;
@@ -153,7 +155,7 @@
 	bool absent;
 
 	pthread_mutex_lock(&plat_lock);
-	entry = plat_entry(name);
+	entry = plat_find_entry(name);
 	while (watch && (!entry->value || entry->version == known) &&
 	       plat_wait(until))
 		;
@@ -168,13 +170,13 @@
 	if (absent)
 		fk_answer(req, 404, "", "", 0);
 	else if (watch && version == known)
-		plat_answer(req, 304, version, "", 0);
+		plat_reply(req, 304, version, "", 0);
 	else
-		plat_answer(req, 200, version, value, len);
+		plat_reply(req, 200, version, value, len);
 	free(value);
 }
 
-/* Swaps a value in if the version is the expected one; NULL deletes. */
+/* Replaces a value if its version is as expected; NULL deletes it. */
 static bool plat_swap(struct plat_entry *entry, uint64_t expected,
 		      const char *value, size_t len)
 {
@@ -204,14 +206,14 @@
 	bool done;
 
 	pthread_mutex_lock(&plat_lock);
-	entry = plat_entry(name);
+	entry = plat_find_entry(name);
 	done = plat_swap(entry, expected, value, len);
 	version = entry->value ? entry->version : 0;
 	pthread_mutex_unlock(&plat_lock);
 	if (fk_fault(req->fk, "lose_after_write", NULL))
 		fk_cut(req);
 	else
-		plat_answer(req, done ? 200 : 409, version, "", 0);
+		plat_reply(req, done ? 200 : 409, version, "", 0);
 }
 
 static void plat_put(struct fk_request *req, const char *name)
@@ -227,8 +229,8 @@
 	plat_write(req, name, NULL, 0);
 }
 
-/* Takes or renews a lease; the number rises when the holder changes. */
-static void plat_lease_take(struct fk_request *req, const char *name)
+/* Acquires or renews a lease; each new acquisition increments the fence. */
+static void plat_lease_acquire(struct fk_request *req, const char *name)
 {
 	json_t *body = json_loadb(req->body, req->len, 0, NULL);
 	const char *holder = json_string_value(json_object_get(body, "holder"));
@@ -238,7 +240,7 @@
 	uint64_t fence = 0;
 
 	pthread_mutex_lock(&plat_lock);
-	lease = plat_lease(name);
+	lease = plat_find_lease(name);
 	if (holder && ttl_ms > 0 &&
 	    (now >= lease->until_us || strcmp(lease->holder, holder) == 0)) {
 		if (now >= lease->until_us ||
@@ -259,7 +261,7 @@
 		fk_answer(req, 409, "", "", 0);
 }
 
-static void plat_lease_drop(struct fk_request *req, const char *name)
+static void plat_lease_release(struct fk_request *req, const char *name)
 {
 	char holder[PLAT_NAME_MAX] = "";
 	struct plat_lease *lease;
@@ -268,7 +270,7 @@
 	mg_get_var(req->query, strlen(req->query), "holder", holder,
 		   sizeof(holder));
 	pthread_mutex_lock(&plat_lock);
-	lease = plat_lease(name);
+	lease = plat_find_lease(name);
 	held = strcmp(lease->holder, holder) == 0;
 	if (held)
 		lease->until_us = 0;
@@ -276,7 +278,7 @@
 	fk_answer(req, held ? 200 : 409, "", "", 0);
 }
 
-/* Shows the list of instances as it was a lag ago. */
+/* GET /instances: the list as it was plat_lag_us ago. */
 static void plat_instances(struct fk_request *req, const char *name)
 {
 	json_t *list;
@@ -293,7 +295,7 @@
 	fk_answer_json(req, 200, "", list);
 }
 
-/* PUT /instances: what the list will show after the lag. */
+/* PUT /instances: sets the list that is visible after plat_lag_us. */
 static void plat_set_instances(struct fk_request *req, const char *name)
 {
 	json_t *list = json_loadb(req->body, req->len, 0, NULL);
@@ -319,21 +321,21 @@
 	(void)name;
 	pthread_mutex_lock(&plat_lock);
 	json_object_foreach (plat_reports, endpoint, report) {
-		int64_t taken =
+		int64_t received_us =
 			json_integer_value(json_object_get(report, "taken_us"));
 		json_t *shown = json_copy(report);
 
 		json_object_del(shown, "taken_us");
 		json_object_set_new(
 			shown, "age_ms",
-			json_integer((now - taken) / MAG_US_PER_MS));
+			json_integer((now - received_us) / MAG_US_PER_MS));
 		json_array_append_new(list, shown);
 	}
 	pthread_mutex_unlock(&plat_lock);
 	fk_answer_json(req, 200, "", json_pack("{s:o}", "loads", list));
 }
 
-/* POST /loads: endpoints hand their reports in. */
+/* POST /loads: stores the load reports that endpoints send. */
 static void plat_add_loads(struct fk_request *req, const char *name)
 {
 	json_t *body = json_loadb(req->body, req->len, 0, NULL);
@@ -356,7 +358,7 @@
 	fk_answer(req, 200, "", "", 0);
 }
 
-/* Hands out bytes of weights at the store's rate, one after the other. */
+/* GET /weights/: delays replies so that all together keep to the rate. */
 static void plat_weights(struct fk_request *req, const char *name)
 {
 	int64_t bytes = fk_query_number(req, "bytes");
@@ -365,17 +367,17 @@
 
 	(void)name;
 	pthread_mutex_lock(&plat_lock);
-	if (plat_weights_free_us < now)
-		plat_weights_free_us = now;
-	plat_weights_free_us += bytes * MAG_US_PER_S / plat_weights_per_s;
-	ready = plat_weights_free_us;
+	if (plat_weights_busy_until_us < now)
+		plat_weights_busy_until_us = now;
+	plat_weights_busy_until_us += bytes * MAG_US_PER_S / plat_weights_per_s;
+	ready = plat_weights_busy_until_us;
 	pthread_mutex_unlock(&plat_lock);
 	fk_sleep_us(ready - now);
 	fk_answer_json(req, 200, "",
 		       json_pack("{s:I}", "bytes", (json_int_t)bytes));
 }
 
-/* GET /stats: calls by kind since the start. */
+/* GET /stats: number of calls by kind since the start. */
 static void plat_stats(struct fk_request *req, const char *name)
 {
 	json_t *counts;
@@ -387,7 +389,7 @@
 	fk_answer_json(req, 200, "", counts);
 }
 
-/* Counts a call; false if it is over the rate. */
+/* Counts a call; returns false if it exceeds limit_per_s. */
 static bool plat_count(struct fk_request *req, const struct plat_call *call)
 {
 	const char *as = call->counted_as;
@@ -401,23 +403,23 @@
 		as = "watches";
 	pthread_mutex_lock(&plat_lock);
 	if (second != plat_second)
-		plat_this_second = 0;
+		plat_calls_this_second = 0;
 	plat_second = second;
-	plat_this_second++;
+	plat_calls_this_second++;
 	json_object_set_new(plat_counts, as,
 			    json_integer(1 + json_integer_value(json_object_get(
 						     plat_counts, as))));
 	over = fk_fault(req->fk, "limit_per_s", &limit) &&
-	       plat_this_second > limit;
+	       plat_calls_this_second > limit;
 	pthread_mutex_unlock(&plat_lock);
 	return !over;
 }
 
 /*
- * Keeps all values aside, or puts them back: a service that returns from an
- * outage with an older state.
+ * Saves all values, or restores the saved ones, which simulates a service that
+ * returns from an outage with an older state.
  */
-static void plat_rewind(bool restore)
+static void plat_save_or_rewind(bool restore)
 {
 	struct plat_entry *entry;
 
@@ -449,9 +451,9 @@
 	size_t i;
 
 	if (fk_fault(req->fk, "snapshot", NULL))
-		plat_rewind(false);
+		plat_save_or_rewind(false);
 	if (fk_fault(req->fk, "rewind", NULL))
-		plat_rewind(true);
+		plat_save_or_rewind(true);
 	if (fk_fault(req->fk, "delay_ms", &value))
 		fk_sleep_us(value * MAG_US_PER_MS);
 	if (fk_fault(req->fk, "refuse", NULL)) {
@@ -474,7 +476,7 @@
 	fk_answer(req, 404, "", "", 0);
 }
 
-/* Writes the keys to a file, for a stand-in that starts again later. */
+/* Writes the keys to a file, which plat_restore reads after a restart. */
 static void plat_save(const char *path)
 {
 	json_t *all = json_array();
@@ -513,7 +515,7 @@
 			json_string_value(json_object_get(item, "key"));
 		const char *hex =
 			json_string_value(json_object_get(item, "hex"));
-		struct plat_entry *entry = plat_entry(key);
+		struct plat_entry *entry = plat_find_entry(key);
 		char pair[3] = "";
 
 		entry->version = (uint64_t)json_integer_value(
