--- a/regress/check_gate.c
+++ b/regress/check_gate.c
@@ -38,31 +38,31 @@
 {
 	int counts[PF_GATE_PAUSED + 1] = { 0 };
 	char command[GATE_COMMAND_MAX] = "";
-	unsigned int a = 0;
-	unsigned int b = 0;
-	long at = 0;
+	unsigned int arg1 = 0;
+	unsigned int arg2 = 0;
+	long time_ms = 0;
 	int64_t now;
 
-	sscanf(line, "%ld %31s %u %u", &at, command, &a, &b);
-	now = at * MAG_US_PER_MS;
+	sscanf(line, "%ld %31s %u %u", &time_ms, command, &arg1, &arg2);
+	now = time_ms * MAG_US_PER_MS;
 	if (strcmp(command, "seed") == 0)
-		pf_gate_init(gate, (uint64_t)at);
+		pf_gate_init(gate, (uint64_t)time_ms);
 	if (strcmp(command, "budget") == 0)
-		pf_gate_set_budget(gate, a, b, now);
+		pf_gate_set_budget(gate, arg1, arg2, now);
 	if (strcmp(command, "answered") == 0 &&
 	    pf_gate_record_result(gate, true, now))
-		fprintf(out, "%ld up\n", at);
+		fprintf(out, "%ld up\n", time_ms);
 	if (strcmp(command, "failed") == 0 &&
 	    pf_gate_record_result(gate, false, now))
-		fprintf(out, "%ld down\n", at);
+		fprintf(out, "%ld down\n", time_ms);
 	if (strcmp(command, "failed") == 0 && gate->down)
-		fprintf(out, "%ld next probe at %ld\n", at,
+		fprintf(out, "%ld next probe at %ld\n", time_ms,
 			(long)(gate->retry_at_us / MAG_US_PER_MS));
 	if (strcmp(command, "ask") != 0)
 		return;
-	while (a-- > 0)
+	while (arg1-- > 0)
 		counts[pf_gate_admit(gate, now)]++;
-	fprintf(out, "%ld pass %d, over budget %d, paused %d\n", at,
+	fprintf(out, "%ld pass %d, over budget %d, paused %d\n", time_ms,
 		counts[PF_GATE_PASS], counts[PF_GATE_OVER_BUDGET],
 		counts[PF_GATE_PAUSED]);
 }
