--- a/src/front_in.c
+++ b/src/front_in.c
@@ -18,7 +18,7 @@
 static int read_idempotency_key(struct front_req *req, const char **why);
 static int read_timeout(struct front_req *req, const char **why);
 static int read_body(struct front_req *req, const char **why);
-static int read_body_bytes(struct front_req *req, size_t room,
+static int read_body_bytes(struct front_req *req, size_t max_len,
 			   const char **why);
 static int read_headers(struct front_req *req, const char **why);
 static int read_model(struct front_req *req, const char **why);
@@ -147,31 +147,32 @@
 static int read_body(struct front_req *req, const char **why)
 {
 	const struct mg_request_info *info = mg_get_request_info(req->conn);
-	size_t room = req->front->settings.body_max;
+	size_t max_len = req->front->settings.body_max;
 
-	if (info->content_length > (long long)room) {
+	if (info->content_length > (long long)max_len) {
 		*why = "body too long";
 		req->body_unread = true;
 		return 413;
 	}
 	if (info->content_length >= 0)
-		room = (size_t)info->content_length;
-	req->body = malloc(room + 1);
+		max_len = (size_t)info->content_length;
+	req->body = malloc(max_len + 1);
 	if (!req->body) {
 		*why = "memory is short";
 		return 503;
 	}
-	return read_body_bytes(req, room, why);
+	return read_body_bytes(req, max_len, why);
 }
 
-static int read_body_bytes(struct front_req *req, size_t room, const char **why)
+static int read_body_bytes(struct front_req *req, size_t max_len,
+			   const char **why)
 {
 	const struct mg_request_info *info = mg_get_request_info(req->conn);
 	int got;
 
-	while (req->body_len < room) {
+	while (req->body_len < max_len) {
 		got = mg_read(req->conn, req->body + req->body_len,
-			      room - req->body_len);
+			      max_len - req->body_len);
 		if (got <= 0)
 			break;
 		req->body_len += (size_t)got;
--- a/src/front_int.h
+++ b/src/front_int.h
@@ -21,15 +21,14 @@
 	struct loop *loop;
 	struct mg_context *server;
 	struct ep_cancel *cancel;
-	struct cfg_set *set; /* current configuration; read under RCU */
-	pthread_mutex_t
-		lock; /* protects the buckets and the requests' actions */
-	struct cds_list_head buckets[FRONT_BUCKETS];
+	struct cfg_set *set;  /* current configuration; read under RCU */
+	pthread_mutex_t lock; /* of the buckets and their requests */
+	struct cds_list_head buckets[FRONT_BUCKETS]; /* by request id */
 	atomic_uint_fast64_t next_id;
-	atomic_uint open;
+	atomic_uint open;	 /* requests in progress */
 	atomic_uint connections; /* each occupies a server thread */
-	atomic_bool refusing;
-	atomic_bool closing; /* close connections after the response */
+	atomic_bool refusing;	 /* refuse new requests */
+	atomic_bool closing;	 /* close connections after the response */
 };
 
 struct front_action {
@@ -44,8 +43,8 @@
 	struct ep *ep;
 	uint64_t id;
 	char id_text[EP_ID_MAX];
-	pthread_cond_t wake;
-	struct cds_list_head actions; /* under front->lock */
+	pthread_cond_t wake;	      /* signalled when an action is queued */
+	struct cds_list_head actions; /* queued actions; under front->lock */
 	struct core_arrival arrival;
 	const char *method;
 	char path[CORE_PATH_MAX]; /* includes the query string */
--- a/src/front_out.c
+++ b/src/front_out.c
@@ -83,7 +83,7 @@
 
 /*
  * Encodes the response for storage in a record: content type, newline, body.
- * Returns NULL if it exceeds LDG_ANSWER_MAX or memory is out; the caller frees
+ * Returns NULL if it exceeds LDG_ANSWER_MAX or out of memory; the caller frees
  * the result.
  */
 char *front_record_answer(const struct front_req *req, size_t *len)
--- a/src/front_req.c
+++ b/src/front_req.c
@@ -4,8 +4,8 @@
 #include "clk.h"
 #include "front_int.h"
 
-#define FRONT_PROGRESS_US                                                      \
-	(50 * MAG_US_PER_MS) /* between two progress reports */
+/* Time between two progress reports of an attempt. */
+#define FRONT_PROGRESS_US (50 * MAG_US_PER_MS)
 
 static bool next_action(struct front_req *req, struct core_action *action,
 			bool wait);
@@ -187,15 +187,15 @@
 /* Stores a token, as a later attempt must send the tokens delivered so far. */
 static bool store_token(struct front_req *req, const char *text)
 {
-	uint32_t room = req->token_capacity ? 2 * req->token_capacity : 64;
+	uint32_t capacity = req->token_capacity ? 2 * req->token_capacity : 64;
 	char **tokens;
 
 	if (req->token_count == req->token_capacity) {
-		tokens = realloc(req->tokens, room * sizeof(*tokens));
+		tokens = realloc(req->tokens, capacity * sizeof(*tokens));
 		if (!tokens)
 			return false;
 		req->tokens = tokens;
-		req->token_capacity = room;
+		req->token_capacity = capacity;
 	}
 	req->tokens[req->token_count] = strdup(text);
 	if (!req->tokens[req->token_count])
