--- a/src/daemon.c
+++ b/src/daemon.c
@@ -319,8 +319,8 @@
 }
 
 /*
- * Sets this instance's part of the fleet's budget of calls to the platform. The
- * service's rate limits don't grow with the fleet: if each instance had a
+ * Sets this instance's part of the fleet's budget of calls to the platform.
+ * The service's rate limits don't grow with the fleet.  If each instance had a
  * budget of its own, a growing fleet would exceed them, and bookings would be
  * refused first.
  */
--- a/src/pf.c
+++ b/src/pf.c
@@ -475,11 +475,11 @@
 }
 
 /*
- * Waits for the budget where calls are paced.  A ledger whose swap is refused
- * for the budget has to read before it may say not-run, and those reads spend
- * the budget that the swaps lack: at 100 calls a second, 24 callers got 12
- * bookings a second and 8 reads for each.  A call that waits lets the
- * reservations behind it join one swap.
+ * Asks the gate to admit a call and, if calls are paced, waits for the budget.
+ * A ledger whose swap is refused for lack of budget must read before it may
+ * report not-run, and those reads use up the budget that the swaps need: at 100
+ * calls per second, 24 callers got 12 bookings per second and 8 reads for each
+ * booking.  While a call waits, the reservations behind it can join one swap.
  */
 static enum pf_gate_verdict pf_admit_paced(struct pf *pf, int64_t deadline_us)
 {
@@ -494,7 +494,7 @@
 	return verdict;
 }
 
-/* Asks the gate to admit a call, with the lock held. */
+/* Asks the gate to admit a call; takes the lock. */
 static enum pf_gate_verdict pf_admit(struct pf *pf)
 {
 	enum pf_gate_verdict verdict;
--- a/src/pf_gate.h
+++ b/src/pf_gate.h
@@ -21,9 +21,8 @@
 	uint32_t burst;
 	double tokens; /* left in the token bucket */
 	int64_t refilled_us;
-	uint32_t
-		consecutive_failures; /* failed calls since the last response */
-	int64_t retry_at_us;	      /* when down: time of the next probe */
+	uint32_t consecutive_failures; /* since the last response */
+	int64_t retry_at_us;	       /* when down: time of the next probe */
 	uint64_t rng_state;
 	bool down; /* the service is considered unreachable */
 };
