--- a/src/ep_int.h
+++ b/src/ep_int.h
@@ -1,35 +1,37 @@
 #ifndef EP_INT_H
 #define EP_INT_H
 
-/* Between the call to an endpoint and the protocol that it speaks. */
+/* Internal interface between ep.c and the protocols of the endpoints. */
 
 #include <curl/curl.h>
 
 #include "ep.h"
 #include "ep_sse.h"
 
-#define EP_HEADERS_MAX 16384	     /* longest headers that are taken */
-#define EP_BODY_MAX    (1024 * 1024) /* longest answer that is taken */
+#define EP_HEADERS_MAX 16384	     /* longest response headers, in bytes */
+#define EP_BODY_MAX    (1024 * 1024) /* longest response body, in bytes */
 
 struct ep {
 	CURLM *multi;
-	long connect_ms; /* longest wait for a connection */
+	long connect_ms; /* timeout for connecting, in ms */
 	struct ep_cancel *cancel;
 };
 
 struct ep_call;
 
-/* A protocol towards endpoints; one for each enum cfg_service_kind. */
+/* Protocol of an endpoint; there is one for each enum cfg_service_kind. */
 struct ep_protocol {
-	/* Sets URL, headers and body; 0 or EP_E_MEMORY. */
+	/* Sets URL, headers and body.  Returns 0 or EP_E_MEMORY. */
 	int (*prepare)(struct ep_call *call);
-	/* Takes a header line of the answer; false breaks the transfer off. */
-	bool (*header)(struct ep_call *call, const char *line, size_t len);
-	/* Takes bytes of the answer; false breaks the transfer off. */
-	bool (*receive)(struct ep_call *call, const char *bytes, size_t len);
-	/* Says how the attempt ended, once the transfer has. */
+	/* Receives a header line of the response; false aborts. */
+	bool (*receive_header)(struct ep_call *call, const char *line,
+			       size_t len);
+	/* Receives a part of the response body; false aborts. */
+	bool (*receive_body)(struct ep_call *call, const char *bytes,
+			     size_t len);
+	/* Sets how the attempt ended; called after the transfer. */
 	void (*finish)(struct ep_call *call, CURLcode code);
-	/* Asks each stage for a sign of life; returns the silent ones. */
+	/* Probes each stage; returns a mask of those without an answer. */
 	uint32_t (*probe)(struct ep_call *call);
 	/* Tells the endpoint that the attempt is cancelled. */
 	void (*cancel)(struct ep_call *call);
@@ -44,24 +46,24 @@
 	const struct ep_sink *sink;
 	struct ep_answer *answer;
 	struct ep_sse sse;
-	char *sent;	      /* the body, when the protocol made it */
-	char echo[EP_ID_MAX]; /* Magnolia-Request of the answer */
-	char echo_attempt[16];
-	bool not_begun; /* header X-Not-Begun of the answer */
-	bool ended;	/* the stream said done or failed */
-	bool wrong;	/* ids of another request or attempt */
-	bool too_long;
-	uint32_t next; /* index of the next token to deliver */
+	char *request_body;		/* if the protocol allocated it */
+	char echoed_request[EP_ID_MAX]; /* Magnolia-Request of the response */
+	char echoed_attempt[16];
+	bool not_begun;	   /* the response has the header X-Not-Begun */
+	bool stream_ended; /* received the event done or failed */
+	bool invalid;	   /* wrong ids, or an event that breaks the protocol */
+	bool too_long;	   /* the body exceeds EP_BODY_MAX */
+	uint32_t next_token; /* index of the next token to deliver */
 };
 
 extern const struct ep_protocol ep_engine;
 extern const struct ep_protocol ep_plain;
 
 uint32_t ep_engine_probe(struct ep_call *call);
-int ep_add_line(struct ep_call *call, const char *line);
+int ep_add_header_line(struct ep_call *call, const char *line);
 int ep_add_header(struct ep_call *call, const char *name, const char *value);
 bool ep_append_body(struct ep_call *call, const char *bytes, size_t len);
-bool ep_status_proves_unbegun(const struct ep_call *call);
+bool ep_status_proves_not_begun(const struct ep_call *call);
 bool ep_never_sent(const struct ep_call *call, CURLcode code);
 
 #endif /* EP_INT_H */
--- a/src/ldg.c
+++ b/src/ldg.c
@@ -302,7 +302,7 @@
 static void ldg_expire_call(struct ldg *ldg, struct ldg_shard *shard,
 			    int64_t now)
 {
-	struct kv_reply lost = { .id = shard->call_id, .status = KV_LOST };
+	struct kv_reply lost = { .id = shard->call_id, .status = KV_NO_ANSWER };
 
 	if (shard->call_id && shard->call_deadline_us <= now)
 		ldg_shard_reply(ldg, shard, &lost, now);
--- a/src/ldg_call.c
+++ b/src/ldg_call.c
@@ -65,13 +65,14 @@
 void ldg_shard_reply(struct ldg *ldg, struct ldg_shard *shard,
 		     const struct kv_reply *reply, int64_t now)
 {
-	bool answered = reply->status != KV_UNSENT && reply->status != KV_LOST;
+	bool answered =
+		reply->status != KV_NOT_SENT && reply->status != KV_NO_ANSWER;
 
 	shard->call_id = 0;
 	ldg->calls_in_flight--;
 	if (answered)
 		ldg_on_answer(ldg);
-	if (reply->status == KV_LIMITED) {
+	if (reply->status == KV_RATE_LIMITED) {
 		ldg_shard_back_off(ldg, shard, now);
 		ldg_increase_swap_interval(ldg, now);
 	}
@@ -266,7 +267,7 @@
 {
 	if (reply->status == KV_OK)
 		shard->head_version = reply->version;
-	if (reply->status != KV_LIMITED)
+	if (reply->status != KV_RATE_LIMITED)
 		shard->head_dirty = false;
 }
 
@@ -317,7 +318,7 @@
 	struct ldg_seg *seg =
 		cds_list_first_entry(&shard->expired, struct ldg_seg, node);
 
-	if (reply->status == KV_LIMITED || reply->status == KV_UNSENT)
+	if (reply->status == KV_RATE_LIMITED || reply->status == KV_NOT_SENT)
 		return;
 	cds_list_del(&seg->node);
 	ldg_seg_free(seg);
@@ -340,14 +341,14 @@
 		}
 		return;
 	}
-	ldg_batch_abort(shard, reply->status == KV_LOST);
-	if (reply->status == KV_CONFLICT || reply->status == KV_LOST)
+	ldg_batch_abort(shard, reply->status == KV_NO_ANSWER);
+	if (reply->status == KV_CONFLICT || reply->status == KV_NO_ANSWER)
 		shard->step = STEP_STALE;
 	/*
 	 * Reads have their own rate limit, and only a read after the claim
 	 * proves that nothing ran.
 	 */
-	if (reply->status == KV_LIMITED && ldg_shard_view_outdated(shard))
+	if (reply->status == KV_RATE_LIMITED && ldg_shard_view_outdated(shard))
 		shard->step = STEP_STALE;
 	if (reply->status == KV_CONFLICT) {
 		shard->contended = true;
@@ -429,7 +430,7 @@
 	struct ldg_shard *other;
 
 	ldg->consecutive_failures +=
-		reply->status == KV_UNSENT ? LDG_DOWN_FAILURES : 1;
+		reply->status == KV_NOT_SENT ? LDG_DOWN_FAILURES : 1;
 	if (ldg->consecutive_failures < LDG_DOWN_FAILURES)
 		return;
 	if (!ldg->down)
