--- a/bench/bench_capacity_peer.c
+++ b/bench/bench_capacity_peer.c
@@ -32,13 +32,13 @@
 	double work;
 };
 
-static void on_news(struct net *net, int node, const struct fleet_news *news)
+static void on_news(struct net *net, int node, const struct fleet_update *news)
 {
 	struct bench *bench = net->ctx;
 
-	if (news->type == FLEET_NEWS_SHARE)
+	if (news->type == FLEET_UPDATE_SHARE)
 		bench->shares++;
-	if (news->type == FLEET_NEWS_REVISION)
+	if (news->type == FLEET_UPDATE_REVISION)
 		fleet_note_revision(net->nodes[node].fleet,
 				    news->revision.revision, net->now);
 }
--- a/regress/check_fleet.c
+++ b/regress/check_fleet.c
@@ -42,27 +42,27 @@
 	FILE *out;
 };
 
-static void on_news(struct net *net, int node, const struct fleet_news *news)
+static void on_news(struct net *net, int node, const struct fleet_update *news)
 {
 	struct run *run = net->ctx;
 	struct told *told = &run->told[node];
 	int i;
 
 	switch (news->type) {
-	case FLEET_NEWS_SHARE:
+	case FLEET_UPDATE_SHARE:
 		told->share[news->share.limit] = news->share.requests_per_s;
 		break;
-	case FLEET_NEWS_LEAVING:
+	case FLEET_UPDATE_LEAVING:
 		i = cfg_find_endpoint(&run->set, news->leaving.endpoint);
 		if (i >= 0)
 			told->leaving[i] = news->leaving.leaving;
 		told->knew_at = net->now;
 		break;
-	case FLEET_NEWS_QUARANTINE:
+	case FLEET_UPDATE_QUARANTINE:
 		told->quarantined++;
 		told->quarantined_at = net->now;
 		break;
-	case FLEET_NEWS_REVISION:
+	case FLEET_UPDATE_REVISION:
 		told->fetch = news->revision.revision;
 		told->fetch_at_us = net->now + 50 * MAG_US_PER_MS;
 		break;
@@ -263,8 +263,8 @@
 	for (i = 0; i < count; i++) {
 		struct fleet *fleet = run->net.nodes[list[i]].fleet;
 
-		fprintf(run->out, " %u/%u", fleet_group(fleet),
-			fleet_listed(fleet));
+		fprintf(run->out, " %u/%u", fleet_group_size(fleet),
+			fleet_listed_count(fleet));
 		bridges += fleet_is_bridge(fleet);
 	}
 	fprintf(run->out, " bridges %d\n", bridges);
@@ -452,7 +452,7 @@
 		if (run->net.nodes[i].alive)
 			sum += fleet_call_part(
 				(uint32_t)atol(a),
-				fleet_listed(run->net.nodes[i].fleet));
+				fleet_listed_count(run->net.nodes[i].fleet));
 	}
 	fprintf(run->out, "parts of %s calls/s: sum %u\n", a, sum);
 }
--- a/regress/net.h
+++ b/regress/net.h
@@ -61,7 +61,8 @@
 	const char *leaving; /* an endpoint that the list shows as leaving */
 	int leaving_seen_by; /* the list of this instance only; -1: all */
 	const struct cfg_set *set;
-	void (*news)(struct net *net, int node, const struct fleet_news *news);
+	void (*news)(struct net *net, int node,
+		     const struct fleet_update *news);
 	void (*order)(struct net *net, int node, const struct plc_order *order);
 	bool place;
 	bool timed;
@@ -112,7 +113,7 @@
 	snprintf(settings.data_centre, MAG_NAME_MAX, "d%d", node->dc);
 	snprintf(settings.address, MAG_ADDR_MAX, "%d", i);
 	settings.incarnation = ++node->incarnation * 1000 + (uint64_t)i;
-	settings.place = net->place;
+	settings.may_place = net->place;
 	settings.instances_max = (uint32_t)net->count;
 	node->fleet = fleet_new(&settings, net->now);
 	node->alive = true;
@@ -273,7 +274,7 @@
 static inline void net_tick(struct net *net, int i)
 {
 	struct net_node *node = &net->nodes[i];
-	struct fleet_news news;
+	struct fleet_update news;
 	struct plc_order order;
 	char address[MAG_ADDR_MAX];
 	struct peer_msg msg;
@@ -286,7 +287,7 @@
 	}
 	while (net_next_send(net, i, address, &msg))
 		net_push(net, i, atoi(address), &msg);
-	while (fleet_next_news(node->fleet, &news)) {
+	while (fleet_next_update(node->fleet, &news)) {
 		if (net->news)
 			net->news(net, i, &news);
 	}
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -192,7 +192,7 @@
 	to->bytes_per_s = from->peer_bytes_per_s;
 	to->instances_max = from->instances_max;
 	to->kv_timeout_us = from->kv_timeout_ms * MAG_US_PER_MS;
-	to->place = from->place;
+	to->may_place = from->place;
 }
 
 static int make_ports(struct daemon *daemon)
--- a/src/fleet.c
+++ b/src/fleet.c
@@ -8,18 +8,20 @@
 #include "pace.h"
 #include "spread.h"
 
-#define FLEET_BYTES_PER_S    9000
-#define FLEET_INSTANCES_MAX  12 /* when the settings do not say */
-#define FLEET_RECORDS_MAX    4096
-#define FLEET_RESEND_US	     (500 * MAG_US_PER_MS)
-#define FLEET_ASK_US	     (500 * MAG_US_PER_MS) /* between two fetches */
-#define FLEET_POLL_MIN_US    MAG_US_PER_S	   /* of a bridge */
-#define FLEET_BRIDGE_POLLS_S 6 /* of all bridges, in a second */
-#define FLEET_POLL_US	     (60 * MAG_US_PER_S) /* of the others */
-#define FLEET_POLLS_S	     5 /* of all others, in a second at most */
-#define FLEET_RETRY_US	     (2 * MAG_US_PER_S)
-#define FLEET_LIST_CALL	     1 /* call ids; those of plc are larger */
-#define FLEET_PLC_CALLS	     1000
+#define FLEET_BYTES_PER_S   9000
+#define FLEET_INSTANCES_MAX 12 /* when the settings do not say */
+#define FLEET_RECORDS_MAX   4096
+#define FLEET_RESEND_US	    (500 * MAG_US_PER_MS)
+#define FLEET_FETCH_INTERVAL_US                                                \
+	(500 * MAG_US_PER_MS)		      /* between two fetches           \
+					       */
+#define FLEET_BRIDGE_POLL_US	 MAG_US_PER_S /* of a bridge */
+#define FLEET_BRIDGE_POLLS_PER_S 6	      /* of all bridges, in a second */
+#define FLEET_POLL_US		 (60 * MAG_US_PER_S) /* of the others */
+#define FLEET_POLLS_PER_S	 5 /* of all others, in a second at most */
+#define FLEET_RETRY_US		 (2 * MAG_US_PER_S)
+#define FLEET_LIST_CALL_ID	 1 /* call ids; those of plc are larger */
+#define FLEET_PLC_CALL_ID_BASE	 1000
 
 struct fleet {
 	struct fleet_settings settings;
@@ -31,28 +33,32 @@
 	const struct cfg_set *set;
 	int64_t now;
 	uint64_t revision;
-	uint64_t asked_revision;
-	int64_t ask_again_us;
-	bool ask_pending;
-	int ask_link;
-	int64_t list_due_us;
+	uint64_t fetch_revision;
+	int64_t refetch_after_us;
+	bool fetch_pending;
+	int fetch_link;
+	int64_t next_list_us;
 	bool list_running;
 	bool list_pending;
 	int rail;
 };
 
-static int fleet_make(struct fleet *fleet, int64_t now);
-static void fleet_hurry(struct fleet *fleet);
-static void fleet_see_revision(struct fleet *fleet, int link, int64_t now);
-static void fleet_poll(struct fleet *fleet, int64_t now);
-static int64_t fleet_poll_us(const struct fleet *fleet);
-static void fleet_take_list(struct fleet *fleet, const struct kv_reply *reply,
-			    int64_t now);
-static bool fleet_news_peer(struct fleet *fleet, struct fleet_news *news);
-static bool fleet_news_record(struct fleet *fleet, struct fleet_news *news);
-static bool fleet_news_share(struct fleet *fleet, struct fleet_news *news);
-static bool fleet_news_revision(struct fleet *fleet, struct fleet_news *news);
-static void fleet_log_role(struct fleet *fleet);
+static int fleet_create_modules(struct fleet *fleet, int64_t now);
+static void fleet_send_records_early(struct fleet *fleet);
+static void fleet_check_revision(struct fleet *fleet, int link, int64_t now);
+static void fleet_poll_list(struct fleet *fleet, int64_t now);
+static int64_t fleet_poll_interval_us(const struct fleet *fleet);
+static void fleet_apply_list(struct fleet *fleet, const struct kv_reply *reply,
+			     int64_t now);
+static bool fleet_next_peer_update(struct fleet *fleet,
+				   struct fleet_update *news);
+static bool fleet_next_record_update(struct fleet *fleet,
+				     struct fleet_update *news);
+static bool fleet_next_share_update(struct fleet *fleet,
+				    struct fleet_update *news);
+static bool fleet_next_revision_update(struct fleet *fleet,
+				       struct fleet_update *news);
+static void fleet_apply_role(struct fleet *fleet);
 
 /*
  * Makes the fleet as one instance sees it.  Returns NULL when memory is
@@ -69,7 +75,7 @@
 		fleet->settings.bytes_per_s = FLEET_BYTES_PER_S;
 	if (fleet->settings.instances_max == 0)
 		fleet->settings.instances_max = FLEET_INSTANCES_MAX;
-	if (fleet_make(fleet, now)) {
+	if (fleet_create_modules(fleet, now)) {
 		fleet_free(fleet);
 		return NULL;
 	}
@@ -110,7 +116,7 @@
 {
 	int link = peer_add(fleet->peer, listed, now);
 
-	return link >= 0 || link == PEER_E_SELF ? FLEET_OK : FLEET_E_NAME;
+	return link >= 0 || link == PEER_E_SELF ? FLEET_OK : FLEET_E_TOO_LONG;
 }
 
 /* Notes that this instance's own list shows an endpoint as leaving, or not. */
@@ -120,8 +126,8 @@
 	fleet->now = now;
 	if (spread_note_leaving(fleet->spread, endpoint, SPREAD_BY_OWNER,
 				leaving))
-		return FLEET_E_NAME;
-	fleet_hurry(fleet);
+		return FLEET_E_TOO_LONG;
+	fleet_send_records_early(fleet);
 	return FLEET_OK;
 }
 
@@ -135,7 +141,7 @@
 	if (spread_note_quarantine(fleet->spread, print, endpoints_lost,
 				   until_us, now))
 		return FLEET_E_MEMORY;
-	fleet_hurry(fleet);
+	fleet_send_records_early(fleet);
 	return FLEET_OK;
 }
 
@@ -168,10 +174,10 @@
 	fleet->now = now;
 	peer_tick(fleet->peer, now);
 	if (peer_rail(fleet->peer) != fleet->rail)
-		fleet_log_role(fleet);
+		fleet_apply_role(fleet);
 	spread_tick(fleet->spread, fleet->peer, now);
 	lim_tick(fleet->lim, fleet->peer, now);
-	fleet_poll(fleet, now);
+	fleet_poll_list(fleet, now);
 	plc_tick(fleet->plc, now);
 }
 
@@ -186,8 +192,8 @@
 	at = plc_next_deadline(fleet->plc);
 	if (at < next)
 		next = at;
-	if (!fleet->list_running && fleet->list_due_us < next)
-		next = fleet->list_due_us;
+	if (!fleet->list_running && fleet->next_list_us < next)
+		next = fleet->next_list_us;
 	return next;
 }
 
@@ -204,10 +210,10 @@
 		return FLEET_E_DROPPED;
 	if (spread_take(fleet->spread, fleet->peer, link, msg, now) > 0) {
 		peer_hurry(fleet->peer, link, now);
-		fleet_hurry(fleet);
+		fleet_send_records_early(fleet);
 	}
 	lim_take(fleet->lim, fleet->peer, link, msg);
-	fleet_see_revision(fleet, link, now);
+	fleet_check_revision(fleet, link, now);
 	return FLEET_OK;
 }
 
@@ -234,14 +240,14 @@
 	if (fleet->list_pending) {
 		fleet->list_pending = false;
 		memset(call, 0, sizeof(*call));
-		call->id = FLEET_LIST_CALL;
+		call->id = FLEET_LIST_CALL_ID;
 		call->op = KV_INSTANCES;
 		call->deadline_us = fleet->now + fleet->settings.kv_timeout_us;
 		return true;
 	}
 	if (!plc_next_call(fleet->plc, call))
 		return false;
-	call->id += FLEET_PLC_CALLS;
+	call->id += FLEET_PLC_CALL_ID_BASE;
 	call->deadline_us = fleet->now + fleet->settings.kv_timeout_us;
 	return true;
 }
@@ -252,22 +258,23 @@
 	struct kv_reply inner = *reply;
 
 	fleet->now = now;
-	if (reply->id == FLEET_LIST_CALL) {
-		fleet_take_list(fleet, reply, now);
+	if (reply->id == FLEET_LIST_CALL_ID) {
+		fleet_apply_list(fleet, reply, now);
 		return FLEET_OK;
 	}
-	if (reply->id < FLEET_PLC_CALLS)
+	if (reply->id < FLEET_PLC_CALL_ID_BASE)
 		return FLEET_E_UNKNOWN;
-	inner.id -= FLEET_PLC_CALLS;
+	inner.id -= FLEET_PLC_CALL_ID_BASE;
 	return plc_reply(fleet->plc, &inner, now) ? FLEET_E_UNKNOWN : FLEET_OK;
 }
 
 /* Gives what the owner has to act on next. */
-bool fleet_next_news(struct fleet *fleet, struct fleet_news *news)
+bool fleet_next_update(struct fleet *fleet, struct fleet_update *news)
 {
-	return fleet_news_peer(fleet, news) || fleet_news_record(fleet, news) ||
-	       fleet_news_revision(fleet, news) ||
-	       fleet_news_share(fleet, news);
+	return fleet_next_peer_update(fleet, news) ||
+	       fleet_next_record_update(fleet, news) ||
+	       fleet_next_revision_update(fleet, news) ||
+	       fleet_next_share_update(fleet, news);
 }
 
 /* Gives the next order to an engine. */
@@ -291,13 +298,13 @@
 }
 
 /* How many instances pool limits with this one, itself included. */
-uint32_t fleet_group(const struct fleet *fleet)
+uint32_t fleet_group_size(const struct fleet *fleet)
 {
 	return lim_group(fleet->lim);
 }
 
 /* How many instances the platform's list holds. */
-uint32_t fleet_listed(const struct fleet *fleet)
+uint32_t fleet_listed_count(const struct fleet *fleet)
 {
 	return lim_entitled(fleet->lim);
 }
@@ -338,13 +345,13 @@
 }
 
 /* Makes the modules; negative when one can't be made. */
-static int fleet_make(struct fleet *fleet, int64_t now)
+static int fleet_create_modules(struct fleet *fleet, int64_t now)
 {
 	const struct fleet_settings *from = &fleet->settings;
 	struct peer_settings peer = { .incarnation = from->incarnation,
 				      .bytes_per_s = from->bytes_per_s };
 	struct plc_settings plc = { .incarnation = from->incarnation,
-				    .enabled = from->place };
+				    .enabled = from->may_place };
 
 	memcpy(peer.cluster, from->cluster, MAG_NAME_MAX);
 	memcpy(peer.instance, from->instance, MAG_NAME_MAX);
@@ -360,14 +367,14 @@
 		  FLEET_RETRY_US, FLEET_POLL_US);
 	fleet->now = now;
 	fleet->rail = -1;
-	fleet->list_due_us = now;
+	fleet->next_list_us = now;
 	if (!fleet->peer || !fleet->spread || !fleet->lim || !fleet->plc)
 		return FLEET_E_MEMORY;
 	return FLEET_OK;
 }
 
 /* Sends early to those that lack a record. */
-static void fleet_hurry(struct fleet *fleet)
+static void fleet_send_records_early(struct fleet *fleet)
 {
 	size_t i;
 
@@ -379,27 +386,27 @@
 }
 
 /* Notes that a peer has a newer configuration than this instance. */
-static void fleet_see_revision(struct fleet *fleet, int link, int64_t now)
+static void fleet_check_revision(struct fleet *fleet, int link, int64_t now)
 {
 	uint64_t theirs = peer_link_revision(fleet->peer, link);
 
 	if (theirs <= fleet->revision)
 		return;
-	if (theirs <= fleet->asked_revision && now < fleet->ask_again_us)
+	if (theirs <= fleet->fetch_revision && now < fleet->refetch_after_us)
 		return;
-	fleet->asked_revision = theirs;
-	fleet->ask_again_us = now + FLEET_ASK_US;
-	fleet->ask_link = link;
-	fleet->ask_pending = true;
+	fleet->fetch_revision = theirs;
+	fleet->refetch_after_us = now + FLEET_FETCH_INTERVAL_US;
+	fleet->fetch_link = link;
+	fleet->fetch_pending = true;
 }
 
 /*
  * Asks for the platform's list: the bridges often, as they tell the others
  * how many there are; the others seldom, as the list only seeds them.
  */
-static void fleet_poll(struct fleet *fleet, int64_t now)
+static void fleet_poll_list(struct fleet *fleet, int64_t now)
 {
-	if (fleet->list_running || now < fleet->list_due_us)
+	if (fleet->list_running || now < fleet->next_list_us)
 		return;
 	fleet->list_running = true;
 	fleet->list_pending = true;
@@ -410,23 +417,24 @@
  * instances know soon after, so the bridges share a fixed rate of calls, and
  * the fleet's calls don't grow with it.
  */
-static int64_t fleet_poll_us(const struct fleet *fleet)
+static int64_t fleet_poll_interval_us(const struct fleet *fleet)
 {
 	int64_t bridges = PEER_RAILS * peer_data_centres(fleet->peer);
 	int64_t others = peer_listed_count(fleet->peer);
 	int64_t period;
 
 	if (fleet_is_bridge(fleet)) {
-		period = bridges * MAG_US_PER_S / FLEET_BRIDGE_POLLS_S;
-		return period > FLEET_POLL_MIN_US ? period : FLEET_POLL_MIN_US;
+		period = bridges * MAG_US_PER_S / FLEET_BRIDGE_POLLS_PER_S;
+		return period > FLEET_BRIDGE_POLL_US ? period
+						     : FLEET_BRIDGE_POLL_US;
 	}
-	period = others * MAG_US_PER_S / FLEET_POLLS_S;
+	period = others * MAG_US_PER_S / FLEET_POLLS_PER_S;
 	return period > FLEET_POLL_US ? period : FLEET_POLL_US;
 }
 
 /* Takes the platform's list, or waits longer after a failure. */
-static void fleet_take_list(struct fleet *fleet, const struct kv_reply *reply,
-			    int64_t now)
+static void fleet_apply_list(struct fleet *fleet, const struct kv_reply *reply,
+			     int64_t now)
 {
 	struct fleet_list list;
 	size_t i;
@@ -434,26 +442,27 @@
 	fleet->list_running = false;
 	if (reply->status != KV_OK ||
 	    fleet_list_parse(reply->value, reply->len, &list)) {
-		fleet->list_due_us = pace_fail(&fleet->pace, now);
+		fleet->next_list_us = pace_fail(&fleet->pace, now);
 		return;
 	}
-	fleet->list_due_us =
-		pace_spread(&fleet->pace, now, fleet_poll_us(fleet));
+	fleet->next_list_us =
+		pace_spread(&fleet->pace, now, fleet_poll_interval_us(fleet));
 	peer_list(fleet->peer, list.entries, list.entry_count, now);
 	for (i = 0; i < list.endpoint_count; i++)
 		spread_note_leaving(fleet->spread, list.endpoints[i].name,
 				    SPREAD_BY_LIST, list.endpoints[i].leaving);
 	fleet_list_free(&list);
-	fleet_hurry(fleet);
+	fleet_send_records_early(fleet);
 }
 
-static bool fleet_news_peer(struct fleet *fleet, struct fleet_news *news)
+static bool fleet_next_peer_update(struct fleet *fleet,
+				   struct fleet_update *news)
 {
 	struct peer_change change;
 
 	if (!peer_next_change(fleet->peer, &change))
 		return false;
-	news->type = FLEET_NEWS_PEER;
+	news->type = FLEET_UPDATE_PEER;
 	news->peer.up = change.up;
 	memcpy(news->peer.instance, peer_link_name(fleet->peer, change.link),
 	       MAG_NAME_MAX);
@@ -466,14 +475,15 @@
 	return true;
 }
 
-static bool fleet_news_record(struct fleet *fleet, struct fleet_news *news)
+static bool fleet_next_record_update(struct fleet *fleet,
+				     struct fleet_update *news)
 {
 	struct spread_news record;
 
 	if (!spread_next_news(fleet->spread, &record))
 		return false;
 	if (record.kind == PEER_REC_LEAVING) {
-		news->type = FLEET_NEWS_LEAVING;
+		news->type = FLEET_UPDATE_LEAVING;
 		news->leaving.leaving = record.leaving;
 		memcpy(news->leaving.endpoint, record.endpoint, MAG_NAME_MAX);
 		plc_note_leaving(fleet->plc, record.endpoint, record.leaving);
@@ -481,20 +491,21 @@
 			  record.endpoint, record.leaving);
 		return true;
 	}
-	news->type = FLEET_NEWS_QUARANTINE;
+	news->type = FLEET_UPDATE_QUARANTINE;
 	news->quarantine.endpoints_lost = record.lost;
 	news->quarantine.until_us = record.until_us;
 	memcpy(news->quarantine.print, record.print, MAG_DIGEST_BYTES);
 	return true;
 }
 
-static bool fleet_news_share(struct fleet *fleet, struct fleet_news *news)
+static bool fleet_next_share_update(struct fleet *fleet,
+				    struct fleet_update *news)
 {
 	struct lim_share share;
 
 	if (!lim_next_share(fleet->lim, &share))
 		return false;
-	news->type = FLEET_NEWS_SHARE;
+	news->type = FLEET_UPDATE_SHARE;
 	news->share.limit = share.limit;
 	news->share.requests_per_s = share.requests_per_s;
 	news->share.tokens_per_s = share.tokens_per_s;
@@ -502,26 +513,28 @@
 	return true;
 }
 
-static bool fleet_news_revision(struct fleet *fleet, struct fleet_news *news)
+static bool fleet_next_revision_update(struct fleet *fleet,
+				       struct fleet_update *news)
 {
-	if (!fleet->ask_pending)
+	if (!fleet->fetch_pending)
 		return false;
-	fleet->ask_pending = false;
-	news->type = FLEET_NEWS_REVISION;
-	news->revision.revision = fleet->asked_revision;
+	fleet->fetch_pending = false;
+	news->type = FLEET_UPDATE_REVISION;
+	news->revision.revision = fleet->fetch_revision;
 	memcpy(news->revision.address,
-	       peer_link_address(fleet->peer, fleet->ask_link), MAG_ADDR_MAX);
+	       peer_link_address(fleet->peer, fleet->fetch_link), MAG_ADDR_MAX);
 	return true;
 }
 
 /* Logs the role that this instance takes between data centres. */
-static void fleet_log_role(struct fleet *fleet)
+static void fleet_apply_role(struct fleet *fleet)
 {
 	fleet->rail = peer_rail(fleet->peer);
 	log_event(LOG_PEER_ROLE, "rail=%d group=%u", fleet->rail,
 		  peer_local_group(fleet->peer));
 	/* A new bridge needs a fresh list for its data centre. */
 	if (fleet->rail >= 0 &&
-	    fleet->list_due_us > fleet->now + fleet_poll_us(fleet))
-		fleet->list_due_us = fleet->now + fleet_poll_us(fleet);
+	    fleet->next_list_us > fleet->now + fleet_poll_interval_us(fleet))
+		fleet->next_list_us =
+			fleet->now + fleet_poll_interval_us(fleet);
 }
--- a/src/fleet.h
+++ b/src/fleet.h
@@ -24,9 +24,9 @@
 enum fleet_err {
 	FLEET_OK = 0,
 	FLEET_E_MEMORY = -1,
-	FLEET_E_NAME = -2,    /* a name or address that is too long */
-	FLEET_E_DROPPED = -3, /* a message that was counted and dropped */
-	FLEET_E_UNKNOWN = -4, /* no such limit, call or order */
+	FLEET_E_TOO_LONG = -2, /* a name or address that is too long */
+	FLEET_E_DROPPED = -3,  /* a message that was counted and dropped */
+	FLEET_E_UNKNOWN = -4,  /* no such limit, call or order */
 };
 
 struct fleet_settings {
@@ -39,20 +39,20 @@
 	uint32_t bytes_per_s;	/* for messages sent and received; 0: 9000 */
 	uint32_t instances_max; /* most that the site runs; 0: 12 */
 	int64_t kv_timeout_us;
-	bool place; /* this instance may hold the placement lease */
+	bool may_place; /* this instance may hold the placement lease */
 };
 
-enum fleet_news_type {
-	FLEET_NEWS_LEAVING,    /* an endpoint leaves, or no longer does */
-	FLEET_NEWS_QUARANTINE, /* a peer lost endpoints to a fingerprint */
-	FLEET_NEWS_SHARE,      /* this instance's part of a limit changed */
-	FLEET_NEWS_REVISION,   /* a peer has a newer configuration: fetch it */
-	FLEET_NEWS_PEER,       /* a peer is up, or down */
-	FLEET_NEWS_COUNT
+enum fleet_update_type {
+	FLEET_UPDATE_LEAVING,	 /* an endpoint leaves, or no longer does */
+	FLEET_UPDATE_QUARANTINE, /* a peer lost endpoints to a fingerprint */
+	FLEET_UPDATE_SHARE,	 /* this instance's part of a limit changed */
+	FLEET_UPDATE_REVISION, /* a peer has a newer configuration: fetch it */
+	FLEET_UPDATE_PEER,     /* a peer is up, or down */
+	FLEET_UPDATE_COUNT
 };
 
-struct fleet_news {
-	enum fleet_news_type type;
+struct fleet_update {
+	enum fleet_update_type type;
 	union {
 		struct {
 			char endpoint[MAG_NAME_MAX];
@@ -111,7 +111,7 @@
 bool fleet_next_call(struct fleet *fleet, struct kv_call *call);
 int fleet_reply(struct fleet *fleet, const struct kv_reply *reply, int64_t now);
 
-bool fleet_next_news(struct fleet *fleet, struct fleet_news *news);
+bool fleet_next_update(struct fleet *fleet, struct fleet_update *news);
 
 /* Orders to engines and questions for their state, by the placement holder. */
 bool fleet_next_order(struct fleet *fleet, struct plc_order *order);
@@ -120,8 +120,8 @@
 
 /* What it knows now. */
 bool fleet_is_bridge(const struct fleet *fleet); /* watch the head record */
-uint32_t fleet_group(const struct fleet *fleet); /* instances in reach */
-uint32_t fleet_listed(const struct fleet *fleet);
+uint32_t fleet_group_size(const struct fleet *fleet); /* instances in reach */
+uint32_t fleet_listed_count(const struct fleet *fleet);
 uint32_t fleet_call_part(uint32_t fleet_calls_per_s, uint32_t listed);
 size_t fleet_peer_addresses(const struct fleet *fleet,
 			    char (*addresses)[MAG_ADDR_MAX], size_t max);
--- a/src/fleet_list.c
+++ b/src/fleet_list.c
@@ -4,8 +4,9 @@
 
 #include "fleet_list.h"
 
-static int fleet_list_fill(struct fleet_list *list, const json_t *instances);
-static int fleet_list_line(struct fleet_list *list, const json_t *line);
+static int fleet_list_parse_all(struct fleet_list *list,
+				const json_t *instances);
+static int fleet_list_parse_line(struct fleet_list *list, const json_t *line);
 
 /*
  * Reads the list.  A line that lacks a field, or has one that is too long,
@@ -20,8 +21,8 @@
 	memset(list, 0, sizeof(*list));
 	root = json_loadb(text ? text : "", text ? len : 0, 0, NULL);
 	if (!root)
-		return FLEET_LIST_E_FORM;
-	err = fleet_list_fill(list, json_object_get(root, "instances"));
+		return FLEET_LIST_E_FORMAT;
+	err = fleet_list_parse_all(list, json_object_get(root, "instances"));
 	json_decref(root);
 	if (err)
 		fleet_list_free(list);
@@ -36,24 +37,25 @@
 	memset(list, 0, sizeof(*list));
 }
 
-static int fleet_list_fill(struct fleet_list *list, const json_t *instances)
+static int fleet_list_parse_all(struct fleet_list *list,
+				const json_t *instances)
 {
 	size_t count = json_array_size(instances);
 	size_t i;
 
 	if (!json_is_array(instances))
-		return FLEET_LIST_E_FORM;
+		return FLEET_LIST_E_FORMAT;
 	list->entries = calloc(count + 1, sizeof(*list->entries));
 	list->endpoints = calloc(count + 1, sizeof(*list->endpoints));
 	if (!list->entries || !list->endpoints)
 		return FLEET_LIST_E_MEMORY;
 	for (i = 0; i < count; i++)
-		fleet_list_line(list, json_array_get(instances, i));
+		fleet_list_parse_line(list, json_array_get(instances, i));
 	return FLEET_LIST_OK;
 }
 
 /* Takes one line; one that is at fault is left out. */
-static int fleet_list_line(struct fleet_list *list, const json_t *line)
+static int fleet_list_parse_line(struct fleet_list *list, const json_t *line)
 {
 	const char *name = json_string_value(json_object_get(line, "name"));
 	const char *state = json_string_value(json_object_get(line, "state"));
@@ -65,13 +67,13 @@
 	bool leaving = state && strcmp(state, "leaving") == 0;
 
 	if (!name || !state || !kind)
-		return FLEET_LIST_E_FORM;
+		return FLEET_LIST_E_FORMAT;
 	if (strcmp(kind, "endpoint") == 0) {
 		struct fleet_list_endpoint *endpoint =
 			&list->endpoints[list->endpoint_count];
 
 		if (mag_copy_name(endpoint->name, MAG_NAME_MAX, name))
-			return FLEET_LIST_E_FORM;
+			return FLEET_LIST_E_FORMAT;
 		endpoint->leaving = leaving;
 		list->endpoint_count++;
 		return FLEET_LIST_OK;
@@ -80,7 +82,7 @@
 	    mag_copy_name(entry->name, MAG_NAME_MAX, name) ||
 	    mag_copy_name(entry->data_centre, MAG_NAME_MAX, dc) ||
 	    mag_copy_name(entry->address, MAG_ADDR_MAX, at))
-		return FLEET_LIST_E_FORM;
+		return FLEET_LIST_E_FORMAT;
 	list->entry_count++;
 	return FLEET_LIST_OK;
 }
--- a/src/fleet_list.h
+++ b/src/fleet_list.h
@@ -19,7 +19,7 @@
 
 enum fleet_list_err {
 	FLEET_LIST_OK = 0,
-	FLEET_LIST_E_FORM = -1,
+	FLEET_LIST_E_FORMAT = -1,
 	FLEET_LIST_E_MEMORY = -2,
 };
 
--- a/src/inst.c
+++ b/src/inst.c
@@ -23,7 +23,8 @@
 	bool role_said;
 };
 
-typedef void (*inst_news_fn)(struct inst *inst, const struct fleet_news *news);
+typedef void (*inst_news_fn)(struct inst *inst,
+			     const struct fleet_update *news);
 
 static void post_core(struct inst *inst, const struct core_event *event,
 		      int64_t now);
@@ -31,19 +32,19 @@
 static void pass_quarantines(struct inst *inst, int64_t now);
 static void pass_demand(struct inst *inst, int64_t now);
 static void take_news(struct inst *inst);
-static void on_revision(struct inst *inst, const struct fleet_news *news);
-static void on_leaving(struct inst *inst, const struct fleet_news *news);
-static void on_quarantine(struct inst *inst, const struct fleet_news *news);
-static void on_share(struct inst *inst, const struct fleet_news *news);
+static void on_revision(struct inst *inst, const struct fleet_update *news);
+static void on_leaving(struct inst *inst, const struct fleet_update *news);
+static void on_quarantine(struct inst *inst, const struct fleet_update *news);
+static void on_share(struct inst *inst, const struct fleet_update *news);
 static bool next_core_action(struct inst *inst, struct inst_action *action);
 static bool next_role(struct inst *inst, struct inst_action *action);
 
 /* What each kind of news changes here; a peer's coming and going nothing. */
-static const inst_news_fn inst_news[FLEET_NEWS_COUNT] = {
-	[FLEET_NEWS_LEAVING] = on_leaving,
-	[FLEET_NEWS_QUARANTINE] = on_quarantine,
-	[FLEET_NEWS_SHARE] = on_share,
-	[FLEET_NEWS_REVISION] = on_revision,
+static const inst_news_fn inst_news[FLEET_UPDATE_COUNT] = {
+	[FLEET_UPDATE_LEAVING] = on_leaving,
+	[FLEET_UPDATE_QUARANTINE] = on_quarantine,
+	[FLEET_UPDATE_SHARE] = on_share,
+	[FLEET_UPDATE_REVISION] = on_revision,
 };
 
 /* Makes an instance; NULL if memory is short. */
@@ -214,15 +215,15 @@
 /* Applies what the fleet learned to the core. */
 static void take_news(struct inst *inst)
 {
-	struct fleet_news news;
+	struct fleet_update news;
 
-	while (fleet_next_news(inst->fleet, &news)) {
+	while (fleet_next_update(inst->fleet, &news)) {
 		if (inst_news[news.type])
 			inst_news[news.type](inst, &news);
 	}
 }
 
-static void on_revision(struct inst *inst, const struct fleet_news *news)
+static void on_revision(struct inst *inst, const struct fleet_update *news)
 {
 	inst->fetch.revision = news->revision.revision;
 	memcpy(inst->fetch.address, news->revision.address,
@@ -230,7 +231,7 @@
 	inst->fetch_wanted = true;
 }
 
-static void on_leaving(struct inst *inst, const struct fleet_news *news)
+static void on_leaving(struct inst *inst, const struct fleet_update *news)
 {
 	struct core_event event = { .type = CORE_EV_LEAVING };
 
@@ -240,14 +241,14 @@
 	core_post(inst->core, &event);
 }
 
-static void on_quarantine(struct inst *inst, const struct fleet_news *news)
+static void on_quarantine(struct inst *inst, const struct fleet_update *news)
 {
 	core_learn_quarantine(inst->core, news->quarantine.print,
 			      news->quarantine.endpoints_lost,
 			      news->quarantine.until_us);
 }
 
-static void on_share(struct inst *inst, const struct fleet_news *news)
+static void on_share(struct inst *inst, const struct fleet_update *news)
 {
 	core_set_share(inst->core, news->share.limit,
 		       news->share.requests_per_s, news->share.tokens_per_s,
@@ -272,7 +273,7 @@
 static bool next_role(struct inst *inst, struct inst_action *action)
 {
 	struct inst_role role = { .bridge = fleet_is_bridge(inst->fleet),
-				  .listed = fleet_listed(inst->fleet) };
+				  .listed = fleet_listed_count(inst->fleet) };
 
 	if (inst->role_said && role.bridge == inst->role.bridge &&
 	    role.listed == inst->role.listed)
