--- a/regress/check_fleet.c
+++ b/regress/check_fleet.c
@@ -315,7 +315,7 @@
 static void forge(struct run *run, const char *how)
 {
 	struct peer_msg msg = { .version = PEER_VERSION,
-				.from = peer_hash("i1"),
+				.sender = peer_hash("i1"),
 				.incarnation = 1,
 				.seq = 1,
 				.next_ms = 500 };
@@ -329,7 +329,7 @@
 	else if (strcmp(how, "version") == 0)
 		msg.version++;
 	else if (strcmp(how, "stranger") == 0)
-		msg.from++;
+		msg.sender++;
 	else if (strcmp(how, "late") == 0)
 		msg.seq = 999999;
 	else if (strcmp(how, "period") == 0)
--- a/regress/check_rpc.c
+++ b/regress/check_rpc.c
@@ -121,7 +121,7 @@
 {
 	struct peer_msg msg = { .version = PEER_VERSION,
 				.cluster = 7,
-				.from = UINT64_C(0x123456789abcdef0),
+				.sender = UINT64_C(0x123456789abcdef0),
 				.incarnation = UINT64_MAX,
 				.seq = 5,
 				.flags = PEER_F_INTRO | PEER_F_RAIL1,
@@ -130,16 +130,16 @@
 				.name = "i1",
 				.data_centre = "d1",
 				.address = "127.0.0.1:1",
-				.news_count = 2,
+				.record_count = 2,
 				.demand_count = PEER_DEMANDS_MAX };
 
-	msg.news[0].kind = PEER_REC_LEAVING;
-	mag_copy_name(msg.news[0].endpoint, MAG_NAME_MAX, "e1");
-	msg.news[0].leaving = true;
-	msg.news[0].version = 3;
-	msg.news[1].kind = PEER_REC_QUARANTINE;
-	memset(msg.news[1].print, 0xab, MAG_DIGEST_BYTES);
-	msg.news[1].remaining_ms = 1000;
+	msg.records[0].kind = PEER_REC_LEAVING;
+	mag_copy_name(msg.records[0].endpoint, MAG_NAME_MAX, "e1");
+	msg.records[0].leaving = true;
+	msg.records[0].version = 3;
+	msg.records[1].kind = PEER_REC_QUARANTINE;
+	memset(msg.records[1].fingerprint, 0xab, MAG_DIGEST_BYTES);
+	msg.records[1].remaining_ms = 1000;
 	msg.demands[PEER_DEMANDS_MAX - 1].limit = 9;
 	msg.demands[PEER_DEMANDS_MAX - 1].demand = 2.5F;
 	return msg;
@@ -180,7 +180,7 @@
 		memcpy(bad, buf, (size_t)len);
 		bad[i % len] = (char)(bad[i % len] + 1 + i / len);
 		if (peer_wire_decode(bad, (size_t)len, &out) == 0) {
-			assert_in_range(out.news_count, 0, PEER_NEWS_MAX);
+			assert_in_range(out.record_count, 0, PEER_RECORDS_MAX);
 			assert_in_range(out.demand_count, 0, PEER_DEMANDS_MAX);
 		}
 	}
--- a/src/fleet.c
+++ b/src/fleet.c
@@ -111,7 +111,7 @@
 }
 
 /* Adds an instance that the settings name, for a start without the list. */
-int fleet_seed(struct fleet *fleet, const struct peer_listed *listed,
+int fleet_seed(struct fleet *fleet, const struct peer_list_entry *listed,
 	       int64_t now)
 {
 	int link = peer_add(fleet->peer, listed, now);
@@ -209,7 +209,7 @@
 	if (peer_receive(fleet->peer, msg, now, &link))
 		return FLEET_E_DROPPED;
 	if (spread_take(fleet->spread, fleet->peer, link, msg, now) > 0) {
-		peer_hurry(fleet->peer, link, now);
+		peer_send_early(fleet->peer, link, now);
 		fleet_send_records_early(fleet);
 	}
 	lim_take(fleet->lim, fleet->peer, link, msg);
@@ -226,11 +226,12 @@
 	if (!peer_next_due(fleet->peer, fleet->now, &link))
 		return false;
 	memcpy(address, peer_link_address(fleet->peer, link), MAG_ADDR_MAX);
-	peer_fill(fleet->peer, link, fleet->now, msg);
+	peer_fill_header(fleet->peer, link, fleet->now, msg);
 	spread_fill(fleet->spread, fleet->peer, link, fleet->now, msg);
 	lim_fill(fleet->lim, fleet->peer, link, msg);
-	if (msg->news_count > 0)
-		peer_hurry(fleet->peer, link, fleet->now + FLEET_RESEND_US);
+	if (msg->record_count > 0)
+		peer_send_early(fleet->peer, link,
+				fleet->now + FLEET_RESEND_US);
 	return true;
 }
 
@@ -381,7 +382,7 @@
 	for (i = 0; i < peer_link_count(fleet->peer); i++) {
 		if (peer_link_up(fleet->peer, (int)i) &&
 		    spread_pending(fleet->spread, fleet->peer, (int)i))
-			peer_hurry(fleet->peer, (int)i, fleet->now);
+			peer_send_early(fleet->peer, (int)i, fleet->now);
 	}
 }
 
@@ -447,7 +448,7 @@
 	}
 	fleet->next_list_us =
 		pace_spread(&fleet->pace, now, fleet_poll_interval_us(fleet));
-	peer_list(fleet->peer, list.entries, list.entry_count, now);
+	peer_apply_list(fleet->peer, list.entries, list.entry_count, now);
 	for (i = 0; i < list.endpoint_count; i++)
 		spread_note_leaving(fleet->spread, list.endpoints[i].name,
 				    SPREAD_BY_LIST, list.endpoints[i].leaving);
@@ -531,7 +532,7 @@
 {
 	fleet->rail = peer_rail(fleet->peer);
 	log_event(LOG_PEER_ROLE, "rail=%d group=%u", fleet->rail,
-		  peer_local_group(fleet->peer));
+		  peer_local_group_size(fleet->peer));
 	/* A new bridge needs a fresh list for its data centre. */
 	if (fleet->rail >= 0 &&
 	    fleet->next_list_us > fleet->now + fleet_poll_interval_us(fleet))
--- a/src/fleet.h
+++ b/src/fleet.h
@@ -85,7 +85,7 @@
 void fleet_free(struct fleet *fleet);
 int fleet_config(struct fleet *fleet, const struct cfg_set *set, int64_t now);
 
-int fleet_seed(struct fleet *fleet, const struct peer_listed *listed,
+int fleet_seed(struct fleet *fleet, const struct peer_list_entry *listed,
 	       int64_t now);
 
 /* What this instance saw or did itself. */
--- a/src/fleet_list.c
+++ b/src/fleet_list.c
@@ -63,7 +63,7 @@
 	const char *dc =
 		json_string_value(json_object_get(line, "data_centre"));
 	const char *at = json_string_value(json_object_get(line, "address"));
-	struct peer_listed *entry = &list->entries[list->entry_count];
+	struct peer_list_entry *entry = &list->entries[list->entry_count];
 	bool leaving = state && strcmp(state, "leaving") == 0;
 
 	if (!name || !state || !kind)
--- a/src/fleet_list.h
+++ b/src/fleet_list.h
@@ -11,7 +11,7 @@
 };
 
 struct fleet_list {
-	struct peer_listed *entries; /* live entry instances */
+	struct peer_list_entry *entries; /* live entry instances */
 	size_t entry_count;
 	struct fleet_list_endpoint *endpoints;
 	size_t endpoint_count;
--- a/src/inst.c
+++ b/src/inst.c
@@ -82,7 +82,7 @@
  */
 int inst_post(struct inst *inst, const struct inst_event *event, int64_t now)
 {
-	struct peer_listed peer = { 0 };
+	struct peer_list_entry peer = { 0 };
 
 	switch (event->type) {
 	case INST_EV_PEER_MSG:
--- a/src/lim.c
+++ b/src/lim.c
@@ -333,14 +333,14 @@
 		    !peer_link_agrees(peer, (int)i) ||
 		    peer_link_rail(peer, (int)i) != peer_rail(peer))
 			continue;
-		lim->group += peer_link_group(peer, (int)i);
+		lim->group += peer_link_group_size(peer, (int)i);
 		lim_add_link(lim, (int)i, false);
-		if (peer_link_listed(peer, (int)i) > listed)
-			listed = peer_link_listed(peer, (int)i);
+		if (peer_link_listed_count(peer, (int)i) > listed)
+			listed = peer_link_listed_count(peer, (int)i);
 	}
 	lim->entitled = listed;
-	if (peer_chief(peer) >= 0)
-		lim_follow(lim, peer, peer_chief(peer));
+	if (peer_aggregator(peer) >= 0)
+		lim_follow(lim, peer, peer_aggregator(peer));
 	if (lim->entitled < lim->group)
 		lim->entitled = lim->group;
 }
@@ -362,8 +362,8 @@
 
 	for (i = 0; i < peer_link_count(peer); i++) {
 		if (peer_link_up(peer, (int)i) &&
-		    peer_link_listed(peer, (int)i) > told)
-			told = peer_link_listed(peer, (int)i);
+		    peer_link_listed_count(peer, (int)i) > told)
+			told = peer_link_listed_count(peer, (int)i);
 	}
 	if (listed == 0)
 		listed = told;
@@ -395,7 +395,7 @@
 static void lim_follow(struct lim *lim, const struct peer *peer, int chief)
 {
 	const struct lim_link *state = NULL;
-	uint32_t listed = peer_link_listed(peer, chief);
+	uint32_t listed = peer_link_listed_count(peer, chief);
 	size_t i;
 
 	if ((size_t)chief < lim->link_count)
@@ -403,7 +403,7 @@
 	lim->group = 1;
 	if (state && state->in && state->sends_totals &&
 	    peer_link_agrees(peer, chief)) {
-		lim->group = peer_link_group(peer, chief);
+		lim->group = peer_link_group_size(peer, chief);
 		lim->entitled = listed; /* from a fresher list than this one */
 	} else if (listed > lim->entitled) {
 		lim->entitled = listed;
@@ -429,7 +429,8 @@
 	size_t i;
 
 	if (next) {
-		lim->slot_end_us = now + peer_hold_us(peer) / (LIM_SLOTS - 1);
+		lim->slot_end_us =
+			now + peer_raise_delay_us(peer) / (LIM_SLOTS - 1);
 		lim->slot = (lim->slot + 1) % LIM_SLOTS;
 	}
 	for (i = 0; i < lim->row_count; i++) {
--- a/src/lim_link.c
+++ b/src/lim_link.c
@@ -64,9 +64,9 @@
 	bool totals = view == LIM_TOTAL;
 	size_t i;
 
-	msg->group = view == LIM_LOCAL ? lim->local : lim->group;
+	msg->group_size = view == LIM_LOCAL ? lim->local : lim->group;
 	if (totals)
-		msg->listed = lim->entitled;
+		msg->listed_count = lim->entitled;
 	if (!state || view == LIM_NOTHING)
 		return;
 	if (totals != state->told_totals) {
@@ -74,7 +74,7 @@
 			state->out[i] = NAN;
 		state->told_totals = totals;
 	}
-	lim_choose(lim, state, view, peer_demands_fit(peer), msg);
+	lim_choose(lim, state, view, peer_demand_capacity(peer), msg);
 }
 
 /* Returns the state of a link, emptied for a new incarnation. */
--- a/src/peer.c
+++ b/src/peer.c
@@ -9,16 +9,16 @@
 
 static uint32_t peer_held(struct peer *peer, int64_t now);
 static int peer_grow(struct peer *peer);
-static int peer_slot(struct peer *peer);
+static int peer_alloc_node(struct peer *peer);
 static int peer_insert(struct peer *peer, uint64_t id, const char *name,
 		       const char *dc, const char *address, int64_t now);
-static int peer_check(const struct peer *peer, const struct peer_msg *msg);
+static int peer_validate(const struct peer *peer, const struct peer_msg *msg);
 static void peer_drop_seed(struct peer *peer, const struct peer_msg *msg);
-static int peer_know(struct peer *peer, const struct peer_msg *msg,
-		     int64_t now);
-static int peer_order(struct peer_node *node, const struct peer_msg *msg);
-static void peer_take(struct peer *peer, int link, const struct peer_msg *msg,
-		      int64_t now);
+static int peer_find_sender(struct peer *peer, const struct peer_msg *msg,
+			    int64_t now);
+static int peer_check_seq(struct peer_node *node, const struct peer_msg *msg);
+static void peer_apply_header(struct peer *peer, int link,
+			      const struct peer_msg *msg, int64_t now);
 static int peer_count_drop(int err);
 
 /*
@@ -30,15 +30,15 @@
 
 	if (!peer)
 		return NULL;
-	peer->set = *settings;
+	peer->settings = *settings;
 	peer->self = peer_hash(settings->instance);
 	peer->cluster = (uint32_t)peer_hash(settings->cluster);
-	peer->chief = PEER_NO_NODE;
+	peer->aggregator = PEER_NO_NODE;
 	peer->local_group = 1;
 	peer->local_period_us = PEER_PERIOD_MIN_US;
 	peer->bridge_period_us = PEER_PERIOD_MIN_US;
 	peer->rail_period_us = PEER_PERIOD_MIN_US;
-	peer->next_us = now;
+	peer->next_tick_us = now;
 	if (peer_find_dc(peer, settings->data_centre) < 0 || peer_grow(peer)) {
 		peer_free(peer);
 		return NULL;
@@ -74,8 +74,8 @@
  * heard stays up though the list lacks it, and one that the list holds is
  * only tried.  Returns PEER_E_MEMORY or PEER_E_FULL if some had no room.
  */
-int peer_list(struct peer *peer, const struct peer_listed *listed, size_t count,
-	      int64_t now)
+int peer_apply_list(struct peer *peer, const struct peer_list_entry *listed,
+		    size_t count, int64_t now)
 {
 	size_t i;
 	int err = PEER_OK;
@@ -91,7 +91,7 @@
 			err = link;
 	}
 	peer->listed_count = (uint32_t)count + peer_held(peer, now);
-	peer->next_us = now;
+	peer->next_tick_us = now;
 	return err;
 }
 
@@ -117,11 +117,11 @@
 		struct peer_dc *at = &peer->dcs[dc];
 
 		if (at->listed > 0) {
-			at->held = at->listed;
-			at->held_until_us = now + PEER_HELD_US;
-		} else if (at->held >= PEER_HELD_LEAST &&
-			   at->held_until_us > now) {
-			count += at->held;
+			at->retained = at->listed;
+			at->retained_until_us = now + PEER_RETAIN_US;
+		} else if (at->retained >= PEER_RETAIN_MIN &&
+			   at->retained_until_us > now) {
+			count += at->retained;
 		}
 	}
 	return count;
@@ -131,7 +131,8 @@
  * Adds one instance, or takes its new address.  Returns its link, or a
  * negative enum peer_err.
  */
-int peer_add(struct peer *peer, const struct peer_listed *listed, int64_t now)
+int peer_add(struct peer *peer, const struct peer_list_entry *listed,
+	     int64_t now)
 {
 	uint64_t id = peer_hash(listed->name);
 	int link = peer_find(peer, id);
@@ -145,7 +146,7 @@
 	 * A replaced instance may keep its name and change its address; while
 	 * it is heard its own introduction is newer than the list.
 	 */
-	if (!peer_is_heard(&peer->nodes[link], now))
+	if (!peer_is_heard_from(&peer->nodes[link], now))
 		mag_copy_name(peer->nodes[link].address, MAG_ADDR_MAX,
 			      listed->address);
 	return link;
@@ -158,18 +159,18 @@
 int peer_receive(struct peer *peer, const struct peer_msg *msg, int64_t now,
 		 int *link)
 {
-	int err = peer_check(peer, msg);
+	int err = peer_validate(peer, msg);
 
 	if (err)
 		return peer_count_drop(err);
-	*link = peer_know(peer, msg, now);
+	*link = peer_find_sender(peer, msg, now);
 	if (*link < 0)
 		return peer_count_drop(*link);
-	err = peer_order(&peer->nodes[*link], msg);
+	err = peer_check_seq(&peer->nodes[*link], msg);
 	if (err)
 		return peer_count_drop(err);
 	cnt_add(CNT_PEER_RECEIVED, 1);
-	peer_take(peer, *link, msg, now);
+	peer_apply_header(peer, *link, msg, now);
 	return PEER_OK;
 }
 
@@ -200,7 +201,7 @@
 		return PEER_E_FULL;
 	dc = &peer->dcs[peer->dc_count];
 	if (mag_copy_name(dc->name, MAG_NAME_MAX, name))
-		return PEER_E_FORM;
+		return PEER_E_FORMAT;
 	dc->id = peer_hash(name);
 	for (rail = 0; rail < PEER_RAILS; rail++) {
 		dc->target[rail] = PEER_NO_NODE;
@@ -210,7 +211,7 @@
 }
 
 /* True while a node's last message still counts. */
-bool peer_is_heard(const struct peer_node *node, int64_t now)
+bool peer_is_heard_from(const struct peer_node *node, int64_t now)
 {
 	return node->heard_until_us > now;
 }
@@ -242,7 +243,7 @@
 }
 
 /* Returns a free entry of the table, or a negative enum peer_err. */
-static int peer_slot(struct peer *peer)
+static int peer_alloc_node(struct peer *peer)
 {
 	size_t i;
 	int err;
@@ -271,7 +272,7 @@
 
 	if (dc_index < 0)
 		return dc_index;
-	link = peer_slot(peer);
+	link = peer_alloc_node(peer);
 	if (link < 0)
 		return link;
 	node = &peer->nodes[link];
@@ -280,31 +281,31 @@
 	node->epoch = epoch + 1;
 	if (mag_copy_name(node->name, MAG_NAME_MAX, name) ||
 	    mag_copy_name(node->address, MAG_ADDR_MAX, address))
-		return PEER_E_FORM;
+		return PEER_E_FORMAT;
 	node->used = true;
 	node->id = id;
 	node->dc = dc_index;
 	node->next_send_us = now;
-	node->hurry_us = MAG_NEVER;
-	peer->next_us = now;
+	node->early_send_us = MAG_NEVER;
+	peer->next_tick_us = now;
 	return link;
 }
 
 /* Refuses what this version and cluster can't have sent. */
-static int peer_check(const struct peer *peer, const struct peer_msg *msg)
+static int peer_validate(const struct peer *peer, const struct peer_msg *msg)
 {
 	if (msg->version != PEER_VERSION)
 		return PEER_E_VERSION;
 	if (msg->cluster != peer->cluster)
 		return PEER_E_CLUSTER;
-	if (msg->from == peer->self)
+	if (msg->sender == peer->self)
 		return PEER_E_SELF;
-	if (msg->incarnation == 0 || msg->news_count > PEER_NEWS_MAX ||
+	if (msg->incarnation == 0 || msg->record_count > PEER_RECORDS_MAX ||
 	    msg->demand_count > PEER_DEMANDS_MAX || msg->next_ms == 0 ||
 	    msg->next_ms > 4 * PEER_PERIOD_MAX_US / MAG_US_PER_MS)
-		return PEER_E_FORM;
-	if ((msg->flags & PEER_F_INTRO) && peer_hash(msg->name) != msg->from)
-		return PEER_E_FORM;
+		return PEER_E_FORMAT;
+	if ((msg->flags & PEER_F_INTRO) && peer_hash(msg->name) != msg->sender)
+		return PEER_E_FORMAT;
 	return PEER_OK;
 }
 
@@ -322,19 +323,20 @@
 }
 
 /* Finds the sender's link; a newcomer that introduces itself gets one. */
-static int peer_know(struct peer *peer, const struct peer_msg *msg, int64_t now)
+static int peer_find_sender(struct peer *peer, const struct peer_msg *msg,
+			    int64_t now)
 {
-	int link = peer_find(peer, msg->from);
+	int link = peer_find(peer, msg->sender);
 	struct peer_node *node;
 
 	if (msg->flags & PEER_F_INTRO)
 		peer_drop_seed(peer, msg);
 
 	if (!(msg->flags & PEER_F_INTRO))
-		return link < 0 ? PEER_E_STRANGER : link;
+		return link < 0 ? PEER_E_UNKNOWN_SENDER : link;
 	if (link < 0)
-		return peer_insert(peer, msg->from, msg->name, msg->data_centre,
-				   msg->address, now);
+		return peer_insert(peer, msg->sender, msg->name,
+				   msg->data_centre, msg->address, now);
 	node = &peer->nodes[link];
 	if (msg->incarnation != node->incarnation &&
 	    msg->incarnation != node->old_incarnation)
@@ -347,51 +349,51 @@
  * twice: one of an incarnation that was already replaced, or older than the
  * last, would turn back what was learned since.
  */
-static int peer_order(struct peer_node *node, const struct peer_msg *msg)
+static int peer_check_seq(struct peer_node *node, const struct peer_msg *msg)
 {
-	uint32_t behind = node->seq_in - msg->seq;
+	uint32_t behind = node->seq_received - msg->seq;
 
 	if (msg->incarnation == node->old_incarnation)
-		return PEER_E_OLD;
+		return PEER_E_STALE;
 	if (msg->incarnation != node->incarnation) {
 		node->old_incarnation = node->incarnation;
 		node->incarnation = msg->incarnation;
 		node->epoch++;
-		node->hears_until_us = 0;
-		node->gap = false;
+		node->acked_until_us = 0;
+		node->message_lost = false;
 	} else if (behind < PEER_SEQ_WINDOW) {
-		return PEER_E_OLD;
-	} else if (msg->seq != node->seq_in + 1) {
-		node->gap = true;
+		return PEER_E_STALE;
+	} else if (msg->seq != node->seq_received + 1) {
+		node->message_lost = true;
 	}
-	node->seq_in = msg->seq;
+	node->seq_received = msg->seq;
 	return PEER_OK;
 }
 
 /* Keeps what the header of a message says about its sender. */
-static void peer_take(struct peer *peer, int link, const struct peer_msg *msg,
-		      int64_t now)
+static void peer_apply_header(struct peer *peer, int link,
+			      const struct peer_msg *msg, int64_t now)
 {
 	struct peer_node *node = &peer->nodes[link];
 	int64_t until = now + PEER_SLACK_US +
-			PEER_MISSED * (int64_t)msg->next_ms * MAG_US_PER_MS;
-	bool was_heard = peer_is_heard(node, now);
+			PEER_MISSED_MAX * (int64_t)msg->next_ms * MAG_US_PER_MS;
+	bool was_heard = peer_is_heard_from(node, now);
 
 	node->heard_until_us = until;
-	if (peer_hears_us(peer, msg))
-		node->hears_until_us = until;
+	if (peer_acks_us(peer, msg))
+		node->acked_until_us = until;
 	node->flags = msg->flags;
-	node->group = msg->group;
+	node->group = msg->group_size;
 	node->group_hash = msg->group_hash;
 	node->reach_hash = msg->reach_hash;
-	node->listed_count = msg->listed;
+	node->listed_count = msg->listed_count;
 	node->revision = msg->revision;
 	if (msg->flags & PEER_F_STOPPING)
 		node->heard_until_us = now;
-	peer_claim(peer, link, now);
-	if (!was_heard || node->hears_until_us <= now)
-		peer_hurry(peer, link, now);
-	peer->next_us = now;
+	peer_note_bridge(peer, link, now);
+	if (!was_heard || node->acked_until_us <= now)
+		peer_send_early(peer, link, now);
+	peer->next_tick_us = now;
 }
 
 /* Counts a message that is dropped, by its reason. */
@@ -400,9 +402,9 @@
 	static const enum cnt_id counters[] = {
 		[-PEER_E_CLUSTER] = CNT_PEER_DROP_CLUSTER,
 		[-PEER_E_VERSION] = CNT_PEER_DROP_VERSION,
-		[-PEER_E_FORM] = CNT_PEER_DROP_FORM,
-		[-PEER_E_OLD] = CNT_PEER_DROP_OLD,
-		[-PEER_E_STRANGER] = CNT_PEER_DROP_STRANGER,
+		[-PEER_E_FORMAT] = CNT_PEER_DROP_FORM,
+		[-PEER_E_STALE] = CNT_PEER_DROP_OLD,
+		[-PEER_E_UNKNOWN_SENDER] = CNT_PEER_DROP_STRANGER,
 		[-PEER_E_FULL] = CNT_PEER_DROP_FULL,
 		[-PEER_E_SELF] = CNT_PEER_DROP_FORM,
 		[-PEER_E_MEMORY] = CNT_PEER_DROP_FULL,
--- a/src/peer.h
+++ b/src/peer.h
@@ -16,7 +16,7 @@
 
 #define PEER_VERSION	  1
 #define PEER_RAILS	  2    /* bridge instances of a data centre */
-#define PEER_NEWS_MAX	  8    /* records in one message */
+#define PEER_RECORDS_MAX  8    /* records in one message */
 #define PEER_DEMANDS_MAX  32   /* demand entries in one message */
 #define PEER_TABLE_MAX	  4096 /* instances that a table may hold */
 #define PEER_BYTES_FIXED  84   /* a message without lists, as encoded */
@@ -29,9 +29,10 @@
 	PEER_OK = 0,
 	PEER_E_CLUSTER = -1, /* another cluster's message */
 	PEER_E_VERSION = -2,
-	PEER_E_FORM = -3, /* a field out of its bounds */
-	PEER_E_OLD = -4,  /* an earlier incarnation, or an earlier message */
-	PEER_E_STRANGER = -5, /* unknown sender that doesn't introduce itself */
+	PEER_E_FORMAT = -3, /* a field out of its bounds */
+	PEER_E_STALE = -4,  /* an earlier incarnation, or an earlier message */
+	PEER_E_UNKNOWN_SENDER =
+		-5, /* unknown sender that doesn't introduce itself */
 	PEER_E_FULL = -6,
 	PEER_E_SELF = -7, /* this instance's own name */
 	PEER_E_MEMORY = -8,
@@ -54,12 +55,12 @@
 /* What spreads to every instance. */
 struct peer_record {
 	enum peer_record_kind kind;
-	char endpoint[MAG_NAME_MAX];	 /* PEER_REC_LEAVING */
-	uint8_t print[MAG_DIGEST_BYTES]; /* PEER_REC_QUARANTINE */
+	char endpoint[MAG_NAME_MAX];	       /* PEER_REC_LEAVING */
+	uint8_t fingerprint[MAG_DIGEST_BYTES]; /* PEER_REC_QUARANTINE */
 	bool leaving;
-	uint32_t version;      /* PEER_REC_LEAVING: the higher one holds */
-	uint32_t lost;	       /* PEER_REC_QUARANTINE: endpoints lost */
-	uint32_t remaining_ms; /* PEER_REC_QUARANTINE: until it ends */
+	uint32_t version;	 /* PEER_REC_LEAVING: the higher one holds */
+	uint32_t endpoints_lost; /* PEER_REC_QUARANTINE: endpoints lost */
+	uint32_t remaining_ms;	 /* PEER_REC_QUARANTINE: until it ends */
 };
 
 struct peer_demand {
@@ -71,24 +72,25 @@
 struct peer_msg {
 	uint32_t version;
 	uint32_t cluster; /* hash of the cluster's name */
-	uint64_t from;	  /* hash of the sender's name */
+	uint64_t sender;  /* hash of the sender's name */
 	uint64_t incarnation;
 	uint32_t seq;
 	uint32_t flags;
-	uint32_t next_ms;    /* the sender's next message comes within this */
-	uint32_t heard;	     /* of the receiver's incarnation; 0: not heard */
-	uint64_t revision;   /* of the configuration */
-	uint32_t news_seq;   /* up to here the receiver has all records */
-	uint32_t news_ack;   /* up to here the sender has the receiver's */
-	uint32_t listed;     /* instances in the platform's list */
-	uint32_t group;	     /* instances that the sender can reach */
-	uint32_t group_hash; /* of the instances up in its data centre */
-	uint32_t reach_hash; /* of the data centres that a bridge reaches */
+	uint32_t next_ms; /* the sender's next message comes within this */
+	uint32_t acked_incarnation; /* of the receiver's incarnation; 0: not
+				       heard */
+	uint64_t revision;	    /* of the configuration */
+	uint32_t records_seq;	 /* up to here the receiver has all records */
+	uint32_t records_ack;	 /* up to here the sender has the receiver's */
+	uint32_t listed_count;	 /* instances in the platform's list */
+	uint32_t group_size;	 /* instances that the sender can reach */
+	uint32_t group_hash;	 /* of the instances up in its data centre */
+	uint32_t reach_hash;	 /* of the data centres that a bridge reaches */
 	char name[MAG_NAME_MAX]; /* with PEER_F_INTRO, as the next two */
 	char data_centre[MAG_NAME_MAX];
 	char address[MAG_ADDR_MAX];
-	struct peer_record news[PEER_NEWS_MAX];
-	uint32_t news_count;
+	struct peer_record records[PEER_RECORDS_MAX];
+	uint32_t record_count;
 	struct peer_demand demands[PEER_DEMANDS_MAX];
 	uint32_t demand_count;
 };
@@ -103,7 +105,7 @@
 };
 
 /* One line of the platform's list. */
-struct peer_listed {
+struct peer_list_entry {
 	char name[MAG_NAME_MAX];
 	char data_centre[MAG_NAME_MAX];
 	char address[MAG_ADDR_MAX];
@@ -123,20 +125,22 @@
 
 struct peer *peer_new(const struct peer_settings *settings, int64_t now);
 void peer_free(struct peer *peer);
-int peer_list(struct peer *peer, const struct peer_listed *listed, size_t count,
-	      int64_t now);
-int peer_add(struct peer *peer, const struct peer_listed *listed, int64_t now);
+int peer_apply_list(struct peer *peer, const struct peer_list_entry *listed,
+		    size_t count, int64_t now);
+int peer_add(struct peer *peer, const struct peer_list_entry *listed,
+	     int64_t now);
 int peer_receive(struct peer *peer, const struct peer_msg *msg, int64_t now,
 		 int *link);
 void peer_tick(struct peer *peer, int64_t now);
 bool peer_next_due(struct peer *peer, int64_t now, int *link);
-void peer_fill(struct peer *peer, int link, int64_t now, struct peer_msg *msg);
+void peer_fill_header(struct peer *peer, int link, int64_t now,
+		      struct peer_msg *msg);
 bool peer_next_change(struct peer *peer, struct peer_change *change);
 int64_t peer_next_deadline(const struct peer *peer);
 
 void peer_set_revision(struct peer *peer, uint64_t revision, int64_t now);
 void peer_set_stopping(struct peer *peer, int64_t now);
-void peer_hurry(struct peer *peer, int link, int64_t at_us);
+void peer_send_early(struct peer *peer, int link, int64_t at_us);
 
 size_t peer_link_count(const struct peer *peer);
 enum peer_link_kind peer_link_kind(const struct peer *peer, int link);
@@ -146,16 +150,16 @@
 const char *peer_link_name(const struct peer *peer, int link);
 const char *peer_link_address(const struct peer *peer, int link);
 bool peer_link_agrees(const struct peer *peer, int link);
-uint32_t peer_link_group(const struct peer *peer, int link);
-uint32_t peer_link_listed(const struct peer *peer, int link);
+uint32_t peer_link_group_size(const struct peer *peer, int link);
+uint32_t peer_link_listed_count(const struct peer *peer, int link);
 uint64_t peer_link_revision(const struct peer *peer, int link);
-bool peer_hears_us(const struct peer *peer, const struct peer_msg *msg);
+bool peer_acks_us(const struct peer *peer, const struct peer_msg *msg);
 int peer_rail(const struct peer *peer);
-int peer_chief(const struct peer *peer);
-uint32_t peer_local_group(const struct peer *peer);
+int peer_aggregator(const struct peer *peer);
+uint32_t peer_local_group_size(const struct peer *peer);
 uint32_t peer_listed_count(const struct peer *peer);
-uint32_t peer_demands_fit(const struct peer *peer);
-int64_t peer_hold_us(const struct peer *peer);
+uint32_t peer_demand_capacity(const struct peer *peer);
+int64_t peer_raise_delay_us(const struct peer *peer);
 int peer_data_centres(const struct peer *peer);
 uint64_t peer_hash(const char *text);
 
--- a/src/peer_send.c
+++ b/src/peer_send.c
@@ -9,22 +9,23 @@
  * number of links, and what is left bounds the demand entries of a message.
  */
 
-#define PEER_EARLY_LINKS                                                       \
+#define PEER_EARLY_LINKS_MAX                                                   \
 	8 /* between data centres; more wait for heartbeats                    \
 	   */
 
-static bool peer_tells_early(const struct peer *peer,
-			     const struct peer_node *node, bool first);
-static bool peer_counts(const struct peer_node *node);
-static void peer_age(struct peer *peer, int64_t now);
-static void peer_summarise(struct peer *peer);
+static bool peer_may_send_early(const struct peer *peer,
+				const struct peer_node *node, bool first);
+static bool peer_is_active(const struct peer_node *node);
+static void peer_update_liveness(struct peer *peer, int64_t now);
+static void peer_compute_digests(struct peer *peer);
 static void peer_count_links(struct peer *peer);
-static void peer_queue(struct peer *peer, int64_t now);
+static void peer_queue_due(struct peer *peer, int64_t now);
 static int64_t peer_send_time(const struct peer_node *node);
-static int peer_ranked(const struct peer *peer, int dc, uint32_t rank);
-static void peer_aim_rail(struct peer *peer, int dc, int rail, int64_t now);
-static bool peer_claims(const struct peer *peer, int link, int rail,
-			int64_t now);
+static int peer_node_at_rank(const struct peer *peer, int dc, uint32_t rank);
+static void peer_select_rail_target(struct peer *peer, int dc, int rail,
+				    int64_t now);
+static bool peer_is_rail_bridge(const struct peer *peer, int link, int rail,
+				int64_t now);
 
 /*
  * Runs the systems over the table: who is up, who bridges, where each rail
@@ -32,24 +33,24 @@
  */
 void peer_tick(struct peer *peer, int64_t now)
 {
-	if (now < peer->next_us)
+	if (now < peer->next_tick_us)
 		return;
-	peer->next_us = MAG_NEVER;
-	peer_age(peer, now);
+	peer->next_tick_us = MAG_NEVER;
+	peer_update_liveness(peer, now);
 	peer_elect(peer);
-	peer_aim(peer, now);
-	peer_summarise(peer);
+	peer_select_targets(peer, now);
+	peer_compute_digests(peer);
 	peer_count_links(peer);
-	peer_queue(peer, now);
+	peer_queue_due(peer, now);
 }
 
 /* When peer_tick has something to do next. */
 int64_t peer_next_deadline(const struct peer *peer)
 {
-	return peer->next_us;
+	return peer->next_tick_us;
 }
 
-/* Gives the next link to send to; its message is filled by peer_fill. */
+/* Gives the next link to send to; its message is filled by peer_fill_header. */
 bool peer_next_due(struct peer *peer, int64_t now, int *link)
 {
 	struct peer_node *node;
@@ -62,63 +63,66 @@
 		}
 		*link = peer->due[peer->due_next++];
 		node = &peer->nodes[*link];
-		node->due = false;
+		node->queued = false;
 	} while (!node->used);
-	node->hurry_us = MAG_NEVER;
-	node->not_before_us = now + PEER_SPACING_US;
+	node->early_send_us = MAG_NEVER;
+	node->early_not_before_us = now + PEER_EARLY_INTERVAL_US;
 	node->next_send_us = now + (node->dc == 0 ? peer->local_period_us
 						  : peer->bridge_period_us);
-	if (node->next_send_us < peer->next_us)
-		peer->next_us = node->next_send_us;
+	if (node->next_send_us < peer->next_tick_us)
+		peer->next_tick_us = node->next_send_us;
 	return true;
 }
 
 /* Fills the header of the next message to a link. */
-void peer_fill(struct peer *peer, int link, int64_t now, struct peer_msg *msg)
+void peer_fill_header(struct peer *peer, int link, int64_t now,
+		      struct peer_msg *msg)
 {
 	struct peer_node *node = &peer->nodes[link];
 	bool local = node->dc == 0;
 
 	memset(msg, 0, offsetof(struct peer_msg, news));
-	msg->news_count = 0;
+	msg->record_count = 0;
 	msg->demand_count = 0;
 	msg->version = PEER_VERSION;
 	msg->cluster = peer->cluster;
-	msg->from = peer->self;
-	msg->incarnation = peer->set.incarnation;
-	msg->seq = ++node->seq_out;
+	msg->sender = peer->self;
+	msg->incarnation = peer->settings.incarnation;
+	msg->seq = ++node->seq_sent;
 	msg->next_ms = (uint32_t)((local ? peer->local_period_us
 					 : peer->bridge_period_us) /
 				  MAG_US_PER_MS);
-	msg->heard = peer_is_heard(node, now) ? (uint32_t)node->incarnation : 0;
+	msg->acked_incarnation =
+		peer_is_heard_from(node, now) ? (uint32_t)node->incarnation : 0;
 	msg->revision = peer->revision;
-	msg->listed = peer->listed_count;
-	msg->group = peer->local_group;
+	msg->listed_count = peer->listed_count;
+	msg->group_size = peer->local_group;
 	msg->group_hash = peer->local_hash;
 	msg->reach_hash = peer->reach_hash;
 	msg->flags = (peer->rails[0] ? PEER_F_RAIL0 : 0) |
 		     (peer->rails[1] ? PEER_F_RAIL1 : 0) |
-		     (node->gap ? PEER_F_GAP : 0) |
+		     (node->message_lost ? PEER_F_GAP : 0) |
 		     (peer->stopping ? PEER_F_STOPPING : 0);
-	node->gap = false;
-	if (node->hears_until_us <= now) {
+	node->message_lost = false;
+	if (node->acked_until_us <= now) {
 		msg->flags |= PEER_F_INTRO;
-		memcpy(msg->name, peer->set.instance, MAG_NAME_MAX);
-		memcpy(msg->data_centre, peer->set.data_centre, MAG_NAME_MAX);
-		memcpy(msg->address, peer->set.address, MAG_ADDR_MAX);
+		memcpy(msg->name, peer->settings.instance, MAG_NAME_MAX);
+		memcpy(msg->data_centre, peer->settings.data_centre,
+		       MAG_NAME_MAX);
+		memcpy(msg->address, peer->settings.address, MAG_ADDR_MAX);
 	}
 	cnt_add(CNT_PEER_SENT, 1);
 }
 
 /* Asks for a message to a link soon, though none is due. */
-void peer_hurry(struct peer *peer, int link, int64_t at_us)
+void peer_send_early(struct peer *peer, int link, int64_t at_us)
 {
 	struct peer_node *node = &peer->nodes[link];
 
-	if (at_us < node->hurry_us)
-		node->hurry_us = at_us;
-	if (peer->next_us > peer_send_time(node))
-		peer->next_us = peer_send_time(node);
+	if (at_us < node->early_send_us)
+		node->early_send_us = at_us;
+	if (peer->next_tick_us > peer_send_time(node))
+		peer->next_tick_us = peer_send_time(node);
 }
 
 /*
@@ -143,18 +147,18 @@
 		const struct peer_node *node = &peer->nodes[i];
 
 		if (node->up && node->revision < revision &&
-		    peer_tells_early(peer, node, first))
-			peer_hurry(peer, (int)i, now);
+		    peer_may_send_early(peer, node, first))
+			peer_send_early(peer, (int)i, now);
 	}
 }
 
 /* Says whether a link is told of a new revision before its heartbeat. */
-static bool peer_tells_early(const struct peer *peer,
-			     const struct peer_node *node, bool first)
+static bool peer_may_send_early(const struct peer *peer,
+				const struct peer_node *node, bool first)
 {
 	uint32_t links = node->dc == 0 ? peer->local_links : peer->bridge_links;
 
-	return (first || peer->rails[0]) && links <= PEER_EARLY_LINKS;
+	return (first || peer->rails[0]) && links <= PEER_EARLY_LINKS_MAX;
 }
 
 /* Tells every peer that this instance stops, so that none waits for it. */
@@ -165,7 +169,7 @@
 	peer->stopping = true;
 	for (i = 0; i < peer->node_count; i++) {
 		if (peer->nodes[i].up)
-			peer_hurry(peer, (int)i, now);
+			peer_send_early(peer, (int)i, now);
 	}
 }
 
@@ -194,12 +198,12 @@
 	uint32_t count = 0;
 	size_t i;
 
-	peer->chief = PEER_NO_NODE;
+	peer->aggregator = PEER_NO_NODE;
 	for (i = 0; i < peer->node_count; i++) {
 		const struct peer_node *node = &peer->nodes[i];
 		uint64_t score;
 
-		if (!peer_counts(node) || node->dc != 0)
+		if (!peer_is_active(node) || node->dc != 0)
 			continue;
 		count++;
 		score = peer_score(peer, 0, node->id);
@@ -207,7 +211,7 @@
 			above++;
 		if (score > best) {
 			best = score;
-			peer->chief = (int)i;
+			peer->aggregator = (int)i;
 		}
 	}
 	peer->rails[0] = above == 0;
@@ -215,7 +219,7 @@
 }
 
 /* Chooses, for each rail that is held here, the node to send to. */
-void peer_aim(struct peer *peer, int64_t now)
+void peer_select_targets(struct peer *peer, int64_t now)
 {
 	int dc;
 	int rail;
@@ -223,7 +227,7 @@
 	for (dc = 1; dc < peer->dc_count; dc++) {
 		for (rail = 0; rail < PEER_RAILS; rail++) {
 			if (peer->rails[rail])
-				peer_aim_rail(peer, dc, rail, now);
+				peer_select_rail_target(peer, dc, rail, now);
 			else
 				peer->dcs[dc].target[rail] = PEER_NO_NODE;
 		}
@@ -231,7 +235,7 @@
 }
 
 /* A node of another data centre says that it bridges: aim at it. */
-void peer_claim(struct peer *peer, int link, int64_t now)
+void peer_note_bridge(struct peer *peer, int link, int64_t now)
 {
 	const struct peer_node *node = &peer->nodes[link];
 	int rail;
@@ -240,9 +244,9 @@
 		struct peer_dc *dc = &peer->dcs[node->dc];
 		int old = dc->target[rail];
 
-		if (!peer_claims(peer, link, rail, now))
+		if (!peer_is_rail_bridge(peer, link, rail, now))
 			continue;
-		if (peer_claims(peer, old, rail, now) &&
+		if (peer_is_rail_bridge(peer, old, rail, now) &&
 		    peer_score(peer, node->dc, peer->nodes[old].id) >
 			    peer_score(peer, node->dc, node->id))
 			continue;
@@ -260,13 +264,13 @@
 }
 
 /* True for a node that is up and stays. */
-static bool peer_counts(const struct peer_node *node)
+static bool peer_is_active(const struct peer_node *node)
 {
 	return node->used && node->up && !(node->flags & PEER_F_STOPPING);
 }
 
 /* Notes who came up or went down, and forgets who has long gone. */
-static void peer_age(struct peer *peer, int64_t now)
+static void peer_update_liveness(struct peer *peer, int64_t now)
 {
 	size_t i;
 
@@ -275,19 +279,19 @@
 
 		if (!node->used)
 			continue;
-		node->up =
-			peer_is_heard(node, now) && node->hears_until_us > now;
-		if (node->up && node->heard_until_us < peer->next_us)
-			peer->next_us = node->heard_until_us;
-		if (node->up && node->hears_until_us < peer->next_us)
-			peer->next_us = node->hears_until_us;
-		if (node->up != node->told_up &&
+		node->up = peer_is_heard_from(node, now) &&
+			   node->acked_until_us > now;
+		if (node->up && node->heard_until_us < peer->next_tick_us)
+			peer->next_tick_us = node->heard_until_us;
+		if (node->up && node->acked_until_us < peer->next_tick_us)
+			peer->next_tick_us = node->acked_until_us;
+		if (node->up != node->reported_up &&
 		    peer->change_count < peer->node_cap) {
-			node->told_up = node->up;
+			node->reported_up = node->up;
 			peer->changes[peer->change_count++] =
 				(struct peer_change){ (int)i, node->up };
 		}
-		if (!node->listed && !node->due && !node->told_up &&
+		if (!node->listed && !node->queued && !node->reported_up &&
 		    node->incarnation != 0 &&
 		    node->heard_until_us + PEER_FORGET_US < now)
 			node->used = false;
@@ -307,7 +311,7 @@
 }
 
 /* Works out the digests of what this instance reaches. */
-static void peer_summarise(struct peer *peer)
+static void peer_compute_digests(struct peer *peer)
 {
 	uint32_t reach = (uint32_t)peer->dcs[0].id;
 	uint64_t hash = peer->self;
@@ -316,7 +320,7 @@
 	int dc;
 
 	for (i = 0; i < peer->node_count; i++) {
-		if (peer->nodes[i].dc == 0 && peer_counts(&peer->nodes[i])) {
+		if (peer->nodes[i].dc == 0 && peer_is_active(&peer->nodes[i])) {
 			group++;
 			hash ^= peer->nodes[i].id;
 		}
@@ -325,7 +329,7 @@
 		int rail = peer_rail(peer);
 		int link = rail < 0 ? PEER_NO_NODE : peer->dcs[dc].target[rail];
 
-		if (link >= 0 && peer_counts(&peer->nodes[link]))
+		if (link >= 0 && peer_is_active(&peer->nodes[link]))
 			reach ^= (uint32_t)peer->dcs[dc].id;
 	}
 	peer->local_group = group;
@@ -347,15 +351,15 @@
 		peer->bridge_links += kind == PEER_LINK_BRIDGE;
 	}
 	peer->local_period_us =
-		peer_pace(peer, peer->local_links, PEER_LOCAL_PART);
+		peer_period_us(peer, peer->local_links, PEER_LOCAL_PARTS);
 	peer->bridge_period_us =
-		peer_pace(peer, peer->bridge_links, PEER_BRIDGE_PART);
-	peer->rail_period_us =
-		peer_pace(peer, (uint32_t)peer->dc_count - 1, PEER_BRIDGE_PART);
+		peer_period_us(peer, peer->bridge_links, PEER_BRIDGE_PARTS);
+	peer->rail_period_us = peer_period_us(
+		peer, (uint32_t)peer->dc_count - 1, PEER_BRIDGE_PARTS);
 }
 
 /* Queues the links that are due and notes when the next one is. */
-static void peer_queue(struct peer *peer, int64_t now)
+static void peer_queue_due(struct peer *peer, int64_t now)
 {
 	size_t i;
 
@@ -363,13 +367,14 @@
 		struct peer_node *node = &peer->nodes[i];
 		int64_t at = peer_send_time(node);
 
-		if (node->due || peer_link_kind(peer, (int)i) == PEER_LINK_NONE)
+		if (node->queued ||
+		    peer_link_kind(peer, (int)i) == PEER_LINK_NONE)
 			continue;
 		if (at <= now) {
-			node->due = true;
+			node->queued = true;
 			peer->due[peer->due_count++] = (int)i;
-		} else if (at < peer->next_us) {
-			peer->next_us = at;
+		} else if (at < peer->next_tick_us) {
+			peer->next_tick_us = at;
 		}
 	}
 }
@@ -377,15 +382,15 @@
 /* When a link is sent to next. */
 static int64_t peer_send_time(const struct peer_node *node)
 {
-	int64_t early = node->hurry_us;
+	int64_t early = node->early_send_us;
 
-	if (early < node->not_before_us)
-		early = node->not_before_us;
+	if (early < node->early_not_before_us)
+		early = node->early_not_before_us;
 	return early < node->next_send_us ? early : node->next_send_us;
 }
 
 /* Finds the listed node of a data centre that has a rank by rendezvous. */
-static int peer_ranked(const struct peer *peer, int dc, uint32_t rank)
+static int peer_node_at_rank(const struct peer *peer, int dc, uint32_t rank)
 {
 	uint64_t below = UINT64_MAX;
 	int found = PEER_NO_NODE;
@@ -416,12 +421,13 @@
  * data centre in the order of their rank, the first one every other time, as
  * its bridge may be one that the list lacks or ranks lower.
  */
-static void peer_aim_rail(struct peer *peer, int dc, int rail, int64_t now)
+static void peer_select_rail_target(struct peer *peer, int dc, int rail,
+				    int64_t now)
 {
 	struct peer_dc *to = &peer->dcs[dc];
 	uint32_t rank;
 
-	if (peer_claims(peer, to->target[rail], rail, now)) {
+	if (peer_is_rail_bridge(peer, to->target[rail], rail, now)) {
 		to->tries[rail] = 0;
 		return;
 	}
@@ -432,27 +438,27 @@
 	if (to->tries[rail] % 2 == 1)
 		rank += (to->tries[rail] + 1) / 2;
 	to->tries[rail]++;
-	to->target[rail] = peer_ranked(peer, dc, rank);
+	to->target[rail] = peer_node_at_rank(peer, dc, rank);
 	if (to->target[rail] < 0) {
 		to->tries[rail] = 0;
-		to->target[rail] = peer_ranked(peer, dc, 0);
+		to->target[rail] = peer_node_at_rank(peer, dc, 0);
 	}
 	to->try_until_us[rail] = now + 2 * peer->bridge_period_us;
-	if (to->try_until_us[rail] < peer->next_us)
-		peer->next_us = to->try_until_us[rail];
+	if (to->try_until_us[rail] < peer->next_tick_us)
+		peer->next_tick_us = to->try_until_us[rail];
 	if (to->target[rail] >= 0)
-		peer_hurry(peer, to->target[rail], now);
+		peer_send_early(peer, to->target[rail], now);
 }
 
 /* True if a node is heard and bridges the rail. */
-static bool peer_claims(const struct peer *peer, int link, int rail,
-			int64_t now)
+static bool peer_is_rail_bridge(const struct peer *peer, int link, int rail,
+				int64_t now)
 {
 	const struct peer_node *node;
 
 	if (link < 0)
 		return false;
 	node = &peer->nodes[link];
-	return node->used && peer_is_heard(node, now) &&
+	return node->used && peer_is_heard_from(node, now) &&
 	       (node->flags & (rail == 0 ? PEER_F_RAIL0 : PEER_F_RAIL1));
 }
--- a/src/peer_view.c
+++ b/src/peer_view.c
@@ -74,13 +74,13 @@
 }
 
 /* What the other side's last message said of its group. */
-uint32_t peer_link_group(const struct peer *peer, int link)
+uint32_t peer_link_group_size(const struct peer *peer, int link)
 {
 	return peer->nodes[link].group;
 }
 
 /* How many instances the other side's list holds. */
-uint32_t peer_link_listed(const struct peer *peer, int link)
+uint32_t peer_link_listed_count(const struct peer *peer, int link)
 {
 	return peer->nodes[link].listed_count;
 }
@@ -92,9 +92,9 @@
 }
 
 /* True if the sender of a message hears this incarnation. */
-bool peer_hears_us(const struct peer *peer, const struct peer_msg *msg)
+bool peer_acks_us(const struct peer *peer, const struct peer_msg *msg)
 {
-	return msg->heard == (uint32_t)peer->set.incarnation;
+	return msg->acked_incarnation == (uint32_t)peer->settings.incarnation;
 }
 
 /* The rail that this instance bridges, -1 for none. */
@@ -106,13 +106,13 @@
 }
 
 /* The link of the first bridge of this data centre; -1 if it is this one. */
-int peer_chief(const struct peer *peer)
+int peer_aggregator(const struct peer *peer)
 {
-	return peer->chief;
+	return peer->aggregator;
 }
 
 /* How many instances of this data centre are up, this one included. */
-uint32_t peer_local_group(const struct peer *peer)
+uint32_t peer_local_group_size(const struct peer *peer)
 {
 	return peer->local_group;
 }
@@ -124,10 +124,10 @@
 }
 
 /* How many demand entries fit a message under the budget of bytes. */
-uint32_t peer_demands_fit(const struct peer *peer)
+uint32_t peer_demand_capacity(const struct peer *peer)
 {
-	int64_t budget = (int64_t)peer->set.bytes_per_s * PEER_DEMAND_PART /
-			 PEER_ALL_PARTS;
+	int64_t budget = (int64_t)peer->settings.bytes_per_s *
+			 PEER_DEMAND_PARTS / PEER_BUDGET_PARTS;
 	int64_t entries = budget / PEER_BYTES_DEMAND;
 	int64_t rate =
 		1 + peer->local_links * MAG_US_PER_S / peer->local_period_us +
@@ -145,13 +145,13 @@
  * those who lose the share have heard of it, through the bridge, the other
  * bridges and on to their data centres.
  */
-int64_t peer_hold_us(const struct peer *peer)
+int64_t peer_raise_delay_us(const struct peer *peer)
 {
 	int64_t slowest = peer->local_period_us > peer->rail_period_us
 				  ? peer->local_period_us
 				  : peer->rail_period_us;
 
-	return PEER_MISSED * slowest + PEER_SLACK_US +
+	return PEER_MISSED_MAX * slowest + PEER_SLACK_US +
 	       2 * peer->local_period_us + slowest;
 }
 
@@ -162,10 +162,11 @@
 }
 
 /* The period at which some links use their part of the budget. */
-int64_t peer_pace(const struct peer *peer, uint32_t links, int part)
+int64_t peer_period_us(const struct peer *peer, uint32_t links, int part)
 {
 	int64_t bytes = (int64_t)links * (PEER_BYTES_FIXED + PEER_BYTES_RPC);
-	int64_t budget = (int64_t)peer->set.bytes_per_s * part / PEER_ALL_PARTS;
+	int64_t budget =
+		(int64_t)peer->settings.bytes_per_s * part / PEER_BUDGET_PARTS;
 	int64_t period = bytes * MAG_US_PER_S / budget;
 
 	if (period < PEER_PERIOD_MIN_US)
--- a/src/peer_wire.c
+++ b/src/peer_wire.c
@@ -4,20 +4,20 @@
 #include "rpc_gen_magnolia.h"
 
 /* Room for what a message points to while it is encoded or decoded. */
-struct peer_wire_room {
+struct peer_wire_storage {
 	mag_x_intro intro;
-	mag_x_record news[PEER_NEWS_MAX];
+	mag_x_record news[PEER_RECORDS_MAX];
 	mag_x_demand demands[PEER_DEMANDS_MAX];
 };
 
-static void peer_wire_out(const struct peer_msg *msg, mag_x_heartbeat *out,
-			  struct peer_wire_room *room);
-static void peer_wire_record_out(const struct peer_record *from,
-				 mag_x_record *to);
-static int peer_wire_in(const mag_x_heartbeat *in, struct peer_msg *msg);
-static int peer_wire_record_in(const mag_x_record *from,
+static void peer_wire_from_msg(const struct peer_msg *msg, mag_x_heartbeat *out,
+			       struct peer_wire_storage *room);
+static void peer_wire_from_record(const struct peer_record *from,
+				  mag_x_record *to);
+static int peer_wire_to_msg(const mag_x_heartbeat *in, struct peer_msg *msg);
+static int peer_wire_to_record(const mag_x_record *from,
 			       struct peer_record *to);
-static bool_t peer_wire_call(XDR *xdr, struct rpc_msg *call);
+static bool_t peer_wire_decode_call(XDR *xdr, struct rpc_msg *call);
 
 /*
  * Encodes a heartbeat as an RPC call.  Returns its length, or
@@ -27,7 +27,7 @@
 		     size_t size)
 {
 	struct rpc_msg call;
-	struct peer_wire_room room;
+	struct peer_wire_storage room;
 	mag_x_heartbeat out;
 	XDR xdr;
 	bool_t ok;
@@ -40,7 +40,7 @@
 	call.rm_call.cb_prog = MAG_X_PROGRAM;
 	call.rm_call.cb_vers = MAG_X_VERSION;
 	call.rm_call.cb_proc = MAG_X_HEARTBEAT;
-	peer_wire_out(msg, &out, &room);
+	peer_wire_from_msg(msg, &out, &room);
 	xdrmem_create(&xdr, buf, (u_int)size, XDR_ENCODE);
 	ok = xdr_callmsg(&xdr, &call) && xdr_mag_x_heartbeat(&xdr, &out);
 	len = (int)xdr_getpos(&xdr);
@@ -49,7 +49,7 @@
 }
 
 /*
- * Decodes a datagram.  Returns 0, or PEER_WIRE_E_FORM for what isn't a
+ * Decodes a datagram.  Returns 0, or PEER_WIRE_E_FORMAT for what isn't a
  * heartbeat or exceeds a bound; nothing is kept of it then.
  */
 int peer_wire_decode(char *buf, size_t len, struct peer_msg *msg)
@@ -57,20 +57,20 @@
 	struct rpc_msg call;
 	mag_x_heartbeat in;
 	XDR xdr;
-	int err = PEER_WIRE_E_FORM;
+	int err = PEER_WIRE_E_FORMAT;
 
 	memset(&in, 0, sizeof(in));
 	xdrmem_create(&xdr, buf, (u_int)len, XDR_DECODE);
-	if (peer_wire_call(&xdr, &call) && xdr_mag_x_heartbeat(&xdr, &in) &&
-	    xdr_getpos(&xdr) == len)
-		err = peer_wire_in(&in, msg);
+	if (peer_wire_decode_call(&xdr, &call) &&
+	    xdr_mag_x_heartbeat(&xdr, &in) && xdr_getpos(&xdr) == len)
+		err = peer_wire_to_msg(&in, msg);
 	xdr_destroy(&xdr);
 	xdr_free((xdrproc_t)xdr_mag_x_heartbeat, (char *)&in);
 	return err;
 }
 
 /* Reads the header of a call and checks that it is a heartbeat's. */
-static bool_t peer_wire_call(XDR *xdr, struct rpc_msg *call)
+static bool_t peer_wire_decode_call(XDR *xdr, struct rpc_msg *call)
 {
 	char cred[MAX_AUTH_BYTES];
 	char verf[MAX_AUTH_BYTES];
@@ -86,25 +86,25 @@
 }
 
 /* Points the generated struct at the fields of a message. */
-static void peer_wire_out(const struct peer_msg *msg, mag_x_heartbeat *out,
-			  struct peer_wire_room *room)
+static void peer_wire_from_msg(const struct peer_msg *msg, mag_x_heartbeat *out,
+			       struct peer_wire_storage *room)
 {
 	uint32_t i;
 
 	memset(out, 0, sizeof(*out));
 	out->format = msg->version;
 	out->cluster = msg->cluster;
-	out->sender = msg->from;
+	out->sender = msg->sender;
 	out->incarnation = msg->incarnation;
 	out->seq = msg->seq;
 	out->flags = msg->flags;
 	out->next_ms = msg->next_ms;
-	out->heard = msg->heard;
+	out->heard = msg->acked_incarnation;
 	out->revision = msg->revision;
-	out->news_seq = msg->news_seq;
-	out->news_ack = msg->news_ack;
-	out->listed = msg->listed;
-	out->group = msg->group;
+	out->news_seq = msg->records_seq;
+	out->news_ack = msg->records_ack;
+	out->listed = msg->listed_count;
+	out->group = msg->group_size;
 	out->group_hash = msg->group_hash;
 	out->reach_hash = msg->reach_hash;
 	out->intro.intro_len = msg->flags & PEER_F_INTRO ? 1 : 0;
@@ -112,10 +112,10 @@
 	room->intro.name = (char *)msg->name;
 	room->intro.data_centre = (char *)msg->data_centre;
 	room->intro.address = (char *)msg->address;
-	out->news.news_len = msg->news_count;
+	out->news.news_len = msg->record_count;
 	out->news.news_val = room->news;
-	for (i = 0; i < msg->news_count; i++)
-		peer_wire_record_out(&msg->news[i], &room->news[i]);
+	for (i = 0; i < msg->record_count; i++)
+		peer_wire_from_record(&msg->records[i], &room->news[i]);
 	out->demands.demands_len = msg->demand_count;
 	out->demands.demands_val = room->demands;
 	for (i = 0; i < msg->demand_count; i++) {
@@ -124,8 +124,8 @@
 	}
 }
 
-static void peer_wire_record_out(const struct peer_record *from,
-				 mag_x_record *to)
+static void peer_wire_from_record(const struct peer_record *from,
+				  mag_x_record *to)
 {
 	to->kind = (int)from->kind;
 	if (from->kind == PEER_REC_LEAVING) {
@@ -134,31 +134,31 @@
 		to->mag_x_record_u.leaving.edition = from->version;
 		return;
 	}
-	memcpy(to->mag_x_record_u.quarantine.print, from->print,
+	memcpy(to->mag_x_record_u.quarantine.print, from->fingerprint,
 	       MAG_DIGEST_BYTES);
-	to->mag_x_record_u.quarantine.lost = from->lost;
+	to->mag_x_record_u.quarantine.lost = from->endpoints_lost;
 	to->mag_x_record_u.quarantine.remaining_ms = from->remaining_ms;
 }
 
 /* Copies a decoded heartbeat; the decoder has checked the bounds. */
-static int peer_wire_in(const mag_x_heartbeat *in, struct peer_msg *msg)
+static int peer_wire_to_msg(const mag_x_heartbeat *in, struct peer_msg *msg)
 {
 	uint32_t i;
 
 	memset(msg, 0, sizeof(*msg));
 	msg->version = in->format;
 	msg->cluster = in->cluster;
-	msg->from = in->sender;
+	msg->sender = in->sender;
 	msg->incarnation = in->incarnation;
 	msg->seq = in->seq;
 	msg->flags = in->flags & ~(uint32_t)PEER_F_INTRO;
 	msg->next_ms = in->next_ms;
-	msg->heard = in->heard;
+	msg->acked_incarnation = in->heard;
 	msg->revision = in->revision;
-	msg->news_seq = in->news_seq;
-	msg->news_ack = in->news_ack;
-	msg->listed = in->listed;
-	msg->group = in->group;
+	msg->records_seq = in->news_seq;
+	msg->records_ack = in->news_ack;
+	msg->listed_count = in->listed;
+	msg->group_size = in->group;
 	msg->group_hash = in->group_hash;
 	msg->reach_hash = in->reach_hash;
 	if (in->intro.intro_len == 1) {
@@ -169,12 +169,13 @@
 		    mag_copy_name(msg->data_centre, MAG_NAME_MAX,
 				  intro->data_centre) ||
 		    mag_copy_name(msg->address, MAG_ADDR_MAX, intro->address))
-			return PEER_WIRE_E_FORM;
+			return PEER_WIRE_E_FORMAT;
 	}
-	msg->news_count = in->news.news_len;
-	for (i = 0; i < msg->news_count; i++) {
-		if (peer_wire_record_in(&in->news.news_val[i], &msg->news[i]))
-			return PEER_WIRE_E_FORM;
+	msg->record_count = in->news.news_len;
+	for (i = 0; i < msg->record_count; i++) {
+		if (peer_wire_to_record(&in->news.news_val[i],
+					&msg->records[i]))
+			return PEER_WIRE_E_FORMAT;
 	}
 	msg->demand_count = in->demands.demands_len;
 	for (i = 0; i < msg->demand_count; i++) {
@@ -184,7 +185,7 @@
 	return 0;
 }
 
-static int peer_wire_record_in(const mag_x_record *from, struct peer_record *to)
+static int peer_wire_to_record(const mag_x_record *from, struct peer_record *to)
 {
 	if (from->kind == PEER_REC_LEAVING) {
 		to->kind = PEER_REC_LEAVING;
@@ -194,11 +195,11 @@
 				     from->mag_x_record_u.leaving.endpoint);
 	}
 	if (from->kind != PEER_REC_QUARANTINE)
-		return PEER_WIRE_E_FORM;
+		return PEER_WIRE_E_FORMAT;
 	to->kind = PEER_REC_QUARANTINE;
-	memcpy(to->print, from->mag_x_record_u.quarantine.print,
+	memcpy(to->fingerprint, from->mag_x_record_u.quarantine.print,
 	       MAG_DIGEST_BYTES);
-	to->lost = from->mag_x_record_u.quarantine.lost;
+	to->endpoints_lost = from->mag_x_record_u.quarantine.lost;
 	to->remaining_ms = from->mag_x_record_u.quarantine.remaining_ms;
 	return 0;
 }
--- a/src/peer_wire.h
+++ b/src/peer_wire.h
@@ -14,8 +14,8 @@
 #define PEER_WIRE_MAX 4096 /* longest datagram */
 
 enum peer_wire_err {
-	PEER_WIRE_E_SHORT = -1, /* the buffer is too small */
-	PEER_WIRE_E_FORM = -2,	/* no heartbeat of this program */
+	PEER_WIRE_E_SHORT = -1,	 /* the buffer is too small */
+	PEER_WIRE_E_FORMAT = -2, /* no heartbeat of this program */
 };
 
 int peer_wire_encode(const struct peer_msg *msg, uint32_t xid, char *buf,
--- a/src/spread.c
+++ b/src/spread.c
@@ -133,9 +133,10 @@
 			   const uint8_t print[MAG_DIGEST_BYTES], uint32_t lost,
 			   int64_t until_us, int64_t now)
 {
-	struct peer_record rec = { .kind = PEER_REC_QUARANTINE, .lost = lost };
+	struct peer_record rec = { .kind = PEER_REC_QUARANTINE,
+				   .endpoints_lost = lost };
 
-	memcpy(rec.print, print, MAG_DIGEST_BYTES);
+	memcpy(rec.fingerprint, print, MAG_DIGEST_BYTES);
 	if (until_us <= now)
 		return SPREAD_OK;
 	rec.remaining_ms = (uint32_t)((until_us - now) / MAG_US_PER_MS);
@@ -158,15 +159,15 @@
 	 * An acknowledgement of an earlier incarnation's log means nothing
 	 * here; one that went back means that the peer lost its memory.
 	 */
-	state->acked = peer_hears_us(peer, msg) ? msg->news_ack : 0;
+	state->acked = peer_acks_us(peer, msg) ? msg->records_ack : 0;
 	if (state->acked > spread->seq)
 		state->acked = 0;
-	for (i = 0; i < msg->news_count; i++) {
-		if (spread_apply(spread, &msg->news[i], link, now))
+	for (i = 0; i < msg->record_count; i++) {
+		if (spread_apply(spread, &msg->records[i], link, now))
 			return 0; /* no room: it will be sent again */
 	}
-	state->have = msg->news_seq;
-	return (int)msg->news_count;
+	state->have = msg->records_seq;
+	return (int)msg->record_count;
 }
 
 /* Adds to a message what its receiver hasn't acknowledged. */
@@ -176,18 +177,18 @@
 	struct spread_link *state = spread_link(spread, peer, link);
 	struct spread_record *record;
 
-	msg->news_seq = state ? state->acked : 0;
-	msg->news_ack = state ? state->have : 0;
+	msg->records_seq = state ? state->acked : 0;
+	msg->records_ack = state ? state->have : 0;
 	if (!state)
 		return;
 	cds_list_for_each_entry (record, &spread->log, log) {
-		struct peer_record *rec = &msg->news[msg->news_count];
+		struct peer_record *rec = &msg->records[msg->record_count];
 
 		if (record->seq <= state->acked)
 			continue;
-		if (msg->news_count == PEER_NEWS_MAX)
+		if (msg->record_count == PEER_RECORDS_MAX)
 			return;
-		msg->news_seq = record->seq;
+		msg->records_seq = record->seq;
 		if (!spread_forwards(peer, record, link) ||
 		    (record->rec.kind == PEER_REC_QUARANTINE &&
 		     record->until_us <= now))
@@ -195,7 +196,7 @@
 		*rec = record->rec;
 		rec->remaining_ms =
 			(uint32_t)((record->until_us - now) / MAG_US_PER_MS);
-		msg->news_count++;
+		msg->record_count++;
 	}
 }
 
@@ -251,9 +252,9 @@
 	record->has_news = false;
 	news->kind = record->rec.kind;
 	memcpy(news->endpoint, record->rec.endpoint, MAG_NAME_MAX);
-	memcpy(news->print, record->rec.print, MAG_DIGEST_BYTES);
+	memcpy(news->print, record->rec.fingerprint, MAG_DIGEST_BYTES);
 	news->leaving = record->rec.leaving;
-	news->lost = record->rec.lost;
+	news->lost = record->rec.endpoints_lost;
 	news->until_us = record->until_us;
 	return true;
 }
@@ -277,8 +278,8 @@
 		    strcmp(record->rec.endpoint, rec->endpoint) == 0)
 			return record;
 		if (rec->kind == PEER_REC_QUARANTINE &&
-		    memcmp(record->rec.print, rec->print, MAG_DIGEST_BYTES) ==
-			    0)
+		    memcmp(record->rec.fingerprint, rec->fingerprint,
+			   MAG_DIGEST_BYTES) == 0)
 			return record;
 	}
 	return NULL;
@@ -299,7 +300,7 @@
 		return NULL;
 	record->rec.kind = rec->kind;
 	memcpy(record->rec.endpoint, rec->endpoint, MAG_NAME_MAX);
-	memcpy(record->rec.print, rec->print, MAG_DIGEST_BYTES);
+	memcpy(record->rec.fingerprint, rec->fingerprint, MAG_DIGEST_BYTES);
 	record->origin = SPREAD_OWN;
 	record->seq = ++spread->seq;
 	cds_list_add_tail(&record->log, &spread->log);
@@ -408,8 +409,8 @@
 		return SPREAD_OK;
 	record->rec.leaving = rec->leaving;
 	record->rec.version = rec->version;
-	if (rec->lost > record->rec.lost)
-		record->rec.lost = rec->lost;
+	if (rec->endpoints_lost > record->rec.endpoints_lost)
+		record->rec.endpoints_lost = rec->endpoints_lost;
 	if (until > record->until_us)
 		record->until_us = until;
 	spread_changed(spread, record, link);
@@ -430,6 +431,6 @@
 		return rec->leaving && !record->rec.leaving;
 	}
 	/* Transit rounds the remaining time; a second is no news. */
-	return rec->lost > record->rec.lost ||
+	return rec->endpoints_lost > record->rec.endpoints_lost ||
 	       until_us > record->until_us + MAG_US_PER_S;
 }
