--- a/regress/check_rpc.c
+++ b/regress/check_rpc.c
@@ -226,19 +226,19 @@
 	assert_int_equal(rpc_fetch(rpc, address, 12, 11), RPC_OK);
 	wait_for(&got.fetches, before + 1);
 	assert_int_equal(got.fetched.err, RPC_OK);
-	assert_int_equal(got.fetched.have, 11);
+	assert_int_equal(got.fetched.base_revision, 11);
 	assert_int_equal(got.fetched.revision, 12);
 	assert_string_equal(got.fetched.text, "edits");
 	free(got.fetched.text);
 	assert_int_equal(rpc_fetch(rpc, address, 12, 9), RPC_OK);
 	wait_for(&got.fetches, before + 2);
 	assert_int_equal(got.fetched.err, RPC_OK);
-	assert_int_equal(got.fetched.have, 0);
+	assert_int_equal(got.fetched.base_revision, 0);
 	assert_int_equal(got.fetched.len, TEXT_BYTES);
 	free(got.fetched.text);
 	assert_int_equal(rpc_fetch(rpc, address, 13, 11), RPC_OK);
 	wait_for(&got.fetches, before + 3);
-	assert_int_equal(got.fetched.err, RPC_E_NONE);
+	assert_int_equal(got.fetched.err, RPC_E_NO_REVISION);
 }
 
 /* A peer that lacks the revision says so. */
@@ -249,7 +249,7 @@
 	(void)state;
 	assert_int_equal(rpc_fetch(rpc, address, 13, 0), RPC_OK);
 	wait_for(&got.fetches, before + 1);
-	assert_int_equal(got.fetched.err, RPC_E_NONE);
+	assert_int_equal(got.fetched.err, RPC_E_NO_REVISION);
 	assert_null(got.fetched.text);
 }
 
@@ -262,7 +262,7 @@
 	got.len = (16u << 20) + 1;
 	assert_int_equal(rpc_fetch(rpc, address, 11, 0), RPC_OK);
 	wait_for(&got.fetches, before + 1);
-	assert_int_equal(got.fetched.err, RPC_E_ANSWER);
+	assert_int_equal(got.fetched.err, RPC_E_REPLY);
 }
 
 /*
@@ -285,11 +285,11 @@
 	snprintf(hung, sizeof(hung), "127.0.0.1:%d", ntohs(local.sin_port));
 	assert_int_equal(rpc_fetch(rpc, hung, 1, 0), RPC_OK);
 	wait_for(&got.fetches, before + 1);
-	assert_int_equal(got.fetched.err, RPC_E_REACH);
+	assert_int_equal(got.fetched.err, RPC_E_UNREACHABLE);
 	close(fd);
 	assert_int_equal(rpc_fetch(rpc, hung, 1, 0), RPC_OK);
 	wait_for(&got.fetches, before + 2);
-	assert_int_equal(got.fetched.err, RPC_E_REACH);
+	assert_int_equal(got.fetched.err, RPC_E_UNREACHABLE);
 }
 
 /*
--- a/src/mesh.c
+++ b/src/mesh.c
@@ -118,12 +118,12 @@
 {
 	int rc = PUB_E_HOSTILE;
 
-	if (fetched->have)
-		rc = watch_offer_edits(mesh->watch, fetched->have,
+	if (fetched->base_revision)
+		rc = watch_offer_edits(mesh->watch, fetched->base_revision,
 				       fetched->text);
 	else if (strlen(fetched->text) == fetched->len)
 		rc = watch_offer(mesh->watch, fetched->text, fetched->revision);
-	if (rc == PUB_OK && fetched->have)
+	if (rc == PUB_OK && fetched->base_revision)
 		cnt_add(CNT_RPC_EDITS_TAKEN, 1);
 	if (rc == PUB_OK || rc == PUB_E_STALE || rc == PUB_E_DOWN)
 		return;
@@ -132,6 +132,7 @@
 			  "peer=%s revision=%llu why=\"%s\"", fetched->address,
 			  (unsigned long long)fetched->revision,
 			  pub_err_text(rc));
-	if (fetched->have && fetched->revision > watch_revision(mesh->watch))
+	if (fetched->base_revision &&
+	    fetched->revision > watch_revision(mesh->watch))
 		rpc_fetch(mesh->rpc, fetched->address, fetched->revision, 0);
 }
--- a/src/rpc.c
+++ b/src/rpc.c
@@ -16,11 +16,11 @@
 #define RPC_DEFAULT_BYTES      (16u << 20)
 #define RPC_DEFAULT_TIMEOUT_US (5 * MAG_US_PER_S)
 
-static void rpc_defaults(struct rpc *rpc);
+static void rpc_set_defaults(struct rpc *rpc);
 static int rpc_bind(const struct rpc *rpc, int type);
-static int rpc_run(struct rpc *rpc);
+static int rpc_start_threads(struct rpc *rpc);
 static void *rpc_receiver(void *arg);
-static void rpc_take(struct rpc *rpc);
+static void rpc_receive(struct rpc *rpc);
 
 /*
  * Binds the port and starts the threads.  On RPC_OK *rpc is running and is
@@ -37,7 +37,7 @@
 		return RPC_E_MEMORY;
 	new->settings = *settings;
 	new->handlers = *handlers;
-	rpc_defaults(new);
+	rpc_set_defaults(new);
 	new->cluster = (uint32_t)peer_hash(settings->cluster);
 	pthread_mutex_init(&new->lock, NULL);
 	pthread_cond_init(&new->wake, NULL);
@@ -46,7 +46,7 @@
 	new->tcp = rpc_bind(new, SOCK_STREAM);
 	err = new->udp < 0 ? new->udp : new->tcp;
 	if (err >= 0)
-		err = rpc_run(new);
+		err = rpc_start_threads(new);
 	if (err) {
 		rpc_stop(new);
 		return err;
@@ -87,7 +87,7 @@
 	len = peer_wire_encode(msg, atomic_fetch_add(&rpc->xid, 1), buf,
 			       sizeof(buf));
 	if (len < 0)
-		return RPC_E_ANSWER;
+		return RPC_E_REPLY;
 	if (sendto(rpc->udp, buf, (size_t)len, MSG_DONTWAIT,
 		   (struct sockaddr *)&to, sizeof(to)) == len)
 		return RPC_OK;
@@ -117,7 +117,7 @@
 							       : RPC_E_ADDRESS;
 }
 
-static void rpc_defaults(struct rpc *rpc)
+static void rpc_set_defaults(struct rpc *rpc)
 {
 	struct rpc_settings *set = &rpc->settings;
 
@@ -154,7 +154,7 @@
 }
 
 /* Starts the threads. */
-static int rpc_run(struct rpc *rpc)
+static int rpc_start_threads(struct rpc *rpc)
 {
 	int err = rpc_serve_start(rpc);
 
@@ -179,13 +179,13 @@
 
 	while (!atomic_load(&rpc->stopping)) {
 		if (poll(&fd, 1, RPC_POLL_MS) == 1)
-			rpc_take(rpc);
+			rpc_receive(rpc);
 	}
 	return NULL;
 }
 
 /* Takes one datagram; what is no heartbeat is counted and dropped. */
-static void rpc_take(struct rpc *rpc)
+static void rpc_receive(struct rpc *rpc)
 {
 	char buf[PEER_WIRE_MAX];
 	struct peer_msg msg;
--- a/src/rpc.h
+++ b/src/rpc.h
@@ -21,10 +21,10 @@
 	RPC_E_ADDRESS = -2, /* no "ip:port" */
 	RPC_E_SOCKET = -3,
 	RPC_E_THREAD = -4,
-	RPC_E_FULL = -5,   /* too many fetches wait */
-	RPC_E_REACH = -6,  /* the peer can't be reached in time */
-	RPC_E_ANSWER = -7, /* an answer that breaks a rule or a bound */
-	RPC_E_NONE = -8,   /* the peer has no such revision */
+	RPC_E_FULL = -5,	/* too many fetches wait */
+	RPC_E_UNREACHABLE = -6, /* the peer can't be reached in time */
+	RPC_E_REPLY = -7,	/* an answer that breaks a rule or a bound */
+	RPC_E_NO_REVISION = -8, /* the peer has no such revision */
 	RPC_E_SEND = -9,
 };
 
@@ -41,7 +41,8 @@
 	int err;
 	char address[MAG_ADDR_MAX];
 	uint64_t revision;
-	uint64_t have; /* text holds edits to this revision; 0: it is whole */
+	uint64_t base_revision; /* text holds edits to this revision; 0: it is
+				   whole */
 	char *text;
 	size_t len;
 };
--- a/src/rpc_fetch.c
+++ b/src/rpc_fetch.c
@@ -16,27 +16,27 @@
 /* Fetches the configuration from peers, on a few threads. */
 
 /* One fetch as far as it got. */
-struct rpc_part {
+struct rpc_transfer {
 	struct rpc_fetched out;
 	CLIENT *client;
 	int fd;
 	int64_t deadline_us;
 	size_t total;
-	bool begun;
+	bool started;
 };
 
 static void *rpc_fetcher(void *arg);
 static struct rpc_job *rpc_next_job(struct rpc *rpc);
-static void rpc_do_job(struct rpc *rpc, const struct rpc_job *job);
-static int rpc_connect(struct rpc_part *part);
-static int rpc_wait_connected(const struct rpc_part *part);
-static int rpc_pieces(struct rpc *rpc, const struct rpc_job *job,
-		      struct rpc_part *part);
-static bool rpc_edits(struct rpc *rpc, const struct rpc_job *job,
-		      struct rpc_part *part);
-static int rpc_add_piece(struct rpc *rpc, struct rpc_part *part,
+static void rpc_run_job(struct rpc *rpc, const struct rpc_job *job);
+static int rpc_connect(struct rpc_transfer *part);
+static int rpc_wait_connected(const struct rpc_transfer *part);
+static int rpc_fetch_text(struct rpc *rpc, const struct rpc_job *job,
+			  struct rpc_transfer *part);
+static bool rpc_fetch_edits(struct rpc *rpc, const struct rpc_job *job,
+			    struct rpc_transfer *part);
+static int rpc_add_piece(struct rpc *rpc, struct rpc_transfer *part,
 			 const mag_x_piece *piece);
-static struct timeval rpc_left(const struct rpc_part *part);
+static struct timeval rpc_time_left(const struct rpc_transfer *part);
 
 /* Starts the threads. */
 int rpc_fetch_start(struct rpc *rpc)
@@ -81,7 +81,7 @@
 	if (!job)
 		return RPC_E_MEMORY;
 	job->at_least = at_least;
-	job->have = have;
+	job->base_revision = have;
 	if (mag_copy_name(job->address, MAG_ADDR_MAX, address)) {
 		free(job);
 		return RPC_E_ADDRESS;
@@ -105,7 +105,7 @@
 	struct rpc_job *job;
 
 	while ((job = rpc_next_job(rpc)) != NULL) {
-		rpc_do_job(rpc, job);
+		rpc_run_job(rpc, job);
 		free(job);
 	}
 	return NULL;
@@ -129,15 +129,15 @@
 }
 
 /* Fetches, and tells how it ended. */
-static void rpc_do_job(struct rpc *rpc, const struct rpc_job *job)
+static void rpc_run_job(struct rpc *rpc, const struct rpc_job *job)
 {
-	struct rpc_part part = { .fd = -1 };
+	struct rpc_transfer part = { .fd = -1 };
 
 	memcpy(part.out.address, job->address, MAG_ADDR_MAX);
 	part.deadline_us = clk_now_us() + rpc->settings.fetch_timeout_us;
 	part.out.err = rpc_connect(&part);
-	if (!part.out.err && !rpc_edits(rpc, job, &part))
-		part.out.err = rpc_pieces(rpc, job, &part);
+	if (!part.out.err && !rpc_fetch_edits(rpc, job, &part))
+		part.out.err = rpc_fetch_text(rpc, job, &part);
 	if (part.client)
 		clnt_destroy(part.client);
 	if (part.fd >= 0)
@@ -157,7 +157,7 @@
  * Connects, at most until the deadline.  The library's own connect has none,
  * and a peer behind a cut link would hold the thread for minutes.
  */
-static int rpc_connect(struct rpc_part *part)
+static int rpc_connect(struct rpc_transfer *part)
 {
 	struct sockaddr_in address;
 	int flags;
@@ -170,15 +170,15 @@
 		return RPC_E_SOCKET;
 	if (connect(part->fd, (struct sockaddr *)&address, sizeof(address)) &&
 	    (errno != EINPROGRESS || rpc_wait_connected(part)))
-		return RPC_E_REACH;
+		return RPC_E_UNREACHABLE;
 	flags = fcntl(part->fd, F_GETFL);
 	fcntl(part->fd, F_SETFL, flags & ~O_NONBLOCK);
 	part->client = clnttcp_create(&address, MAG_X_PROGRAM, MAG_X_VERSION,
 				      &part->fd, 0, 0);
-	return part->client ? RPC_OK : RPC_E_REACH;
+	return part->client ? RPC_OK : RPC_E_UNREACHABLE;
 }
 
-static int rpc_wait_connected(const struct rpc_part *part)
+static int rpc_wait_connected(const struct rpc_transfer *part)
 {
 	struct pollfd fd = { .fd = part->fd, .events = POLLOUT };
 	int64_t left_us = part->deadline_us - clk_now_us();
@@ -187,9 +187,9 @@
 
 	if (left_us <= 0 ||
 	    poll(&fd, 1, (int)(left_us / MAG_US_PER_MS) + 1) != 1)
-		return RPC_E_REACH;
+		return RPC_E_UNREACHABLE;
 	getsockopt(part->fd, SOL_SOCKET, SO_ERROR, &err, &len);
-	return err ? RPC_E_REACH : RPC_OK;
+	return err ? RPC_E_UNREACHABLE : RPC_OK;
 }
 
 /*
@@ -197,38 +197,38 @@
  * False if there are none that are new enough; the whole text is fetched then,
  * also from a peer of a version that knows no edits.
  */
-static bool rpc_edits(struct rpc *rpc, const struct rpc_job *job,
-		      struct rpc_part *part)
+static bool rpc_fetch_edits(struct rpc *rpc, const struct rpc_job *job,
+			    struct rpc_transfer *part)
 {
 	mag_x_fetch ask = { .format = PEER_VERSION,
 			    .cluster = rpc->cluster,
-			    .revision = job->have };
+			    .revision = job->base_revision };
 	mag_x_piece piece = { 0 };
 	bool got;
 
-	if (job->have == 0)
+	if (job->base_revision == 0)
 		return false;
 	got = clnt_call(part->client, MAG_X_EDITS, (xdrproc_t)xdr_mag_x_fetch,
 			(caddr_t)&ask, (xdrproc_t)xdr_mag_x_piece,
-			(caddr_t)&piece, rpc_left(part)) == RPC_SUCCESS &&
+			(caddr_t)&piece, rpc_time_left(part)) == RPC_SUCCESS &&
 	      piece.revision >= job->at_least &&
 	      piece.total == piece.bytes.bytes_len &&
 	      rpc_add_piece(rpc, part, &piece) == RPC_OK;
 	xdr_free((xdrproc_t)xdr_mag_x_piece, (char *)&piece);
 	if (got) {
-		part->out.have = job->have;
+		part->out.base_revision = job->base_revision;
 		return true;
 	}
 	free(part->out.text);
 	part->out.text = NULL;
 	part->out.len = 0;
-	part->begun = false;
+	part->started = false;
 	return false;
 }
 
 /* Asks for piece after piece until the text is whole. */
-static int rpc_pieces(struct rpc *rpc, const struct rpc_job *job,
-		      struct rpc_part *part)
+static int rpc_fetch_text(struct rpc *rpc, const struct rpc_job *job,
+			  struct rpc_transfer *part)
 {
 	mag_x_fetch ask = { .format = PEER_VERSION,
 			    .cluster = rpc->cluster,
@@ -241,12 +241,12 @@
 		ask.offset = (u_int)part->out.len;
 		if (clk_now_us() >= part->deadline_us ||
 		    atomic_load(&rpc->stopping))
-			return RPC_E_REACH;
+			return RPC_E_UNREACHABLE;
 		if (clnt_call(part->client, MAG_X_FETCH,
 			      (xdrproc_t)xdr_mag_x_fetch, (caddr_t)&ask,
 			      (xdrproc_t)xdr_mag_x_piece, (caddr_t)&piece,
-			      rpc_left(part)) != RPC_SUCCESS)
-			return RPC_E_REACH;
+			      rpc_time_left(part)) != RPC_SUCCESS)
+			return RPC_E_UNREACHABLE;
 		err = rpc_add_piece(rpc, part, &piece);
 		xdr_free((xdrproc_t)xdr_mag_x_piece, (char *)&piece);
 		ask.revision = part->out.revision;
@@ -258,15 +258,15 @@
  * Adds one piece.  The text may change while it is fetched: pieces of two
  * revisions would make a set that nobody published, so they don't mix.
  */
-static int rpc_add_piece(struct rpc *rpc, struct rpc_part *part,
+static int rpc_add_piece(struct rpc *rpc, struct rpc_transfer *part,
 			 const mag_x_piece *piece)
 {
 	char *text;
 
 	if (piece->status != 0)
-		return RPC_E_NONE;
-	if (!part->begun) {
-		part->begun = true;
+		return RPC_E_NO_REVISION;
+	if (!part->started) {
+		part->started = true;
 		part->out.revision = piece->revision;
 		part->total = piece->total;
 	}
@@ -275,7 +275,7 @@
 	    piece->total > rpc->settings.fetch_bytes_max ||
 	    piece->bytes.bytes_len > part->total - part->out.len ||
 	    (piece->bytes.bytes_len == 0 && part->total > part->out.len))
-		return RPC_E_ANSWER;
+		return RPC_E_REPLY;
 	text = realloc(part->out.text,
 		       part->out.len + piece->bytes.bytes_len + 1);
 	if (!text)
@@ -288,7 +288,7 @@
 	return RPC_OK;
 }
 
-static struct timeval rpc_left(const struct rpc_part *part)
+static struct timeval rpc_time_left(const struct rpc_transfer *part)
 {
 	int64_t left_us = part->deadline_us - clk_now_us();
 	struct timeval left = { 0, 1 };
--- a/src/rpc_int.h
+++ b/src/rpc_int.h
@@ -18,7 +18,7 @@
 	struct cds_list_head node;
 	char address[MAG_ADDR_MAX];
 	uint64_t at_least;
-	uint64_t have; /* to get edits to; 0: none */
+	uint64_t base_revision; /* to get edits to; 0: none */
 };
 
 struct rpc {
