--- a/src/ord.c
+++ b/src/ord.c
@@ -10,9 +10,9 @@
 #include "clk.h"
 #include "ord.h"
 
-#define ORD_URL_MAX    128
-#define ORD_ANSWER_MAX 4096
-#define ORD_TIMEOUT_MS 2000L
+#define ORD_URL_MAX	 128
+#define ORD_RESPONSE_MAX 4096
+#define ORD_TIMEOUT_MS	 2000L
 
 enum ord_http {
 	ORD_HTTP_OK = 200,
@@ -33,20 +33,20 @@
 	bool stopping;
 };
 
-struct ord_answer {
-	char text[ORD_ANSWER_MAX];
+struct ord_response {
+	char text[ORD_RESPONSE_MAX];
 	size_t len;
 };
 
 static void *ord_main(void *arg);
-static struct ord_node *ord_take(struct ord *ord);
-static void ord_carry(const struct plc_order *order,
-		      struct plc_order_result *result);
+static struct ord_node *ord_next(struct ord *ord);
+static void ord_execute(const struct plc_order *order,
+			struct plc_order_result *result);
 static CURLcode ord_call(const struct plc_order *order, const char *body,
-			 struct ord_answer *answer, long *status);
+			 struct ord_response *answer, long *status);
 static char *ord_body(const struct plc_order *order);
-static void ord_read_state(const struct ord_answer *answer,
-			   struct plc_order_result *result);
+static void ord_parse_state(const struct ord_response *answer,
+			    struct plc_order_result *result);
 static size_t ord_receive(char *bytes, size_t size, size_t count, void *ctx);
 
 /* Starts the thread; NULL if that fails. */
@@ -106,10 +106,10 @@
 	struct ord *ord = arg;
 	struct ord_node *node;
 
-	while ((node = ord_take(ord)) != NULL) {
+	while ((node = ord_next(ord)) != NULL) {
 		struct inst_event event = { .type = INST_EV_ORDER };
 
-		ord_carry(&node->order, &event.order);
+		ord_execute(&node->order, &event.order);
 		loop_post_inst(ord->loop, &event);
 		free(node);
 	}
@@ -117,7 +117,7 @@
 }
 
 /* Waits for the next order; NULL when the thread is to end. */
-static struct ord_node *ord_take(struct ord *ord)
+static struct ord_node *ord_next(struct ord *ord)
 {
 	struct ord_node *node = NULL;
 
@@ -137,10 +137,10 @@
  * on it, and its lease may be another's by now; the stored deadline is looked
  * at last, right before the first byte.
  */
-static void ord_carry(const struct plc_order *order,
-		      struct plc_order_result *result)
+static void ord_execute(const struct plc_order *order,
+			struct plc_order_result *result)
 {
-	struct ord_answer answer = { .len = 0 };
+	struct ord_response answer = { .len = 0 };
 	char *body = ord_body(order);
 	CURLcode code;
 	long status = 0;
@@ -160,12 +160,12 @@
 			result->status = PLC_LOST;
 	}
 	if (result->status == PLC_DONE)
-		ord_read_state(&answer, result);
+		ord_parse_state(&answer, result);
 	free(body);
 }
 
 static CURLcode ord_call(const struct plc_order *order, const char *body,
-			 struct ord_answer *answer, long *status)
+			 struct ord_response *answer, long *status)
 {
 	CURL *easy = curl_easy_init();
 	char url[ORD_URL_MAX];
@@ -207,8 +207,8 @@
 }
 
 /* Reads what the engine says it holds. */
-static void ord_read_state(const struct ord_answer *answer,
-			   struct plc_order_result *result)
+static void ord_parse_state(const struct ord_response *answer,
+			    struct plc_order_result *result)
 {
 	json_t *object = json_loadb(answer->text, answer->len, 0, NULL);
 	const char *model = json_string_value(json_object_get(object, "model"));
@@ -225,7 +225,7 @@
 
 static size_t ord_receive(char *bytes, size_t size, size_t count, void *ctx)
 {
-	struct ord_answer *answer = ctx;
+	struct ord_response *answer = ctx;
 	size_t len = size * count;
 
 	if (answer->len + len > sizeof(answer->text))
