--- a/src/daemon.c
+++ b/src/daemon.c
@@ -321,9 +321,9 @@
 static void on_role(struct daemon *daemon, const struct inst_role *role)
 {
 	uint32_t calls = fleet_call_part(daemon->settings.kv_fleet_calls_per_s,
-					 role->listed);
+					 role->listed_count);
 
-	watch_set_role(daemon->watch, role->bridge, role->listed);
+	watch_set_role(daemon->watch, role->bridge, role->listed_count);
 	if (calls > daemon->settings.kv_calls_per_s)
 		calls = daemon->settings.kv_calls_per_s;
 	if (calls == daemon->kv_calls_per_s)
--- a/src/inst.c
+++ b/src/inst.c
@@ -7,7 +7,7 @@
  * Calls to the platform's service get their ids from the module that makes
  * them; this bit tells the fleet's from the core's.
  */
-#define INST_FLEET_CALL (UINT64_C(1) << 63)
+#define INST_FLEET_CALL_BIT (UINT64_C(1) << 63)
 /* How often what callers ask of the limits is passed on. */
 #define INST_DEMAND_PERIOD_US (100 * MAG_US_PER_MS)
 
@@ -18,13 +18,13 @@
 	uint64_t revision; /* that the fleet knows */
 	int64_t demand_due_us;
 	struct inst_fetch fetch; /* the last news of a newer revision */
-	bool fetch_wanted;
+	bool fetch_pending;
 	struct inst_role role;
-	bool role_said;
+	bool role_reported;
 };
 
-typedef void (*inst_news_fn)(struct inst *inst,
-			     const struct fleet_update *news);
+typedef void (*inst_update_fn)(struct inst *inst,
+			       const struct fleet_update *news);
 
 static void post_core(struct inst *inst, const struct core_event *event,
 		      int64_t now);
@@ -40,7 +40,7 @@
 static bool next_role(struct inst *inst, struct inst_action *action);
 
 /* What each kind of news changes here; a peer's coming and going nothing. */
-static const inst_news_fn inst_news[FLEET_UPDATE_COUNT] = {
+static const inst_update_fn inst_update_handlers[FLEET_UPDATE_COUNT] = {
 	[FLEET_UPDATE_LEAVING] = on_leaving,
 	[FLEET_UPDATE_QUARANTINE] = on_quarantine,
 	[FLEET_UPDATE_SHARE] = on_share,
@@ -130,8 +130,8 @@
 	}
 	if (next_role(inst, action))
 		return true;
-	if (inst->fetch_wanted) {
-		inst->fetch_wanted = false;
+	if (inst->fetch_pending) {
+		inst->fetch_pending = false;
 		action->type = INST_ACT_FETCH;
 		action->fetch = inst->fetch;
 		return true;
@@ -167,8 +167,8 @@
 	struct core_event copy = *event;
 
 	if (event->type == CORE_EV_KV_REPLY &&
-	    (event->kv.id & INST_FLEET_CALL)) {
-		copy.kv.id &= ~INST_FLEET_CALL;
+	    (event->kv.id & INST_FLEET_CALL_BIT)) {
+		copy.kv.id &= ~INST_FLEET_CALL_BIT;
 		fleet_reply(inst->fleet, &copy.kv, now);
 		free(copy.kv.value);
 		return;
@@ -218,8 +218,8 @@
 	struct fleet_update news;
 
 	while (fleet_next_update(inst->fleet, &news)) {
-		if (inst_news[news.type])
-			inst_news[news.type](inst, &news);
+		if (inst_update_handlers[news.type])
+			inst_update_handlers[news.type](inst, &news);
 	}
 }
 
@@ -228,7 +228,7 @@
 	inst->fetch.revision = news->revision.revision;
 	memcpy(inst->fetch.address, news->revision.address,
 	       sizeof(inst->fetch.address));
-	inst->fetch_wanted = true;
+	inst->fetch_pending = true;
 }
 
 static void on_leaving(struct inst *inst, const struct fleet_update *news)
@@ -264,7 +264,7 @@
 	if (!fleet_next_call(inst->fleet, &action->core.kv))
 		return false;
 	action->core.type = CORE_ACT_KV;
-	action->core.kv.id |= INST_FLEET_CALL;
+	action->core.kv.id |= INST_FLEET_CALL_BIT;
 	return true;
 }
 
@@ -273,13 +273,14 @@
 static bool next_role(struct inst *inst, struct inst_action *action)
 {
 	struct inst_role role = { .bridge = fleet_is_bridge(inst->fleet),
-				  .listed = fleet_listed_count(inst->fleet) };
+				  .listed_count =
+					  fleet_listed_count(inst->fleet) };
 
-	if (inst->role_said && role.bridge == inst->role.bridge &&
-	    role.listed == inst->role.listed)
+	if (inst->role_reported && role.bridge == inst->role.bridge &&
+	    role.listed_count == inst->role.listed_count)
 		return false;
 	inst->role = role;
-	inst->role_said = true;
+	inst->role_reported = true;
 	action->type = INST_ACT_ROLE;
 	action->role = role;
 	return true;
--- a/src/inst.h
+++ b/src/inst.h
@@ -55,9 +55,10 @@
 
 /* What this instance does towards the platform's service. */
 struct inst_role {
-	bool bridge;	 /* watches the head for its data centre */
-	uint32_t listed; /* instances that share the fleet's budget; 0: unknown
-			  */
+	bool bridge;	       /* watches the head for its data centre */
+	uint32_t listed_count; /* instances that share the fleet's budget; 0:
+				* unknown
+				*/
 };
 
 struct inst_action {
