--- a/src/fleet.c
+++ b/src/fleet.c
@@ -9,18 +9,18 @@
 #include "spread.h"
 
 #define FLEET_BYTES_PER_S   9000
-#define FLEET_INSTANCES_MAX 12 /* when the settings do not say */
+#define FLEET_INSTANCES_MAX 12 /* when the settings give none */
 #define FLEET_RECORDS_MAX   4096
 #define FLEET_RESEND_US	    (500 * MAG_US_PER_MS)
 #define FLEET_FETCH_INTERVAL_US                                                \
 	(500 * MAG_US_PER_MS)		      /* between two fetches           \
 					       */
-#define FLEET_BRIDGE_POLL_US	 MAG_US_PER_S /* of a bridge */
-#define FLEET_BRIDGE_POLLS_PER_S 6	      /* of all bridges, in a second */
-#define FLEET_POLL_US		 (60 * MAG_US_PER_S) /* of the others */
-#define FLEET_POLLS_PER_S	 5 /* of all others, in a second at most */
+#define FLEET_BRIDGE_POLL_US	 MAG_US_PER_S /* least for a bridge */
+#define FLEET_BRIDGE_POLLS_PER_S 6	      /* of all bridges together */
+#define FLEET_POLL_US		 (60 * MAG_US_PER_S) /* least for the others */
+#define FLEET_POLLS_PER_S	 5 /* of all others together, at most */
 #define FLEET_RETRY_US		 (2 * MAG_US_PER_S)
-#define FLEET_LIST_CALL_ID	 1 /* call ids; those of plc are larger */
+#define FLEET_LIST_CALL_ID	 1 /* ids of plc's calls are larger */
 #define FLEET_PLC_CALL_ID_BASE	 1000
 
 struct fleet {
@@ -51,17 +51,17 @@
 static void fleet_apply_list(struct fleet *fleet, const struct kv_reply *reply,
 			     int64_t now);
 static bool fleet_next_peer_update(struct fleet *fleet,
-				   struct fleet_update *news);
+				   struct fleet_update *update);
 static bool fleet_next_record_update(struct fleet *fleet,
-				     struct fleet_update *news);
+				     struct fleet_update *update);
 static bool fleet_next_share_update(struct fleet *fleet,
-				    struct fleet_update *news);
+				    struct fleet_update *update);
 static bool fleet_next_revision_update(struct fleet *fleet,
-				       struct fleet_update *news);
+				       struct fleet_update *update);
 static void fleet_apply_role(struct fleet *fleet);
 
 /*
- * Makes the fleet as one instance sees it.  Returns NULL when memory is
+ * Creates one instance's view of the fleet.  Returns NULL when memory is
  * short or the data centre's name is too long.
  */
 struct fleet *fleet_new(const struct fleet_settings *settings, int64_t now)
@@ -95,8 +95,9 @@
 }
 
 /*
- * Takes the set in force; it must stay until the next call.  Returns
- * FLEET_E_MEMORY and keeps the old limits when memory is short.
+ * Applies the configuration set in force, which must remain valid until the
+ * next call.  When memory is short, returns FLEET_E_MEMORY and retains the old
+ * limits.
  */
 int fleet_config(struct fleet *fleet, const struct cfg_set *set, int64_t now)
 {
@@ -110,7 +111,10 @@
 	return FLEET_OK;
 }
 
-/* Adds an instance that the settings name, for a start without the list. */
+/*
+ * Adds an instance named in the settings, so that this one can start without
+ * the platform's list.
+ */
 int fleet_seed(struct fleet *fleet, const struct peer_list_entry *listed,
 	       int64_t now)
 {
@@ -119,7 +123,10 @@
 	return link >= 0 || link == PEER_E_SELF ? FLEET_OK : FLEET_E_TOO_LONG;
 }
 
-/* Notes that this instance's own list shows an endpoint as leaving, or not. */
+/*
+ * Records whether this instance's own list of endpoints shows an endpoint as
+ * leaving.
+ */
 int fleet_note_leaving(struct fleet *fleet, const char *endpoint, bool leaving,
 		       int64_t now)
 {
@@ -131,28 +138,34 @@
 	return FLEET_OK;
 }
 
-/* Notes that this instance quarantined a fingerprint until until_us. */
+/* Records that this instance quarantined a fingerprint until until_us. */
 int fleet_note_quarantine(struct fleet *fleet,
-			  const uint8_t print[MAG_DIGEST_BYTES],
+			  const uint8_t fingerprint[MAG_DIGEST_BYTES],
 			  uint32_t endpoints_lost, int64_t until_us,
 			  int64_t now)
 {
 	fleet->now = now;
-	if (spread_note_quarantine(fleet->spread, print, endpoints_lost,
+	if (spread_note_quarantine(fleet->spread, fingerprint, endpoints_lost,
 				   until_us, now))
 		return FLEET_E_MEMORY;
 	fleet_send_records_early(fleet);
 	return FLEET_OK;
 }
 
-/* Notes the recent demand here under a limit; lim_note_demand has the unit. */
+/*
+ * Sets this instance's recent demand under a limit; lim_note_demand gives the
+ * unit.
+ */
 int fleet_note_demand(struct fleet *fleet, int limit, double demand)
 {
 	return lim_note_demand(fleet->lim, limit, demand) ? FLEET_E_UNKNOWN
 							  : FLEET_OK;
 }
 
-/* Notes the revision that is in force here; a lower one changes nothing. */
+/*
+ * Sets the revision in force on this instance; a revision that is not higher
+ * is ignored.
+ */
 void fleet_note_revision(struct fleet *fleet, uint64_t revision, int64_t now)
 {
 	if (revision <= fleet->revision)
@@ -161,14 +174,17 @@
 	peer_set_revision(fleet->peer, revision, now);
 }
 
-/* Notes that this instance stops: peers take over its part at once. */
+/*
+ * Announces that this instance stops, so that the peers take over its part of
+ * the limits at once.
+ */
 void fleet_note_stopping(struct fleet *fleet, int64_t now)
 {
 	peer_set_stopping(fleet->peer, now);
 	plc_stop(fleet->plc, now);
 }
 
-/* Runs what is due. */
+/* Runs all timed work that is due. */
 void fleet_tick(struct fleet *fleet, int64_t now)
 {
 	fleet->now = now;
@@ -181,7 +197,7 @@
 	plc_tick(fleet->plc, now);
 }
 
-/* When fleet_tick has something to do next. */
+/* Returns when fleet_tick is due next. */
 int64_t fleet_next_deadline(const struct fleet *fleet)
 {
 	int64_t next = peer_next_deadline(fleet->peer);
@@ -198,8 +214,8 @@
 }
 
 /*
- * Takes a message of a peer.  Returns FLEET_E_DROPPED for one that was
- * counted and dropped.
+ * Processes a message from a peer.  Returns FLEET_E_DROPPED if the message
+ * was counted and dropped.
  */
 int fleet_receive(struct fleet *fleet, const struct peer_msg *msg, int64_t now)
 {
@@ -217,7 +233,7 @@
 	return FLEET_OK;
 }
 
-/* Gives the next message to send, and where to. */
+/* Returns the next message to send and its destination; false if none. */
 bool fleet_next_send(struct fleet *fleet, char address[MAG_ADDR_MAX],
 		     struct peer_msg *msg)
 {
@@ -235,7 +251,7 @@
 	return true;
 }
 
-/* Gives the next call to the platform's service. */
+/* Returns the next call to the platform's service; false if none. */
 bool fleet_next_call(struct fleet *fleet, struct kv_call *call)
 {
 	if (fleet->list_pending) {
@@ -253,7 +269,7 @@
 	return true;
 }
 
-/* Takes the end of a call; the value stays the caller's. */
+/* Processes the reply to a call; the caller retains the value. */
 int fleet_reply(struct fleet *fleet, const struct kv_reply *reply, int64_t now)
 {
 	struct kv_reply inner = *reply;
@@ -269,22 +285,22 @@
 	return plc_reply(fleet->plc, &inner, now) ? FLEET_E_UNKNOWN : FLEET_OK;
 }
 
-/* Gives what the owner has to act on next. */
-bool fleet_next_update(struct fleet *fleet, struct fleet_update *news)
+/* Returns the next update that the owner has to apply; false if none. */
+bool fleet_next_update(struct fleet *fleet, struct fleet_update *update)
 {
-	return fleet_next_peer_update(fleet, news) ||
-	       fleet_next_record_update(fleet, news) ||
-	       fleet_next_revision_update(fleet, news) ||
-	       fleet_next_share_update(fleet, news);
+	return fleet_next_peer_update(fleet, update) ||
+	       fleet_next_record_update(fleet, update) ||
+	       fleet_next_revision_update(fleet, update) ||
+	       fleet_next_share_update(fleet, update);
 }
 
-/* Gives the next order to an engine. */
+/* Returns the next order to an engine; false if none. */
 bool fleet_next_order(struct fleet *fleet, struct plc_order *order)
 {
 	return plc_next_order(fleet->plc, order);
 }
 
-/* Takes the end of an order. */
+/* Processes the result of an order. */
 int fleet_order_done(struct fleet *fleet, const struct plc_order_result *result,
 		     int64_t now)
 {
@@ -292,28 +308,34 @@
 						       : FLEET_OK;
 }
 
-/* True if this instance watches the platform for its data centre. */
+/*
+ * Returns whether this instance watches the platform on behalf of its data
+ * centre.
+ */
 bool fleet_is_bridge(const struct fleet *fleet)
 {
 	return peer_rail(fleet->peer) >= 0;
 }
 
-/* How many instances pool limits with this one, itself included. */
+/*
+ * Returns the number of instances that pool limits with this one, itself
+ * included.
+ */
 uint32_t fleet_group_size(const struct fleet *fleet)
 {
 	return lim_group(fleet->lim);
 }
 
-/* How many instances the platform's list holds. */
+/* Returns the number of instances in the platform's list. */
 uint32_t fleet_listed_count(const struct fleet *fleet)
 {
 	return lim_entitled(fleet->lim);
 }
 
 /*
- * One instance's part of the calls that all may make to the platform's
- * service, at least one.  Equal parts need no message between instances, so
- * they hold across any cut.
+ * Returns one instance's part of the calls that all instances together may
+ * make to the platform's service, at least one.  Equal parts need no messages
+ * between instances, so they remain valid across any network partition.
  */
 uint32_t fleet_call_part(uint32_t fleet_calls_per_s, uint32_t listed)
 {
@@ -323,8 +345,8 @@
 }
 
 /*
- * Gives the addresses of peers that are up, those of the own data centre
- * first, to fetch the configuration from.
+ * Returns the addresses of peers that are up, as sources for the
+ * configuration.  Peers in this instance's data centre come first.
  */
 size_t fleet_peer_addresses(const struct fleet *fleet,
 			    char (*addresses)[MAG_ADDR_MAX], size_t max)
@@ -345,26 +367,26 @@
 	return count;
 }
 
-/* Makes the modules; negative when one can't be made. */
+/* Creates the modules; returns FLEET_E_MEMORY if one can't be created. */
 static int fleet_create_modules(struct fleet *fleet, int64_t now)
 {
-	const struct fleet_settings *from = &fleet->settings;
-	struct peer_settings peer = { .incarnation = from->incarnation,
-				      .bytes_per_s = from->bytes_per_s };
-	struct plc_settings plc = { .incarnation = from->incarnation,
-				    .enabled = from->may_place };
-
-	memcpy(peer.cluster, from->cluster, MAG_NAME_MAX);
-	memcpy(peer.instance, from->instance, MAG_NAME_MAX);
-	memcpy(peer.data_centre, from->data_centre, MAG_NAME_MAX);
-	memcpy(peer.address, from->address, MAG_ADDR_MAX);
-	memcpy(plc.instance, from->instance, MAG_NAME_MAX);
-	memcpy(plc.data_centre, from->data_centre, MAG_NAME_MAX);
+	const struct fleet_settings *settings = &fleet->settings;
+	struct peer_settings peer = { .incarnation = settings->incarnation,
+				      .bytes_per_s = settings->bytes_per_s };
+	struct plc_settings plc = { .incarnation = settings->incarnation,
+				    .enabled = settings->may_place };
+
+	memcpy(peer.cluster, settings->cluster, MAG_NAME_MAX);
+	memcpy(peer.instance, settings->instance, MAG_NAME_MAX);
+	memcpy(peer.data_centre, settings->data_centre, MAG_NAME_MAX);
+	memcpy(peer.address, settings->address, MAG_ADDR_MAX);
+	memcpy(plc.instance, settings->instance, MAG_NAME_MAX);
+	memcpy(plc.data_centre, settings->data_centre, MAG_NAME_MAX);
 	fleet->peer = peer_new(&peer, now);
 	fleet->spread = spread_new(FLEET_RECORDS_MAX);
-	fleet->lim = lim_new(from->instances_max);
+	fleet->lim = lim_new(settings->instances_max);
 	fleet->plc = plc_new(&plc, now);
-	pace_init(&fleet->pace, from->seed ^ peer_hash(from->instance),
+	pace_init(&fleet->pace, settings->seed ^ peer_hash(settings->instance),
 		  FLEET_RETRY_US, FLEET_POLL_US);
 	fleet->now = now;
 	fleet->rail = -1;
@@ -374,7 +396,7 @@
 	return FLEET_OK;
 }
 
-/* Sends early to those that lack a record. */
+/* Schedules an early message to each peer that lacks a record. */
 static void fleet_send_records_early(struct fleet *fleet)
 {
 	size_t i;
@@ -386,24 +408,25 @@
 	}
 }
 
-/* Notes that a peer has a newer configuration than this instance. */
+/* Schedules a fetch if a peer has a newer configuration than this instance. */
 static void fleet_check_revision(struct fleet *fleet, int link, int64_t now)
 {
-	uint64_t theirs = peer_link_revision(fleet->peer, link);
+	uint64_t revision = peer_link_revision(fleet->peer, link);
 
-	if (theirs <= fleet->revision)
+	if (revision <= fleet->revision)
 		return;
-	if (theirs <= fleet->fetch_revision && now < fleet->refetch_after_us)
+	if (revision <= fleet->fetch_revision && now < fleet->refetch_after_us)
 		return;
-	fleet->fetch_revision = theirs;
+	fleet->fetch_revision = revision;
 	fleet->refetch_after_us = now + FLEET_FETCH_INTERVAL_US;
 	fleet->fetch_link = link;
 	fleet->fetch_pending = true;
 }
 
 /*
- * Asks for the platform's list: the bridges often, as they tell the others
- * how many there are; the others seldom, as the list only seeds them.
+ * Requests the platform's list when it is due.  Bridges poll it often, as they
+ * tell the other instances how many exist; the others poll it rarely, as the
+ * list only seeds their membership.
  */
 static void fleet_poll_list(struct fleet *fleet, int64_t now)
 {
@@ -414,9 +437,9 @@
 }
 
 /*
- * How long until the next look at the list.  What one bridge sees there all
- * instances know soon after, so the bridges share a fixed rate of calls, and
- * the fleet's calls don't grow with it.
+ * Returns the time until the next poll of the list.  A change that one bridge
+ * reads reaches all instances soon after, so the bridges divide a fixed call
+ * rate among them, and the call rate does not grow with the fleet.
  */
 static int64_t fleet_poll_interval_us(const struct fleet *fleet)
 {
@@ -433,7 +456,7 @@
 	return period > FLEET_POLL_US ? period : FLEET_POLL_US;
 }
 
-/* Takes the platform's list, or waits longer after a failure. */
+/* Applies the platform's list; after a failure the next poll backs off. */
 static void fleet_apply_list(struct fleet *fleet, const struct kv_reply *reply,
 			     int64_t now)
 {
@@ -457,83 +480,83 @@
 }
 
 static bool fleet_next_peer_update(struct fleet *fleet,
-				   struct fleet_update *news)
+				   struct fleet_update *update)
 {
 	struct peer_change change;
 
 	if (!peer_next_change(fleet->peer, &change))
 		return false;
-	news->type = FLEET_UPDATE_PEER;
-	news->peer.up = change.up;
-	memcpy(news->peer.instance, peer_link_name(fleet->peer, change.link),
+	update->type = FLEET_UPDATE_PEER;
+	update->peer.up = change.up;
+	memcpy(update->peer.instance, peer_link_name(fleet->peer, change.link),
 	       MAG_NAME_MAX);
-	memcpy(news->peer.address, peer_link_address(fleet->peer, change.link),
-	       MAG_ADDR_MAX);
+	memcpy(update->peer.address,
+	       peer_link_address(fleet->peer, change.link), MAG_ADDR_MAX);
 	if (change.up)
-		log_event(LOG_PEER_UP, "peer=%s", news->peer.instance);
+		log_event(LOG_PEER_UP, "peer=%s", update->peer.instance);
 	else
-		log_event(LOG_PEER_DOWN, "peer=%s", news->peer.instance);
+		log_event(LOG_PEER_DOWN, "peer=%s", update->peer.instance);
 	return true;
 }
 
 static bool fleet_next_record_update(struct fleet *fleet,
-				     struct fleet_update *news)
+				     struct fleet_update *update)
 {
-	struct spread_news record;
+	struct spread_news change;
 
-	if (!spread_next_news(fleet->spread, &record))
+	if (!spread_next_news(fleet->spread, &change))
 		return false;
-	if (record.kind == PEER_REC_LEAVING) {
-		news->type = FLEET_UPDATE_LEAVING;
-		news->leaving.leaving = record.leaving;
-		memcpy(news->leaving.endpoint, record.endpoint, MAG_NAME_MAX);
-		plc_note_leaving(fleet->plc, record.endpoint, record.leaving);
+	if (change.kind == PEER_REC_LEAVING) {
+		update->type = FLEET_UPDATE_LEAVING;
+		update->leaving.leaving = change.leaving;
+		memcpy(update->leaving.endpoint, change.endpoint, MAG_NAME_MAX);
+		plc_note_leaving(fleet->plc, change.endpoint, change.leaving);
 		log_event(LOG_PEER_LEAVING, "endpoint=%s leaving=%d",
-			  record.endpoint, record.leaving);
+			  change.endpoint, change.leaving);
 		return true;
 	}
-	news->type = FLEET_UPDATE_QUARANTINE;
-	news->quarantine.endpoints_lost = record.lost;
-	news->quarantine.until_us = record.until_us;
-	memcpy(news->quarantine.print, record.print, MAG_DIGEST_BYTES);
+	update->type = FLEET_UPDATE_QUARANTINE;
+	update->quarantine.endpoints_lost = change.lost;
+	update->quarantine.until_us = change.until_us;
+	memcpy(update->quarantine.fingerprint, change.print, MAG_DIGEST_BYTES);
 	return true;
 }
 
 static bool fleet_next_share_update(struct fleet *fleet,
-				    struct fleet_update *news)
+				    struct fleet_update *update)
 {
 	struct lim_share share;
 
 	if (!lim_next_share(fleet->lim, &share))
 		return false;
-	news->type = FLEET_UPDATE_SHARE;
-	news->share.limit = share.limit;
-	news->share.requests_per_s = share.requests_per_s;
-	news->share.tokens_per_s = share.tokens_per_s;
-	news->share.concurrent = share.concurrent;
+	update->type = FLEET_UPDATE_SHARE;
+	update->share.limit = share.limit;
+	update->share.requests_per_s = share.requests_per_s;
+	update->share.tokens_per_s = share.tokens_per_s;
+	update->share.concurrent = share.concurrent;
 	return true;
 }
 
 static bool fleet_next_revision_update(struct fleet *fleet,
-				       struct fleet_update *news)
+				       struct fleet_update *update)
 {
 	if (!fleet->fetch_pending)
 		return false;
 	fleet->fetch_pending = false;
-	news->type = FLEET_UPDATE_REVISION;
-	news->revision.revision = fleet->fetch_revision;
-	memcpy(news->revision.address,
+	update->type = FLEET_UPDATE_REVISION;
+	update->revision.revision = fleet->fetch_revision;
+	memcpy(update->revision.address,
 	       peer_link_address(fleet->peer, fleet->fetch_link), MAG_ADDR_MAX);
 	return true;
 }
 
-/* Logs the role that this instance takes between data centres. */
+/* Applies and logs a change of this instance's bridge role. */
 static void fleet_apply_role(struct fleet *fleet)
 {
 	fleet->rail = peer_rail(fleet->peer);
 	log_event(LOG_PEER_ROLE, "rail=%d group=%u", fleet->rail,
 		  peer_local_group_size(fleet->peer));
-	/* A new bridge needs a fresh list for its data centre. */
+	/* A new bridge needs a recent list for its data centre. */
 	if (fleet->rail >= 0 &&
 	    fleet->next_list_us > fleet->now + fleet_poll_interval_us(fleet))
 		fleet->next_list_us =
--- a/src/fleet_list.c
+++ b/src/fleet_list.c
@@ -6,12 +6,12 @@
 
 static int fleet_list_parse_all(struct fleet_list *list,
 				const json_t *instances);
-static int fleet_list_parse_line(struct fleet_list *list, const json_t *line);
+static int fleet_list_parse_line(struct fleet_list *list, const json_t *item);
 
 /*
- * Reads the list.  A line that lacks a field, or has one that is too long,
- * is left out; only a text that is no list at all fails, so that one bad
- * line can't hide all others.
+ * Parses the list.  An entry that lacks a field or has one that is too long is
+ * skipped.  Only a text that is not a list fails, so that one bad entry cannot
+ * hide all others.
  */
 int fleet_list_parse(const char *text, size_t len, struct fleet_list *list)
 {
@@ -29,7 +29,7 @@
 	return err;
 }
 
-/* Frees what fleet_list_parse made. */
+/* Frees the tables that fleet_list_parse allocated. */
 void fleet_list_free(struct fleet_list *list)
 {
 	free(list->entries);
@@ -54,15 +54,16 @@
 	return FLEET_LIST_OK;
 }
 
-/* Takes one line; one that is at fault is left out. */
-static int fleet_list_parse_line(struct fleet_list *list, const json_t *line)
+/* Parses one entry; a malformed one is not added. */
+static int fleet_list_parse_line(struct fleet_list *list, const json_t *item)
 {
-	const char *name = json_string_value(json_object_get(line, "name"));
-	const char *state = json_string_value(json_object_get(line, "state"));
-	const char *kind = json_string_value(json_object_get(line, "kind"));
+	const char *name = json_string_value(json_object_get(item, "name"));
+	const char *state = json_string_value(json_object_get(item, "state"));
+	const char *kind = json_string_value(json_object_get(item, "kind"));
 	const char *dc =
-		json_string_value(json_object_get(line, "data_centre"));
-	const char *at = json_string_value(json_object_get(line, "address"));
+		json_string_value(json_object_get(item, "data_centre"));
+	const char *address =
+		json_string_value(json_object_get(item, "address"));
 	struct peer_list_entry *entry = &list->entries[list->entry_count];
 	bool leaving = state && strcmp(state, "leaving") == 0;
 
@@ -78,10 +79,10 @@
 		list->endpoint_count++;
 		return FLEET_LIST_OK;
 	}
-	if (leaving || !dc || !at ||
+	if (leaving || !dc || !address ||
 	    mag_copy_name(entry->name, MAG_NAME_MAX, name) ||
 	    mag_copy_name(entry->data_centre, MAG_NAME_MAX, dc) ||
-	    mag_copy_name(entry->address, MAG_ADDR_MAX, at))
+	    mag_copy_name(entry->address, MAG_ADDR_MAX, address))
 		return FLEET_LIST_E_FORMAT;
 	list->entry_count++;
 	return FLEET_LIST_OK;
--- a/src/fleet_list.h
+++ b/src/fleet_list.h
@@ -1,7 +1,7 @@
 #ifndef FLEET_LIST_H
 #define FLEET_LIST_H
 
-/* The platform's list of instances, which lags, as JSON. */
+/* Parser of the platform's list of instances (JSON), which may be stale. */
 
 #include "fleet.h"
 
@@ -11,7 +11,7 @@
 };
 
 struct fleet_list {
-	struct peer_list_entry *entries; /* live entry instances */
+	struct peer_list_entry *entries; /* live instances */
 	size_t entry_count;
 	struct fleet_list_endpoint *endpoints;
 	size_t endpoint_count;
--- a/src/inst.c
+++ b/src/inst.c
@@ -243,7 +243,7 @@
 
 static void on_quarantine(struct inst *inst, const struct fleet_update *news)
 {
-	core_learn_quarantine(inst->core, news->quarantine.print,
+	core_learn_quarantine(inst->core, news->quarantine.fingerprint,
 			      news->quarantine.endpoints_lost,
 			      news->quarantine.until_us);
 }
--- a/src/peer_send.c
+++ b/src/peer_send.c
@@ -81,7 +81,7 @@
 	struct peer_node *node = &peer->nodes[link];
 	bool local = node->dc == 0;
 
-	memset(msg, 0, offsetof(struct peer_msg, news));
+	memset(msg, 0, offsetof(struct peer_msg, records));
 	msg->record_count = 0;
 	msg->demand_count = 0;
 	msg->version = PEER_VERSION;
