--- a/src/peer.c
+++ b/src/peer.c
@@ -5,9 +5,10 @@
 #include "cnt.h"
 #include "peer_table.h"
 
-#define PEER_SEQ_WINDOW 1024 /* a lower seq within this is a late message */
+/* A seq that is lower than the last by less than this is a late message. */
+#define PEER_SEQ_WINDOW 1024
 
-static uint32_t peer_held(struct peer *peer, int64_t now);
+static uint32_t peer_count_retained(struct peer *peer, int64_t now);
 static int peer_grow(struct peer *peer);
 static int peer_alloc_node(struct peer *peer);
 static int peer_insert(struct peer *peer, uint64_t id, const char *name,
@@ -22,7 +23,7 @@
 static int peer_count_drop(int err);
 
 /*
- * Makes the membership of one instance.  Returns NULL when memory is short.
+ * Creates the membership of one instance.  Returns NULL when memory is short.
  */
 struct peer *peer_new(const struct peer_settings *settings, int64_t now)
 {
@@ -34,7 +35,7 @@
 	peer->self = peer_hash(settings->instance);
 	peer->cluster = (uint32_t)peer_hash(settings->cluster);
 	peer->aggregator = PEER_NO_NODE;
-	peer->local_group = 1;
+	peer->local_group_size = 1;
 	peer->local_period_us = PEER_PERIOD_MIN_US;
 	peer->bridge_period_us = PEER_PERIOD_MIN_US;
 	peer->rail_period_us = PEER_PERIOD_MIN_US;
@@ -58,7 +59,7 @@
 	free(peer);
 }
 
-/* Returns a 64-bit hash that is the same on every instance. */
+/* Returns a 64-bit hash that is equal on every instance; never 0. */
 uint64_t peer_hash(const char *text)
 {
 	static const uint8_t key[crypto_shorthash_KEYBYTES] = "magnolia";
@@ -70,11 +71,12 @@
 }
 
 /*
- * Takes the platform's list as a whole.  It lags, so an instance that is
- * heard stays up though the list lacks it, and one that the list holds is
- * only tried.  Returns PEER_E_MEMORY or PEER_E_FULL if some had no room.
+ * Applies the platform's complete list.  The list may be stale, so an instance
+ * whose heartbeats arrive stays up even if the list lacks it, and a listed
+ * instance only gets messages until it responds.  Returns PEER_E_MEMORY or
+ * PEER_E_FULL if some entries had no room.
  */
-int peer_apply_list(struct peer *peer, const struct peer_list_entry *listed,
+int peer_apply_list(struct peer *peer, const struct peer_list_entry *entries,
 		    size_t count, int64_t now)
 {
 	size_t i;
@@ -83,26 +85,26 @@
 	for (i = 0; i < peer->node_count; i++)
 		peer->nodes[i].listed = false;
 	for (i = 0; i < count; i++) {
-		int link = peer_add(peer, &listed[i], now);
+		int link = peer_add(peer, &entries[i], now);
 
 		if (link >= 0)
 			peer->nodes[link].listed = true;
 		else if (link != PEER_E_SELF)
 			err = link;
 	}
-	peer->listed_count = (uint32_t)count + peer_held(peer, now);
+	peer->listed_count = (uint32_t)count + peer_count_retained(peer, now);
 	peer->next_tick_us = now;
 	return err;
 }
 
 /*
- * Counts the instances of data centres that the list lost as a whole.  Such a
- * data centre is rather cut off from the platform than dead, and goes on with
- * its part of each limit; were its part divided among the others at once, the
- * account would get more than its limit.  One instance that goes alone is
- * taken for dead, as it most often is.
+ * Returns the number of instances of data centres that disappeared from the
+ * list completely.  Such a data centre is more likely cut off from the
+ * platform than dead, and continues to use its part of each limit.  Dividing
+ * its part among the others at once would give the account more than its
+ * limit.  A single instance that disappears counts as dead, as it usually is.
  */
-static uint32_t peer_held(struct peer *peer, int64_t now)
+static uint32_t peer_count_retained(struct peer *peer, int64_t now)
 {
 	uint32_t count = 0;
 	size_t i;
@@ -114,47 +116,48 @@
 		peer->dcs[peer->nodes[i].dc].listed +=
 			peer->nodes[i].used && peer->nodes[i].listed;
 	for (dc = 1; dc < peer->dc_count; dc++) {
-		struct peer_dc *at = &peer->dcs[dc];
-
-		if (at->listed > 0) {
-			at->retained = at->listed;
-			at->retained_until_us = now + PEER_RETAIN_US;
-		} else if (at->retained >= PEER_RETAIN_MIN &&
-			   at->retained_until_us > now) {
-			count += at->retained;
+		struct peer_dc *remote = &peer->dcs[dc];
+
+		if (remote->listed > 0) {
+			remote->retained = remote->listed;
+			remote->retained_until_us = now + PEER_RETAIN_US;
+		} else if (remote->retained >= PEER_RETAIN_MIN &&
+			   remote->retained_until_us > now) {
+			count += remote->retained;
 		}
 	}
 	return count;
 }
 
 /*
- * Adds one instance, or takes its new address.  Returns its link, or a
- * negative enum peer_err.
+ * Adds one instance or updates its address.  Returns its link, or a negative
+ * enum peer_err.
  */
-int peer_add(struct peer *peer, const struct peer_list_entry *listed,
+int peer_add(struct peer *peer, const struct peer_list_entry *entry,
 	     int64_t now)
 {
-	uint64_t id = peer_hash(listed->name);
+	uint64_t id = peer_hash(entry->name);
 	int link = peer_find(peer, id);
 
 	if (id == peer->self)
 		return PEER_E_SELF;
 	if (link < 0)
-		return peer_insert(peer, id, listed->name, listed->data_centre,
-				   listed->address, now);
+		return peer_insert(peer, id, entry->name, entry->data_centre,
+				   entry->address, now);
 	/*
-	 * A replaced instance may keep its name and change its address; while
-	 * it is heard its own introduction is newer than the list.
+	 * A replaced instance may have the same name and another address.
+	 * While its heartbeats arrive, the address in its introduction is newer
+	 * than the one in the list.
 	 */
-	if (!peer_is_heard_from(&peer->nodes[link], now))
+	if (!peer_is_alive(&peer->nodes[link], now))
 		mag_copy_name(peer->nodes[link].address, MAG_ADDR_MAX,
-			      listed->address);
+			      entry->address);
 	return link;
 }
 
 /*
- * Takes a message.  Sets link to its sender's.  Returns 0, or the negative
- * enum peer_err under which it was counted and dropped.
+ * Processes a message and sets link to that of its sender.  Returns 0, or the
+ * negative enum peer_err under which the message was counted and dropped.
  */
 int peer_receive(struct peer *peer, const struct peer_msg *msg, int64_t now,
 		 int *link)
@@ -174,7 +177,10 @@
 	return PEER_OK;
 }
 
-/* Finds the link of an instance by the hash of its name; -1 if unknown. */
+/*
+ * Returns the link of an instance by the hash of its name; PEER_NO_NODE if
+ * unknown.
+ */
 int peer_find(const struct peer *peer, uint64_t id)
 {
 	size_t i;
@@ -186,7 +192,10 @@
 	return PEER_NO_NODE;
 }
 
-/* Finds or adds a data centre; PEER_E_FULL when the table is. */
+/*
+ * Returns the index of a data centre, which is added if unknown; PEER_E_FULL if
+ * the table is full.
+ */
 int peer_find_dc(struct peer *peer, const char *name)
 {
 	struct peer_dc *dc;
@@ -210,13 +219,13 @@
 	return peer->dc_count++;
 }
 
-/* True while a node's last message still counts. */
-bool peer_is_heard_from(const struct peer_node *node, int64_t now)
+/* Returns whether a node's last heartbeat is recent enough. */
+bool peer_is_alive(const struct peer_node *node, int64_t now)
 {
-	return node->heard_until_us > now;
+	return node->alive_until_us > now;
 }
 
-/* Doubles the tables that are indexed by link. */
+/* Doubles the capacity of the tables that are indexed by link. */
 static int peer_grow(struct peer *peer)
 {
 	size_t cap = peer->node_cap ? 2 * peer->node_cap : 16;
@@ -242,7 +251,7 @@
 	return PEER_OK;
 }
 
-/* Returns a free entry of the table, or a negative enum peer_err. */
+/* Returns the index of a free node, or a negative enum peer_err. */
 static int peer_alloc_node(struct peer *peer)
 {
 	size_t i;
@@ -261,7 +270,7 @@
 	return (int)peer->node_count++;
 }
 
-/* Adds an instance that nothing is known of yet. */
+/* Adds an unknown instance; returns its link or a negative enum peer_err. */
 static int peer_insert(struct peer *peer, uint64_t id, const char *name,
 		       const char *dc, const char *address, int64_t now)
 {
@@ -291,7 +300,10 @@
 	return link;
 }
 
-/* Refuses what this version and cluster can't have sent. */
+/*
+ * Validates the header of a message: protocol version, cluster, sender and the
+ * bounds of its fields.
+ */
 static int peer_validate(const struct peer *peer, const struct peer_msg *msg)
 {
 	if (msg->version != PEER_VERSION)
@@ -310,9 +322,10 @@
 }
 
 /*
- * An instance that the settings name is known by its address only, until it
- * introduces itself.  Two links to it would number their messages apart, and
- * it would drop those of one of them as old.
+ * Removes the link that was added for an address in the settings when the
+ * instance at that address introduces itself.  Each link numbers its messages
+ * on its own, so with two links to one instance, the instance would drop the
+ * messages of one of them as old.
  */
 static void peer_drop_seed(struct peer *peer, const struct peer_msg *msg)
 {
@@ -322,7 +335,9 @@
 		peer->nodes[link].used = false;
 }
 
-/* Finds the sender's link; a newcomer that introduces itself gets one. */
+/*
+ * Returns the sender's link; an unknown sender that introduces itself is added.
+ */
 static int peer_find_sender(struct peer *peer, const struct peer_msg *msg,
 			    int64_t now)
 {
@@ -333,7 +348,7 @@
 		peer_drop_seed(peer, msg);
 
 	if (!(msg->flags & PEER_F_INTRO))
-		return link < 0 ? PEER_E_UNKNOWN_SENDER : link;
+		return link < 0 ? PEER_E_UNKNOWN : link;
 	if (link < 0)
 		return peer_insert(peer, msg->sender, msg->name,
 				   msg->data_centre, msg->address, now);
@@ -345,9 +360,9 @@
 }
 
 /*
- * Orders a message among those of its sender.  Datagrams may come late and
- * twice: one of an incarnation that was already replaced, or older than the
- * last, would turn back what was learned since.
+ * Checks a message against the sender's incarnation and sequence number.
+ * Datagrams may arrive late or twice.  One of an incarnation that was already
+ * replaced, or one older than the last, would revert newer information.
  */
 static int peer_check_seq(struct peer_node *node, const struct peer_msg *msg)
 {
@@ -370,33 +385,33 @@
 	return PEER_OK;
 }
 
-/* Keeps what the header of a message says about its sender. */
+/* Stores the sender's state from the header of a message. */
 static void peer_apply_header(struct peer *peer, int link,
 			      const struct peer_msg *msg, int64_t now)
 {
 	struct peer_node *node = &peer->nodes[link];
 	int64_t until = now + PEER_SLACK_US +
 			PEER_MISSED_MAX * (int64_t)msg->next_ms * MAG_US_PER_MS;
-	bool was_heard = peer_is_heard_from(node, now);
+	bool was_alive = peer_is_alive(node, now);
 
-	node->heard_until_us = until;
+	node->alive_until_us = until;
 	if (peer_acks_us(peer, msg))
 		node->acked_until_us = until;
 	node->flags = msg->flags;
-	node->group = msg->group_size;
+	node->group_size = msg->group_size;
 	node->group_hash = msg->group_hash;
 	node->reach_hash = msg->reach_hash;
 	node->listed_count = msg->listed_count;
 	node->revision = msg->revision;
 	if (msg->flags & PEER_F_STOPPING)
-		node->heard_until_us = now;
+		node->alive_until_us = now;
 	peer_note_bridge(peer, link, now);
-	if (!was_heard || node->acked_until_us <= now)
+	if (!was_alive || node->acked_until_us <= now)
 		peer_send_early(peer, link, now);
 	peer->next_tick_us = now;
 }
 
-/* Counts a message that is dropped, by its reason. */
+/* Counts a dropped message by its reason; returns err. */
 static int peer_count_drop(int err)
 {
 	static const enum cnt_id counters[] = {
@@ -404,7 +419,7 @@
 		[-PEER_E_VERSION] = CNT_PEER_DROP_VERSION,
 		[-PEER_E_FORMAT] = CNT_PEER_DROP_FORM,
 		[-PEER_E_STALE] = CNT_PEER_DROP_OLD,
-		[-PEER_E_UNKNOWN_SENDER] = CNT_PEER_DROP_STRANGER,
+		[-PEER_E_UNKNOWN] = CNT_PEER_DROP_STRANGER,
 		[-PEER_E_FULL] = CNT_PEER_DROP_FULL,
 		[-PEER_E_SELF] = CNT_PEER_DROP_FORM,
 		[-PEER_E_MEMORY] = CNT_PEER_DROP_FULL,
--- a/src/peer.h
+++ b/src/peer.h
@@ -2,10 +2,11 @@
 #define PEER_H
 
 /*
- * Membership between the instances.  The platform's list, which lags, only
- * seeds it; heartbeats decide who is up.  Within a data centre every instance
- * sends to every other; between data centres the bridge instances of one rail
- * send to each other.  Deterministic: time is passed in.
+ * Membership of the instances.  The platform's list may be stale and only
+ * seeds the membership; heartbeats decide which instances are up.  Within a
+ * data centre every instance sends to every other.  Each data centre elects
+ * one bridge instance per rail, and the bridges of one rail send to each other
+ * between data centres.  Deterministic: time is passed in.
  */
 
 #include <stdbool.h>
@@ -15,24 +16,23 @@
 #include "mag.h"
 
 #define PEER_VERSION	  1
-#define PEER_RAILS	  2    /* bridge instances of a data centre */
+#define PEER_RAILS	  2    /* bridge instances per data centre */
 #define PEER_RECORDS_MAX  8    /* records in one message */
 #define PEER_DEMANDS_MAX  32   /* demand entries in one message */
-#define PEER_TABLE_MAX	  4096 /* instances that a table may hold */
-#define PEER_BYTES_FIXED  84   /* a message without lists, as encoded */
-#define PEER_BYTES_RPC	  68   /* IP, UDP and RPC headers before it */
-#define PEER_BYTES_DEMAND 8    /* one demand entry, as encoded */
+#define PEER_TABLE_MAX	  4096 /* capacity of the instance table */
+#define PEER_BYTES_FIXED  84   /* encoded message without its lists */
+#define PEER_BYTES_RPC	  68   /* IP, UDP and RPC headers */
+#define PEER_BYTES_DEMAND 8    /* one encoded demand entry */
 
 struct peer;
 
 enum peer_err {
 	PEER_OK = 0,
-	PEER_E_CLUSTER = -1, /* another cluster's message */
+	PEER_E_CLUSTER = -1, /* message of another cluster */
 	PEER_E_VERSION = -2,
-	PEER_E_FORMAT = -3, /* a field out of its bounds */
-	PEER_E_STALE = -4,  /* an earlier incarnation, or an earlier message */
-	PEER_E_UNKNOWN_SENDER =
-		-5, /* unknown sender that doesn't introduce itself */
+	PEER_E_FORMAT = -3,  /* a field out of bounds */
+	PEER_E_STALE = -4,   /* earlier incarnation or sequence number */
+	PEER_E_UNKNOWN = -5, /* unknown sender without PEER_F_INTRO */
 	PEER_E_FULL = -6,
 	PEER_E_SELF = -7, /* this instance's own name */
 	PEER_E_MEMORY = -8,
@@ -41,26 +41,26 @@
 enum peer_flag {
 	PEER_F_RAIL0 = 1,    /* the sender is the bridge of rail 0 */
 	PEER_F_RAIL1 = 2,    /* ... of rail 1 */
-	PEER_F_GAP = 4,	     /* a message of the receiver was lost */
-	PEER_F_STOPPING = 8, /* the sender stops: count it out at once */
+	PEER_F_GAP = 4,	     /* a message from the receiver was lost */
+	PEER_F_STOPPING = 8, /* the sender stops and counts as down */
 	PEER_F_INTRO = 16,   /* name, data centre and address are present */
 };
 
 enum peer_record_kind {
-	PEER_REC_LEAVING,    /* an endpoint leaves, or no longer leaves */
-	PEER_REC_QUARANTINE, /* a fingerprint is refused for a while */
+	PEER_REC_LEAVING,    /* an endpoint starts or stops leaving */
+	PEER_REC_QUARANTINE, /* a fingerprint is refused for some time */
 	PEER_REC_COUNT
 };
 
-/* What spreads to every instance. */
+/* A record that is distributed to every instance. */
 struct peer_record {
 	enum peer_record_kind kind;
 	char endpoint[MAG_NAME_MAX];	       /* PEER_REC_LEAVING */
 	uint8_t fingerprint[MAG_DIGEST_BYTES]; /* PEER_REC_QUARANTINE */
 	bool leaving;
-	uint32_t version;	 /* PEER_REC_LEAVING: the higher one holds */
-	uint32_t endpoints_lost; /* PEER_REC_QUARANTINE: endpoints lost */
-	uint32_t remaining_ms;	 /* PEER_REC_QUARANTINE: until it ends */
+	uint32_t version;	 /* PEER_REC_LEAVING: the highest one applies */
+	uint32_t endpoints_lost; /* PEER_REC_QUARANTINE */
+	uint32_t remaining_ms;	 /* PEER_REC_QUARANTINE: time until it ends */
 };
 
 struct peer_demand {
@@ -68,7 +68,7 @@
 	float demand;
 };
 
-/* One heartbeat; src/magnolia.x holds its encoding. */
+/* One heartbeat; src/magnolia.x defines its encoding. */
 struct peer_msg {
 	uint32_t version;
 	uint32_t cluster; /* hash of the cluster's name */
@@ -76,17 +76,20 @@
 	uint64_t incarnation;
 	uint32_t seq;
 	uint32_t flags;
-	uint32_t next_ms; /* the sender's next message comes within this */
-	uint32_t acked_incarnation; /* of the receiver's incarnation; 0: not
-				       heard */
-	uint64_t revision;	    /* of the configuration */
-	uint32_t records_seq;	 /* up to here the receiver has all records */
-	uint32_t records_ack;	 /* up to here the sender has the receiver's */
-	uint32_t listed_count;	 /* instances in the platform's list */
-	uint32_t group_size;	 /* instances that the sender can reach */
-	uint32_t group_hash;	 /* of the instances up in its data centre */
-	uint32_t reach_hash;	 /* of the data centres that a bridge reaches */
-	char name[MAG_NAME_MAX]; /* with PEER_F_INTRO, as the next two */
+	uint32_t next_ms; /* the sender's next message is due within this */
+	/*
+	 * Low 32 bits of the incarnation of the receiver from which the sender
+	 * receives heartbeats; 0: none.
+	 */
+	uint32_t acked_incarnation;
+	uint64_t revision;     /* configuration in force at the sender */
+	uint32_t records_seq;  /* the receiver has all records up to this */
+	uint32_t records_ack;  /* the sender has the receiver's up to this */
+	uint32_t listed_count; /* instances in the platform's list */
+	uint32_t group_size;   /* instances that the sender reaches */
+	uint32_t group_hash;   /* over the instances up in its data centre */
+	uint32_t reach_hash;   /* over the data centres that a bridge reaches */
+	char name[MAG_NAME_MAX]; /* this and the next two: with PEER_F_INTRO */
 	char data_centre[MAG_NAME_MAX];
 	char address[MAG_ADDR_MAX];
 	struct peer_record records[PEER_RECORDS_MAX];
@@ -104,7 +107,7 @@
 	uint32_t bytes_per_s;
 };
 
-/* One line of the platform's list. */
+/* One entry of the platform's list. */
 struct peer_list_entry {
 	char name[MAG_NAME_MAX];
 	char data_centre[MAG_NAME_MAX];
@@ -113,9 +116,9 @@
 
 /* What a link is used for. */
 enum peer_link_kind {
-	PEER_LINK_NONE,	  /* nothing is sent */
-	PEER_LINK_LOCAL,  /* an instance of the same data centre */
-	PEER_LINK_BRIDGE, /* a bridge of another data centre */
+	PEER_LINK_NONE,	  /* no messages are sent */
+	PEER_LINK_LOCAL,  /* to an instance of the same data centre */
+	PEER_LINK_BRIDGE, /* to a bridge of another data centre */
 };
 
 struct peer_change {
@@ -125,9 +128,9 @@
 
 struct peer *peer_new(const struct peer_settings *settings, int64_t now);
 void peer_free(struct peer *peer);
-int peer_apply_list(struct peer *peer, const struct peer_list_entry *listed,
+int peer_apply_list(struct peer *peer, const struct peer_list_entry *entries,
 		    size_t count, int64_t now);
-int peer_add(struct peer *peer, const struct peer_list_entry *listed,
+int peer_add(struct peer *peer, const struct peer_list_entry *entry,
 	     int64_t now);
 int peer_receive(struct peer *peer, const struct peer_msg *msg, int64_t now,
 		 int *link);
--- a/src/peer_send.c
+++ b/src/peer_send.c
@@ -4,14 +4,13 @@
 #include "peer_table.h"
 
 /*
- * Who is sent to, when, and what the header of each message says.  The
- * budget of bytes a second holds by construction: periods grow with the
- * number of links, and what is left bounds the demand entries of a message.
+ * Destinations and times of messages, and their headers.  The budget of bytes
+ * per second is met by construction: the periods grow with the number of
+ * links, and the rest of the budget bounds the demand entries of a message.
  */
 
-#define PEER_EARLY_LINKS_MAX                                                   \
-	8 /* between data centres; more wait for heartbeats                    \
-	   */
+/* Links of one kind; with more, a new revision waits for the heartbeats. */
+#define PEER_EARLY_LINKS_MAX 8
 
 static bool peer_may_send_early(const struct peer *peer,
 				const struct peer_node *node, bool first);
@@ -24,12 +23,12 @@
 static int peer_node_at_rank(const struct peer *peer, int dc, uint32_t rank);
 static void peer_select_rail_target(struct peer *peer, int dc, int rail,
 				    int64_t now);
-static bool peer_is_rail_bridge(const struct peer *peer, int link, int rail,
-				int64_t now);
+static bool peer_bridges_rail(const struct peer *peer, int link, int rail,
+			      int64_t now);
 
 /*
- * Runs the systems over the table: who is up, who bridges, where each rail
- * aims, and which links are due.
+ * Updates the table: which instances are up, which of them are bridges, the
+ * target of each rail, and which links are due.
  */
 void peer_tick(struct peer *peer, int64_t now)
 {
@@ -44,13 +43,16 @@
 	peer_queue_due(peer, now);
 }
 
-/* When peer_tick has something to do next. */
+/* Returns when peer_tick is due next. */
 int64_t peer_next_deadline(const struct peer *peer)
 {
 	return peer->next_tick_us;
 }
 
-/* Gives the next link to send to; its message is filled by peer_fill_header. */
+/*
+ * Returns the next link to send to, false if none is due; peer_fill_header then
+ * fills its message.
+ */
 bool peer_next_due(struct peer *peer, int64_t now, int *link)
 {
 	struct peer_node *node;
@@ -93,10 +95,10 @@
 					 : peer->bridge_period_us) /
 				  MAG_US_PER_MS);
 	msg->acked_incarnation =
-		peer_is_heard_from(node, now) ? (uint32_t)node->incarnation : 0;
+		peer_is_alive(node, now) ? (uint32_t)node->incarnation : 0;
 	msg->revision = peer->revision;
 	msg->listed_count = peer->listed_count;
-	msg->group_size = peer->local_group;
+	msg->group_size = peer->local_group_size;
 	msg->group_hash = peer->local_hash;
 	msg->reach_hash = peer->reach_hash;
 	msg->flags = (peer->rails[0] ? PEER_F_RAIL0 : 0) |
@@ -114,7 +116,7 @@
 	cnt_add(CNT_PEER_SENT, 1);
 }
 
-/* Asks for a message to a link soon, though none is due. */
+/* Schedules a message to a link ahead of its period. */
 void peer_send_early(struct peer *peer, int link, int64_t at_us)
 {
 	struct peer_node *node = &peer->nodes[link];
@@ -126,10 +128,12 @@
 }
 
 /*
- * Takes the revision that is in force here, and tells it early where the next
- * heartbeat would come late.  What a peer told is passed on early only by
- * the first bridge.  With many links none does: each would carry every change
- * twice, which alone would spend the budget of a large fleet.
+ * Sets the revision that is in force on this instance and announces it to
+ * peers with a lower one ahead of the next heartbeat.  A revision that some
+ * peer already has is announced early only by the first bridge.  With more
+ * than PEER_EARLY_LINKS_MAX links it is not announced early at all: each link
+ * would carry every change twice, which alone would use up the byte budget of
+ * a large fleet.
  */
 void peer_set_revision(struct peer *peer, uint64_t revision, int64_t now)
 {
@@ -152,7 +156,7 @@
 	}
 }
 
-/* Says whether a link is told of a new revision before its heartbeat. */
+/* Returns whether a new revision is sent to a link ahead of its heartbeat. */
 static bool peer_may_send_early(const struct peer *peer,
 				const struct peer_node *node, bool first)
 {
@@ -161,7 +165,9 @@
 	return (first || peer->rails[0]) && links <= PEER_EARLY_LINKS_MAX;
 }
 
-/* Tells every peer that this instance stops, so that none waits for it. */
+/*
+ * Announces to every peer that this instance stops, so that none waits for it.
+ */
 void peer_set_stopping(struct peer *peer, int64_t now)
 {
 	size_t i;
@@ -173,7 +179,7 @@
 	}
 }
 
-/* Rendezvous: the rank of an instance among those of its data centre. */
+/* Returns an instance's rendezvous hash score within its data centre. */
 uint64_t peer_score(const struct peer *peer, int dc, uint64_t id)
 {
 	uint64_t x = id ^ peer->dcs[dc].id;
@@ -187,8 +193,8 @@
 }
 
 /*
- * Finds the bridges of this data centre: the first two by rendezvous of
- * those that are up.  The first one also sums up demand.
+ * Elects the bridges of this data centre: the two instances with the highest
+ * rendezvous scores among those that are up.  The first also sums up demand.
  */
 void peer_elect(struct peer *peer)
 {
@@ -218,7 +224,10 @@
 	peer->rails[1] = count == 0 || above == 1;
 }
 
-/* Chooses, for each rail that is held here, the node to send to. */
+/*
+ * Selects the node to send to in each data centre, for each rail that this
+ * instance bridges.
+ */
 void peer_select_targets(struct peer *peer, int64_t now)
 {
 	int dc;
@@ -234,7 +243,10 @@
 	}
 }
 
-/* A node of another data centre says that it bridges: aim at it. */
+/*
+ * Makes a node of another data centre the target of the rails that it bridges.
+ * If two nodes claim a rail, the one with the higher score remains.
+ */
 void peer_note_bridge(struct peer *peer, int link, int64_t now)
 {
 	const struct peer_node *node = &peer->nodes[link];
@@ -244,9 +256,9 @@
 		struct peer_dc *dc = &peer->dcs[node->dc];
 		int old = dc->target[rail];
 
-		if (!peer_is_rail_bridge(peer, link, rail, now))
+		if (!peer_bridges_rail(peer, link, rail, now))
 			continue;
-		if (peer_is_rail_bridge(peer, old, rail, now) &&
+		if (peer_bridges_rail(peer, old, rail, now) &&
 		    peer_score(peer, node->dc, peer->nodes[old].id) >
 			    peer_score(peer, node->dc, node->id))
 			continue;
@@ -254,7 +266,7 @@
 	}
 }
 
-/* True if a rail that is held here sends to this link. */
+/* Returns whether a rail that this instance bridges sends to this link. */
 bool peer_is_target(const struct peer *peer, int link)
 {
 	const struct peer_dc *dc = &peer->dcs[peer->nodes[link].dc];
@@ -263,13 +275,16 @@
 	       (peer->rails[1] && dc->target[1] == link);
 }
 
-/* True for a node that is up and stays. */
+/* Returns whether a node is up and does not stop. */
 static bool peer_is_active(const struct peer_node *node)
 {
 	return node->used && node->up && !(node->flags & PEER_F_STOPPING);
 }
 
-/* Notes who came up or went down, and forgets who has long gone. */
+/*
+ * Updates which nodes are up, queues the changes, and frees nodes that have
+ * been gone for PEER_FORGET_US.
+ */
 static void peer_update_liveness(struct peer *peer, int64_t now)
 {
 	size_t i;
@@ -279,10 +294,10 @@
 
 		if (!node->used)
 			continue;
-		node->up = peer_is_heard_from(node, now) &&
-			   node->acked_until_us > now;
-		if (node->up && node->heard_until_us < peer->next_tick_us)
-			peer->next_tick_us = node->heard_until_us;
+		node->up =
+			peer_is_alive(node, now) && node->acked_until_us > now;
+		if (node->up && node->alive_until_us < peer->next_tick_us)
+			peer->next_tick_us = node->alive_until_us;
 		if (node->up && node->acked_until_us < peer->next_tick_us)
 			peer->next_tick_us = node->acked_until_us;
 		if (node->up != node->reported_up &&
@@ -293,12 +308,12 @@
 		}
 		if (!node->listed && !node->queued && !node->reported_up &&
 		    node->incarnation != 0 &&
-		    node->heard_until_us + PEER_FORGET_US < now)
+		    node->alive_until_us + PEER_FORGET_US < now)
 			node->used = false;
 	}
 }
 
-/* Gives the next peer that came up or went down. */
+/* Returns the next peer that came up or went down; false if none. */
 bool peer_next_change(struct peer *peer, struct peer_change *change)
 {
 	if (peer->change_next == peer->change_count) {
@@ -310,7 +325,7 @@
 	return true;
 }
 
-/* Works out the digests of what this instance reaches. */
+/* Computes the digests of what this instance reaches. */
 static void peer_compute_digests(struct peer *peer)
 {
 	uint32_t reach = (uint32_t)peer->dcs[0].id;
@@ -332,12 +347,12 @@
 		if (link >= 0 && peer_is_active(&peer->nodes[link]))
 			reach ^= (uint32_t)peer->dcs[dc].id;
 	}
-	peer->local_group = group;
+	peer->local_group_size = group;
 	peer->local_hash = (uint32_t)hash;
 	peer->reach_hash = reach;
 }
 
-/* Counts the links of each kind and sets the periods that follow. */
+/* Counts the links of each kind and derives the periods. */
 static void peer_count_links(struct peer *peer)
 {
 	size_t i;
@@ -358,7 +373,7 @@
 		peer, (uint32_t)peer->dc_count - 1, PEER_BRIDGE_PARTS);
 }
 
-/* Queues the links that are due and notes when the next one is. */
+/* Queues the links that are due and sets the time of the next one. */
 static void peer_queue_due(struct peer *peer, int64_t now)
 {
 	size_t i;
@@ -379,7 +394,7 @@
 	}
 }
 
-/* When a link is sent to next. */
+/* Returns when a message to a link is due next. */
 static int64_t peer_send_time(const struct peer_node *node)
 {
 	int64_t early = node->early_send_us;
@@ -389,7 +404,10 @@
 	return early < node->next_send_us ? early : node->next_send_us;
 }
 
-/* Finds the listed node of a data centre that has a rank by rendezvous. */
+/*
+ * Returns the node of a data centre at a rank in descending order of rendezvous
+ * scores.
+ */
 static int peer_node_at_rank(const struct peer *peer, int dc, uint32_t rank)
 {
 	uint64_t below = UINT64_MAX;
@@ -417,48 +435,51 @@
 }
 
 /*
- * Keeps a target that answers as bridge; else tries the instances of the
- * data centre in the order of their rank, the first one every other time, as
- * its bridge may be one that the list lacks or ranks lower.
+ * Selects the target of a rail in a data centre.  A target that responds as
+ * bridge is retained.  Otherwise the instances of the data centre are tried in
+ * order of rank.  Every other try goes to the expected bridge, whose rank is
+ * the rail's number; the others go to lower ranks, as the bridge may be an
+ * instance that the list lacks or ranks lower.
  */
 static void peer_select_rail_target(struct peer *peer, int dc, int rail,
 				    int64_t now)
 {
-	struct peer_dc *to = &peer->dcs[dc];
+	struct peer_dc *remote = &peer->dcs[dc];
 	uint32_t rank;
 
-	if (peer_is_rail_bridge(peer, to->target[rail], rail, now)) {
-		to->tries[rail] = 0;
+	if (peer_bridges_rail(peer, remote->target[rail], rail, now)) {
+		remote->tries[rail] = 0;
 		return;
 	}
-	if (to->target[rail] >= 0 && peer->nodes[to->target[rail]].used &&
-	    to->try_until_us[rail] > now)
+	if (remote->target[rail] >= 0 &&
+	    peer->nodes[remote->target[rail]].used &&
+	    remote->try_until_us[rail] > now)
 		return;
 	rank = (uint32_t)rail;
-	if (to->tries[rail] % 2 == 1)
-		rank += (to->tries[rail] + 1) / 2;
-	to->tries[rail]++;
-	to->target[rail] = peer_node_at_rank(peer, dc, rank);
-	if (to->target[rail] < 0) {
-		to->tries[rail] = 0;
-		to->target[rail] = peer_node_at_rank(peer, dc, 0);
+	if (remote->tries[rail] % 2 == 1)
+		rank += (remote->tries[rail] + 1) / 2;
+	remote->tries[rail]++;
+	remote->target[rail] = peer_node_at_rank(peer, dc, rank);
+	if (remote->target[rail] < 0) {
+		remote->tries[rail] = 0;
+		remote->target[rail] = peer_node_at_rank(peer, dc, 0);
 	}
-	to->try_until_us[rail] = now + 2 * peer->bridge_period_us;
-	if (to->try_until_us[rail] < peer->next_tick_us)
-		peer->next_tick_us = to->try_until_us[rail];
-	if (to->target[rail] >= 0)
-		peer_send_early(peer, to->target[rail], now);
+	remote->try_until_us[rail] = now + 2 * peer->bridge_period_us;
+	if (remote->try_until_us[rail] < peer->next_tick_us)
+		peer->next_tick_us = remote->try_until_us[rail];
+	if (remote->target[rail] >= 0)
+		peer_send_early(peer, remote->target[rail], now);
 }
 
-/* True if a node is heard and bridges the rail. */
-static bool peer_is_rail_bridge(const struct peer *peer, int link, int rail,
-				int64_t now)
+/* Returns whether a node is alive and bridges the rail. */
+static bool peer_bridges_rail(const struct peer *peer, int link, int rail,
+			      int64_t now)
 {
 	const struct peer_node *node;
 
 	if (link < 0)
 		return false;
 	node = &peer->nodes[link];
-	return node->used && peer_is_heard_from(node, now) &&
+	return node->used && peer_is_alive(node, now) &&
 	       (node->flags & (rail == 0 ? PEER_F_RAIL0 : PEER_F_RAIL1));
 }
--- a/src/peer_view.c
+++ b/src/peer_view.c
@@ -1,14 +1,14 @@
 #include "peer_table.h"
 
-/* What the other modules of the fleet read from the membership. */
+/* Read access to the membership for the other modules of the fleet. */
 
-/* One more than the highest link. */
+/* Returns one more than the highest link. */
 size_t peer_link_count(const struct peer *peer)
 {
 	return peer->node_count;
 }
 
-/* Tells what a link is used for now. */
+/* Returns the current use of a link. */
 enum peer_link_kind peer_link_kind(const struct peer *peer, int link)
 {
 	const struct peer_node *node = &peer->nodes[link];
@@ -20,7 +20,10 @@
 	return peer_is_target(peer, link) ? PEER_LINK_BRIDGE : PEER_LINK_NONE;
 }
 
-/* True while each side hears the other and neither stops. */
+/*
+ * Returns whether heartbeats arrive in both directions and the other side does
+ * not stop.
+ */
 bool peer_link_up(const struct peer *peer, int link)
 {
 	const struct peer_node *node = &peer->nodes[link];
@@ -28,13 +31,16 @@
 	return node->used && node->up && !(node->flags & PEER_F_STOPPING);
 }
 
-/* Grows when what the other side keeps of this one is lost. */
+/*
+ * Returns a count that grows when the other side loses its state about this
+ * instance.
+ */
 uint32_t peer_link_epoch(const struct peer *peer, int link)
 {
 	return peer->nodes[link].epoch;
 }
 
-/* The rail that the other side bridges, -1 for none. */
+/* Returns the rail that the other side bridges, -1 for none. */
 int peer_link_rail(const struct peer *peer, int link)
 {
 	uint32_t flags = peer->nodes[link].flags;
@@ -44,23 +50,24 @@
 	return flags & PEER_F_RAIL1 ? 1 : -1;
 }
 
-/* The name of the instance at a link. */
+/* Returns the name of the instance at a link. */
 const char *peer_link_name(const struct peer *peer, int link)
 {
 	return peer->nodes[link].name;
 }
 
-/* The address of the instance at a link. */
+/* Returns the address of the instance at a link. */
 const char *peer_link_address(const struct peer *peer, int link)
 {
 	return peer->nodes[link].address;
 }
 
 /*
- * True if the other side reaches just what this one does: within the data
- * centre the same instances, between data centres the same data centres.
- * Limits are only pooled among those who agree.  If A and B are cut off from
- * each other and both hear C, each would otherwise count C's part as its own.
+ * Returns whether the other side reaches the same set as this instance: the
+ * same instances within the data centre, the same data centres between them.
+ * Limits are pooled only among instances that agree.  Otherwise, if A and B
+ * are cut off from each other and both receive from C, each would count C's
+ * part as its own.
  */
 bool peer_link_agrees(const struct peer *peer, int link)
 {
@@ -73,31 +80,31 @@
 	return node->reach_hash == peer->reach_hash;
 }
 
-/* What the other side's last message said of its group. */
+/* Returns the group size in the other side's last message. */
 uint32_t peer_link_group_size(const struct peer *peer, int link)
 {
-	return peer->nodes[link].group;
+	return peer->nodes[link].group_size;
 }
 
-/* How many instances the other side's list holds. */
+/* Returns the number of instances in the other side's list. */
 uint32_t peer_link_listed_count(const struct peer *peer, int link)
 {
 	return peer->nodes[link].listed_count;
 }
 
-/* The revision that is in force at the other side. */
+/* Returns the revision that is in force at the other side. */
 uint64_t peer_link_revision(const struct peer *peer, int link)
 {
 	return peer->nodes[link].revision;
 }
 
-/* True if the sender of a message hears this incarnation. */
+/* Returns whether a message's sender receives from this incarnation. */
 bool peer_acks_us(const struct peer *peer, const struct peer_msg *msg)
 {
 	return msg->acked_incarnation == (uint32_t)peer->settings.incarnation;
 }
 
-/* The rail that this instance bridges, -1 for none. */
+/* Returns the rail that this instance bridges, -1 for none. */
 int peer_rail(const struct peer *peer)
 {
 	if (peer->rails[0])
@@ -105,25 +112,33 @@
 	return peer->rails[1] ? 1 : -1;
 }
 
-/* The link of the first bridge of this data centre; -1 if it is this one. */
+/*
+ * Returns the link of this data centre's first bridge, which sums up demand;
+ * -1 if it is this instance.
+ */
 int peer_aggregator(const struct peer *peer)
 {
 	return peer->aggregator;
 }
 
-/* How many instances of this data centre are up, this one included. */
+/*
+ * Returns the number of instances up in this data centre, this one included.
+ */
 uint32_t peer_local_group_size(const struct peer *peer)
 {
-	return peer->local_group;
+	return peer->local_group_size;
 }
 
-/* How many instances the platform's list holds. */
+/* Returns the number of instances in the platform's list. */
 uint32_t peer_listed_count(const struct peer *peer)
 {
 	return peer->listed_count;
 }
 
-/* How many demand entries fit a message under the budget of bytes. */
+/*
+ * Returns the number of demand entries that a message may carry within the byte
+ * budget.
+ */
 uint32_t peer_demand_capacity(const struct peer *peer)
 {
 	int64_t budget = (int64_t)peer->settings.bytes_per_s *
@@ -141,9 +156,10 @@
 }
 
 /*
- * How long a raised share waits: until a cut would have been noticed, and
- * those who lose the share have heard of it, through the bridge, the other
- * bridges and on to their data centres.
+ * Returns how long an instance waits before it uses a raised share.  In that
+ * time a network partition would have been detected, and the instances that
+ * lose the share have been told of it through the bridge, the other bridges
+ * and on to their data centres.
  */
 int64_t peer_raise_delay_us(const struct peer *peer)
 {
@@ -155,18 +171,21 @@
 	       2 * peer->local_period_us + slowest;
 }
 
-/* How many data centres this instance knows, its own included. */
+/* Returns the number of known data centres, the own one included. */
 int peer_data_centres(const struct peer *peer)
 {
 	return peer->dc_count;
 }
 
-/* The period at which some links use their part of the budget. */
-int64_t peer_period_us(const struct peer *peer, uint32_t links, int part)
+/*
+ * Returns the heartbeat period at which a number of links uses its parts of the
+ * byte budget.
+ */
+int64_t peer_period_us(const struct peer *peer, uint32_t links, int parts)
 {
 	int64_t bytes = (int64_t)links * (PEER_BYTES_FIXED + PEER_BYTES_RPC);
 	int64_t budget =
-		(int64_t)peer->settings.bytes_per_s * part / PEER_BUDGET_PARTS;
+		(int64_t)peer->settings.bytes_per_s * parts / PEER_BUDGET_PARTS;
 	int64_t period = bytes * MAG_US_PER_S / budget;
 
 	if (period < PEER_PERIOD_MIN_US)
--- a/src/peer_wire.c
+++ b/src/peer_wire.c
@@ -3,7 +3,7 @@
 #include "peer_wire.h"
 #include "rpc_gen_magnolia.h"
 
-/* Room for what a message points to while it is encoded or decoded. */
+/* Storage for the lists that a message being encoded points to. */
 struct peer_wire_storage {
 	mag_x_intro intro;
 	mag_x_record news[PEER_RECORDS_MAX];
@@ -11,7 +11,7 @@
 };
 
 static void peer_wire_from_msg(const struct peer_msg *msg, mag_x_heartbeat *out,
-			       struct peer_wire_storage *room);
+			       struct peer_wire_storage *storage);
 static void peer_wire_from_record(const struct peer_record *from,
 				  mag_x_record *to);
 static int peer_wire_to_msg(const mag_x_heartbeat *in, struct peer_msg *msg);
@@ -27,7 +27,7 @@
 		     size_t size)
 {
 	struct rpc_msg call;
-	struct peer_wire_storage room;
+	struct peer_wire_storage storage;
 	mag_x_heartbeat out;
 	XDR xdr;
 	bool_t ok;
@@ -40,7 +40,7 @@
 	call.rm_call.cb_prog = MAG_X_PROGRAM;
 	call.rm_call.cb_vers = MAG_X_VERSION;
 	call.rm_call.cb_proc = MAG_X_HEARTBEAT;
-	peer_wire_from_msg(msg, &out, &room);
+	peer_wire_from_msg(msg, &out, &storage);
 	xdrmem_create(&xdr, buf, (u_int)size, XDR_ENCODE);
 	ok = xdr_callmsg(&xdr, &call) && xdr_mag_x_heartbeat(&xdr, &out);
 	len = (int)xdr_getpos(&xdr);
@@ -50,7 +50,7 @@
 
 /*
  * Decodes a datagram.  Returns 0, or PEER_WIRE_E_FORMAT for what isn't a
- * heartbeat or exceeds a bound; nothing is kept of it then.
+ * heartbeat or exceeds a bound; the contents of msg are then undefined.
  */
 int peer_wire_decode(char *buf, size_t len, struct peer_msg *msg)
 {
@@ -69,7 +69,7 @@
 	return err;
 }
 
-/* Reads the header of a call and checks that it is a heartbeat's. */
+/* Decodes the header of a call and checks that it is a heartbeat. */
 static bool_t peer_wire_decode_call(XDR *xdr, struct rpc_msg *call)
 {
 	char cred[MAX_AUTH_BYTES];
@@ -85,9 +85,12 @@
 	       call->rm_call.cb_proc == MAG_X_HEARTBEAT;
 }
 
-/* Points the generated struct at the fields of a message. */
+/*
+ * Fills the generated struct from a message.  Its strings point into the
+ * message and its lists into the storage.
+ */
 static void peer_wire_from_msg(const struct peer_msg *msg, mag_x_heartbeat *out,
-			       struct peer_wire_storage *room)
+			       struct peer_wire_storage *storage)
 {
 	uint32_t i;
 
@@ -108,19 +111,19 @@
 	out->group_hash = msg->group_hash;
 	out->reach_hash = msg->reach_hash;
 	out->intro.intro_len = msg->flags & PEER_F_INTRO ? 1 : 0;
-	out->intro.intro_val = &room->intro;
-	room->intro.name = (char *)msg->name;
-	room->intro.data_centre = (char *)msg->data_centre;
-	room->intro.address = (char *)msg->address;
+	out->intro.intro_val = &storage->intro;
+	storage->intro.name = (char *)msg->name;
+	storage->intro.data_centre = (char *)msg->data_centre;
+	storage->intro.address = (char *)msg->address;
 	out->news.news_len = msg->record_count;
-	out->news.news_val = room->news;
+	out->news.news_val = storage->news;
 	for (i = 0; i < msg->record_count; i++)
-		peer_wire_from_record(&msg->records[i], &room->news[i]);
+		peer_wire_from_record(&msg->records[i], &storage->news[i]);
 	out->demands.demands_len = msg->demand_count;
-	out->demands.demands_val = room->demands;
+	out->demands.demands_val = storage->demands;
 	for (i = 0; i < msg->demand_count; i++) {
-		room->demands[i].limit = msg->demands[i].limit;
-		room->demands[i].demand = msg->demands[i].demand;
+		storage->demands[i].limit = msg->demands[i].limit;
+		storage->demands[i].demand = msg->demands[i].demand;
 	}
 }
 
@@ -140,7 +143,7 @@
 	to->mag_x_record_u.quarantine.remaining_ms = from->remaining_ms;
 }
 
-/* Copies a decoded heartbeat; the decoder has checked the bounds. */
+/* Copies a decoded heartbeat; the decoder has checked the list bounds. */
 static int peer_wire_to_msg(const mag_x_heartbeat *in, struct peer_msg *msg)
 {
 	uint32_t i;
--- a/src/peer_wire.h
+++ b/src/peer_wire.h
@@ -2,8 +2,8 @@
 #define PEER_WIRE_H
 
 /*
- * Heartbeats as datagrams: an ONC RPC call without an answer, in XDR.  The
- * codecs are those of libtirpc and rpcgen.
+ * Encoding of heartbeats as datagrams: each is an ONC RPC call without a
+ * reply, in XDR.  libtirpc and rpcgen provide the codecs.
  */
 
 #include <stddef.h>
@@ -15,7 +15,7 @@
 
 enum peer_wire_err {
 	PEER_WIRE_E_SHORT = -1,	 /* the buffer is too small */
-	PEER_WIRE_E_FORMAT = -2, /* no heartbeat of this program */
+	PEER_WIRE_E_FORMAT = -2, /* not a heartbeat of this program */
 };
 
 int peer_wire_encode(const struct peer_msg *msg, uint32_t xid, char *buf,
