--- a/src/mesh.c
+++ b/src/mesh.c
@@ -13,14 +13,14 @@
 };
 
 static void on_message(void *ctx, const struct peer_msg *msg);
-static int on_serve(void *ctx, uint64_t at_least, uint64_t *revision,
+static int on_serve(void *ctx, uint64_t min_revision, uint64_t *revision,
+		    char **text, size_t *len);
+static int on_edits(void *ctx, uint64_t base_revision, uint64_t *revision,
 		    char **text, size_t *len);
-static int on_edits(void *ctx, uint64_t have, uint64_t *revision, char **text,
-		    size_t *len);
 static void on_fetched(void *ctx, const struct rpc_fetched *fetched);
-static void take_fetched(struct mesh *mesh, const struct rpc_fetched *fetched);
+static void offer_fetched(struct mesh *mesh, const struct rpc_fetched *fetched);
 
-/* Listens for peers.  Returns 0 or a negative enum rpc_error. */
+/* Starts to listen for peers.  Returns 0 or a negative enum rpc_error. */
 int mesh_start(const struct mesh_settings *settings, struct loop *loop,
 	       struct watch *watch, struct mesh **out)
 {
@@ -56,16 +56,16 @@
 	rpc_send(mesh->rpc, send->address, &send->msg);
 }
 
-/* Asks a peer for the configuration that it says it has. */
+/* Requests from a peer the configuration that it announced. */
 void mesh_fetch(struct mesh *mesh, const struct inst_fetch *fetch)
 {
-	uint64_t have = watch_revision(mesh->watch);
+	uint64_t current = watch_revision(mesh->watch);
 
-	if (fetch->revision > have)
-		rpc_fetch(mesh->rpc, fetch->address, fetch->revision, have);
+	if (fetch->revision > current)
+		rpc_fetch(mesh->rpc, fetch->address, fetch->revision, current);
 }
 
-/* Stops listening and frees the shell. */
+/* Stops listening and frees the mesh. */
 void mesh_stop(struct mesh *mesh)
 {
 	if (!mesh)
@@ -83,20 +83,20 @@
 	loop_post_inst(mesh->loop, &event);
 }
 
-static int on_serve(void *ctx, uint64_t at_least, uint64_t *revision,
+static int on_serve(void *ctx, uint64_t min_revision, uint64_t *revision,
 		    char **text, size_t *len)
 {
 	struct mesh *mesh = ctx;
 
-	return watch_text(mesh->watch, at_least, revision, text, len);
+	return watch_text(mesh->watch, min_revision, revision, text, len);
 }
 
-static int on_edits(void *ctx, uint64_t have, uint64_t *revision, char **text,
-		    size_t *len)
+static int on_edits(void *ctx, uint64_t base_revision, uint64_t *revision,
+		    char **text, size_t *len)
 {
 	struct mesh *mesh = ctx;
 
-	return watch_edits(mesh->watch, have, revision, text, len);
+	return watch_edits(mesh->watch, base_revision, revision, text, len);
 }
 
 static void on_fetched(void *ctx, const struct rpc_fetched *fetched)
@@ -104,17 +104,18 @@
 	struct mesh *mesh = ctx;
 
 	if (fetched->err == RPC_OK)
-		take_fetched(mesh, fetched);
+		offer_fetched(mesh, fetched);
 	free(fetched->text);
 }
 
 /*
- * A peer that is wrong or hostile could offer a set that was never published,
- * or one whose faults would take routes away; operators would see instances
- * that route differently.  The offer is checked as a whole set first, and
- * edits that don't lead to the text that they name are dropped for the whole.
+ * Offers a fetched configuration to the watch.  A faulty or hostile peer could
+ * send a set that was never published, or one whose faults remove routes; the
+ * instances would then route differently.  So the result is validated as a
+ * complete set first.  If edits don't produce the text that they name, the
+ * complete text is fetched instead.
  */
-static void take_fetched(struct mesh *mesh, const struct rpc_fetched *fetched)
+static void offer_fetched(struct mesh *mesh, const struct rpc_fetched *fetched)
 {
 	int rc = PUB_E_HOSTILE;
 
--- a/src/mesh.h
+++ b/src/mesh.h
@@ -1,7 +1,7 @@
 #ifndef MESH_H
 #define MESH_H
 
-/* The shell between this instance's node and the other instances. */
+/* Connects this instance's event loop and configuration to the peers. */
 
 #include "loop.h"
 #include "rpc.h"
--- a/src/rpc.c
+++ b/src/rpc.c
@@ -23,8 +23,8 @@
 static void rpc_receive(struct rpc *rpc);
 
 /*
- * Binds the port and starts the threads.  On RPC_OK *rpc is running and is
- * to be stopped with rpc_stop; otherwise it is NULL.
+ * Binds the port and starts the threads.  On RPC_OK *rpc is running and has to
+ * be stopped with rpc_stop; otherwise it is NULL.
  */
 int rpc_start(const struct rpc_settings *settings,
 	      const struct rpc_handlers *handlers, struct rpc **rpc)
@@ -55,7 +55,7 @@
 	return RPC_OK;
 }
 
-/* Stops the threads, waits for them and frees all; NULL is allowed. */
+/* Stops the threads, joins them and frees everything; NULL is allowed. */
 void rpc_stop(struct rpc *rpc)
 {
 	if (!rpc)
@@ -73,8 +73,8 @@
 }
 
 /*
- * Sends a heartbeat.  It doesn't wait: a datagram for which the kernel has
- * no room is counted as lost, and the next heartbeat makes up for it.
+ * Sends a heartbeat without blocking.  A datagram for which the kernel has no
+ * buffer space is counted as a failed send, and the next heartbeat replaces it.
  */
 int rpc_send(struct rpc *rpc, const char *address, const struct peer_msg *msg)
 {
@@ -95,7 +95,7 @@
 	return RPC_E_SEND;
 }
 
-/* Reads "ip:port"; names aren't looked up. */
+/* Parses "ip:port"; host names aren't resolved. */
 int rpc_parse_address(const char *text, struct sockaddr_in *address)
 {
 	char ip[MAG_ADDR_MAX];
@@ -131,7 +131,10 @@
 		set->fetch_timeout_us = RPC_DEFAULT_TIMEOUT_US;
 }
 
-/* Returns a bound socket, listening if it is a stream. */
+/*
+ * Returns a bound socket, which listens if it is a stream, or a negative enum
+ * rpc_error.
+ */
 static int rpc_bind(const struct rpc *rpc, int type)
 {
 	struct sockaddr_in address;
@@ -153,7 +156,7 @@
 	return fd;
 }
 
-/* Starts the threads. */
+/* Starts the server, the fetchers and the receiver. */
 static int rpc_start_threads(struct rpc *rpc)
 {
 	int err = rpc_serve_start(rpc);
@@ -169,8 +172,8 @@
 }
 
 /*
- * Receives heartbeats on a thread of its own: a peer that stops in the
- * middle of a fetch must not hold up the messages that decide who is up.
+ * Receives heartbeats on a separate thread: a peer that stops in the middle of
+ * a fetch must not delay the messages that decide which instances are up.
  */
 static void *rpc_receiver(void *arg)
 {
@@ -184,7 +187,7 @@
 	return NULL;
 }
 
-/* Takes one datagram; what is no heartbeat is counted and dropped. */
+/* Receives one datagram; if it isn't a heartbeat, counts and drops it. */
 static void rpc_receive(struct rpc *rpc)
 {
 	char buf[PEER_WIRE_MAX];
--- a/src/rpc.h
+++ b/src/rpc.h
@@ -2,9 +2,10 @@
 #define RPC_H
 
 /*
- * The shell between instances: heartbeats as datagrams without an answer,
- * and ONC RPC over TCP to fetch the configuration from a peer.  One port for
- * both, no port mapper.  Nothing here blocks the caller.
+ * Transport between instances: heartbeats as datagrams without a reply, and
+ * ONC RPC over TCP to fetch the configuration from a peer.  Both use the same
+ * port number, without a port mapper.  No function except rpc_stop blocks its
+ * caller.
  */
 
 #include <stddef.h>
@@ -18,13 +19,13 @@
 enum rpc_error {
 	RPC_OK = 0,
 	RPC_E_MEMORY = -1,
-	RPC_E_ADDRESS = -2, /* no "ip:port" */
+	RPC_E_ADDRESS = -2, /* not "ip:port" */
 	RPC_E_SOCKET = -3,
 	RPC_E_THREAD = -4,
-	RPC_E_FULL = -5,	/* too many fetches wait */
-	RPC_E_UNREACHABLE = -6, /* the peer can't be reached in time */
-	RPC_E_REPLY = -7,	/* an answer that breaks a rule or a bound */
-	RPC_E_NO_REVISION = -8, /* the peer has no such revision */
+	RPC_E_FULL = -5,	/* too many fetches are queued */
+	RPC_E_UNREACHABLE = -6, /* the peer did not respond in time */
+	RPC_E_REPLY = -7, /* a message that is invalid or exceeds a bound */
+	RPC_E_NO_REVISION = -8, /* the peer lacks the revision */
 	RPC_E_SEND = -9,
 };
 
@@ -36,36 +37,36 @@
 	int64_t fetch_timeout_us;  /* for a whole fetch; 0: 5 s */
 };
 
-/* How a fetch ended.  The receiver frees text. */
+/* The result of a fetch.  The receiver frees text. */
 struct rpc_fetched {
 	int err;
 	char address[MAG_ADDR_MAX];
 	uint64_t revision;
-	uint64_t base_revision; /* text holds edits to this revision; 0: it is
-				   whole */
+	/* The revision that the edits in text apply to; 0: text is complete. */
+	uint64_t base_revision;
 	char *text;
 	size_t len;
 };
 
 /*
- * What the owner does with what comes.  Each is called on a thread of this
- * module and must only queue or copy.
+ * Callbacks of the owner.  Each is called on a thread of this module and must
+ * only queue or copy, not block.
  */
 struct rpc_handlers {
 	void (*message)(void *ctx, const struct peer_msg *msg);
 	/*
-	 * Gives a copy of the text in force if its revision is at least the
-	 * one asked for; returns 0, or negative if it isn't there.
+	 * Returns a copy of the configuration text in force if its revision is
+	 * at least min_revision.  Returns 0, or negative if there is none.
 	 */
-	int (*serve)(void *ctx, uint64_t at_least, uint64_t *revision,
+	int (*serve)(void *ctx, uint64_t min_revision, uint64_t *revision,
 		     char **text, size_t *len);
 	/*
-	 * Gives edits that lead from a revision to the one in force; returns
-	 * 0, or negative if there are none and the whole text is to be asked
-	 * for.  NULL: never any.
+	 * Returns the edits that lead from base_revision to the revision in
+	 * force.  Returns 0, or negative if there are none and the peer has to
+	 * fetch the complete text.  NULL: there are never any.
 	 */
-	int (*edits)(void *ctx, uint64_t have, uint64_t *revision, char **text,
-		     size_t *len);
+	int (*edits)(void *ctx, uint64_t base_revision, uint64_t *revision,
+		     char **text, size_t *len);
 	void (*fetched)(void *ctx, const struct rpc_fetched *fetched);
 	void *ctx;
 };
@@ -74,7 +75,7 @@
 	      const struct rpc_handlers *handlers, struct rpc **rpc);
 void rpc_stop(struct rpc *rpc);
 int rpc_send(struct rpc *rpc, const char *address, const struct peer_msg *msg);
-int rpc_fetch(struct rpc *rpc, const char *address, uint64_t at_least,
-	      uint64_t have);
+int rpc_fetch(struct rpc *rpc, const char *address, uint64_t min_revision,
+	      uint64_t base_revision);
 
 #endif /* RPC_H */
--- a/src/rpc_fetch.c
+++ b/src/rpc_fetch.c
@@ -13,11 +13,11 @@
 #include "rpc_gen_magnolia.h"
 #include "rpc_int.h"
 
-/* Fetches the configuration from peers, on a few threads. */
+/* Fetches the configuration from peers, on several threads. */
 
-/* One fetch as far as it got. */
+/* One fetch in progress. */
 struct rpc_transfer {
-	struct rpc_fetched out;
+	struct rpc_fetched result;
 	CLIENT *client;
 	int fd;
 	int64_t deadline_us;
@@ -28,15 +28,15 @@
 static void *rpc_fetcher(void *arg);
 static struct rpc_job *rpc_next_job(struct rpc *rpc);
 static void rpc_run_job(struct rpc *rpc, const struct rpc_job *job);
-static int rpc_connect(struct rpc_transfer *part);
-static int rpc_wait_connected(const struct rpc_transfer *part);
+static int rpc_connect(struct rpc_transfer *transfer);
+static int rpc_wait_connected(const struct rpc_transfer *transfer);
 static int rpc_fetch_text(struct rpc *rpc, const struct rpc_job *job,
-			  struct rpc_transfer *part);
+			  struct rpc_transfer *transfer);
 static bool rpc_fetch_edits(struct rpc *rpc, const struct rpc_job *job,
-			    struct rpc_transfer *part);
-static int rpc_add_piece(struct rpc *rpc, struct rpc_transfer *part,
+			    struct rpc_transfer *transfer);
+static int rpc_add_piece(struct rpc *rpc, struct rpc_transfer *transfer,
 			 const mag_x_piece *piece);
-static struct timeval rpc_time_left(const struct rpc_transfer *part);
+static struct timeval rpc_time_left(const struct rpc_transfer *transfer);
 
 /* Starts the threads. */
 int rpc_fetch_start(struct rpc *rpc)
@@ -51,7 +51,7 @@
 	return RPC_OK;
 }
 
-/* Ends the threads; what still waits is dropped. */
+/* Stops the threads; jobs still in the queue are dropped. */
 void rpc_fetch_stop(struct rpc *rpc)
 {
 	struct rpc_job *job;
@@ -68,20 +68,21 @@
 }
 
 /*
- * Asks for the configuration that a peer has in force, if its revision is at
- * least this one.  With the revision that is held already (have, else 0) edits
- * to it come if the peer has them.  The end comes to the handler fetched.
+ * Requests the configuration that a peer has in force, if its revision is at
+ * least min_revision.  If base_revision is the revision in force here and not
+ * 0, the peer sends edits to it if it has them.  The handler fetched receives
+ * the result.
  */
-int rpc_fetch(struct rpc *rpc, const char *address, uint64_t at_least,
-	      uint64_t have)
+int rpc_fetch(struct rpc *rpc, const char *address, uint64_t min_revision,
+	      uint64_t base_revision)
 {
 	struct rpc_job *job = calloc(1, sizeof(*job));
 	int err = RPC_OK;
 
 	if (!job)
 		return RPC_E_MEMORY;
-	job->at_least = at_least;
-	job->base_revision = have;
+	job->min_revision = min_revision;
+	job->base_revision = base_revision;
 	if (mag_copy_name(job->address, MAG_ADDR_MAX, address)) {
 		free(job);
 		return RPC_E_ADDRESS;
@@ -111,7 +112,7 @@
 	return NULL;
 }
 
-/* Waits for a job; NULL when the owner stops. */
+/* Waits for a job; returns NULL when the owner stops. */
 static struct rpc_job *rpc_next_job(struct rpc *rpc)
 {
 	struct rpc_job *job = NULL;
@@ -128,174 +129,178 @@
 	return job;
 }
 
-/* Fetches, and tells how it ended. */
+/* Runs a fetch and reports its result. */
 static void rpc_run_job(struct rpc *rpc, const struct rpc_job *job)
 {
-	struct rpc_transfer part = { .fd = -1 };
+	struct rpc_transfer transfer = { .fd = -1 };
 
-	memcpy(part.out.address, job->address, MAG_ADDR_MAX);
-	part.deadline_us = clk_now_us() + rpc->settings.fetch_timeout_us;
-	part.out.err = rpc_connect(&part);
-	if (!part.out.err && !rpc_fetch_edits(rpc, job, &part))
-		part.out.err = rpc_fetch_text(rpc, job, &part);
-	if (part.client)
-		clnt_destroy(part.client);
-	if (part.fd >= 0)
-		close(part.fd);
-	if (part.out.err) {
-		free(part.out.text);
-		part.out.text = NULL;
-		part.out.len = 0;
+	memcpy(transfer.result.address, job->address, MAG_ADDR_MAX);
+	transfer.deadline_us = clk_now_us() + rpc->settings.fetch_timeout_us;
+	transfer.result.err = rpc_connect(&transfer);
+	if (!transfer.result.err && !rpc_fetch_edits(rpc, job, &transfer))
+		transfer.result.err = rpc_fetch_text(rpc, job, &transfer);
+	if (transfer.client)
+		clnt_destroy(transfer.client);
+	if (transfer.fd >= 0)
+		close(transfer.fd);
+	if (transfer.result.err) {
+		free(transfer.result.text);
+		transfer.result.text = NULL;
+		transfer.result.len = 0;
 		cnt_add(CNT_RPC_FETCH_FAILED, 1);
 	} else {
 		cnt_add(CNT_RPC_FETCHED, 1);
 	}
-	rpc->handlers.fetched(rpc->handlers.ctx, &part.out);
+	rpc->handlers.fetched(rpc->handlers.ctx, &transfer.result);
 }
 
 /*
- * Connects, at most until the deadline.  The library's own connect has none,
- * and a peer behind a cut link would hold the thread for minutes.
+ * Connects, at most until the deadline.  The library's own connect has no
+ * timeout, and an unreachable peer would block the thread for minutes.
  */
-static int rpc_connect(struct rpc_transfer *part)
+static int rpc_connect(struct rpc_transfer *transfer)
 {
 	struct sockaddr_in address;
 	int flags;
 
-	if (rpc_parse_address(part->out.address, &address))
+	if (rpc_parse_address(transfer->result.address, &address))
 		return RPC_E_ADDRESS;
-	part->fd =
+	transfer->fd =
 		socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
-	if (part->fd < 0)
+	if (transfer->fd < 0)
 		return RPC_E_SOCKET;
-	if (connect(part->fd, (struct sockaddr *)&address, sizeof(address)) &&
-	    (errno != EINPROGRESS || rpc_wait_connected(part)))
+	if (connect(transfer->fd, (struct sockaddr *)&address,
+		    sizeof(address)) &&
+	    (errno != EINPROGRESS || rpc_wait_connected(transfer)))
 		return RPC_E_UNREACHABLE;
-	flags = fcntl(part->fd, F_GETFL);
-	fcntl(part->fd, F_SETFL, flags & ~O_NONBLOCK);
-	part->client = clnttcp_create(&address, MAG_X_PROGRAM, MAG_X_VERSION,
-				      &part->fd, 0, 0);
-	return part->client ? RPC_OK : RPC_E_UNREACHABLE;
+	flags = fcntl(transfer->fd, F_GETFL);
+	fcntl(transfer->fd, F_SETFL, flags & ~O_NONBLOCK);
+	transfer->client = clnttcp_create(&address, MAG_X_PROGRAM,
+					  MAG_X_VERSION, &transfer->fd, 0, 0);
+	return transfer->client ? RPC_OK : RPC_E_UNREACHABLE;
 }
 
-static int rpc_wait_connected(const struct rpc_transfer *part)
+static int rpc_wait_connected(const struct rpc_transfer *transfer)
 {
-	struct pollfd fd = { .fd = part->fd, .events = POLLOUT };
-	int64_t left_us = part->deadline_us - clk_now_us();
+	struct pollfd fd = { .fd = transfer->fd, .events = POLLOUT };
+	int64_t remaining_us = transfer->deadline_us - clk_now_us();
 	socklen_t len = sizeof(int);
 	int err = 0;
 
-	if (left_us <= 0 ||
-	    poll(&fd, 1, (int)(left_us / MAG_US_PER_MS) + 1) != 1)
+	if (remaining_us <= 0 ||
+	    poll(&fd, 1, (int)(remaining_us / MAG_US_PER_MS) + 1) != 1)
 		return RPC_E_UNREACHABLE;
-	getsockopt(part->fd, SOL_SOCKET, SO_ERROR, &err, &len);
+	getsockopt(transfer->fd, SOL_SOCKET, SO_ERROR, &err, &len);
 	return err ? RPC_E_UNREACHABLE : RPC_OK;
 }
 
 /*
- * Asks for edits, which are some hundred bytes where the text is megabytes.
- * False if there are none that are new enough; the whole text is fetched then,
- * also from a peer of a version that knows no edits.
+ * Requests edits, which are some hundred bytes while the text is megabytes.
+ * Returns false if there are none that lead to a sufficient revision, also if
+ * the peer runs a version without edits; the complete text is then fetched.
  */
 static bool rpc_fetch_edits(struct rpc *rpc, const struct rpc_job *job,
-			    struct rpc_transfer *part)
+			    struct rpc_transfer *transfer)
 {
-	mag_x_fetch ask = { .format = PEER_VERSION,
-			    .cluster = rpc->cluster,
-			    .revision = job->base_revision };
+	mag_x_fetch request = { .format = PEER_VERSION,
+				.cluster = rpc->cluster,
+				.revision = job->base_revision };
 	mag_x_piece piece = { 0 };
-	bool got;
+	bool ok;
 
 	if (job->base_revision == 0)
 		return false;
-	got = clnt_call(part->client, MAG_X_EDITS, (xdrproc_t)xdr_mag_x_fetch,
-			(caddr_t)&ask, (xdrproc_t)xdr_mag_x_piece,
-			(caddr_t)&piece, rpc_time_left(part)) == RPC_SUCCESS &&
-	      piece.revision >= job->at_least &&
-	      piece.total == piece.bytes.bytes_len &&
-	      rpc_add_piece(rpc, part, &piece) == RPC_OK;
+	ok = clnt_call(transfer->client, MAG_X_EDITS,
+		       (xdrproc_t)xdr_mag_x_fetch, (caddr_t)&request,
+		       (xdrproc_t)xdr_mag_x_piece, (caddr_t)&piece,
+		       rpc_time_left(transfer)) == RPC_SUCCESS &&
+	     piece.revision >= job->min_revision &&
+	     piece.total == piece.bytes.bytes_len &&
+	     rpc_add_piece(rpc, transfer, &piece) == RPC_OK;
 	xdr_free((xdrproc_t)xdr_mag_x_piece, (char *)&piece);
-	if (got) {
-		part->out.base_revision = job->base_revision;
+	if (ok) {
+		transfer->result.base_revision = job->base_revision;
 		return true;
 	}
-	free(part->out.text);
-	part->out.text = NULL;
-	part->out.len = 0;
-	part->started = false;
+	free(transfer->result.text);
+	transfer->result.text = NULL;
+	transfer->result.len = 0;
+	transfer->started = false;
 	return false;
 }
 
-/* Asks for piece after piece until the text is whole. */
+/* Requests pieces until the text is complete. */
 static int rpc_fetch_text(struct rpc *rpc, const struct rpc_job *job,
-			  struct rpc_transfer *part)
+			  struct rpc_transfer *transfer)
 {
-	mag_x_fetch ask = { .format = PEER_VERSION,
-			    .cluster = rpc->cluster,
-			    .revision = job->at_least };
+	mag_x_fetch request = { .format = PEER_VERSION,
+				.cluster = rpc->cluster,
+				.revision = job->min_revision };
 	int err = RPC_OK;
 
 	do {
 		mag_x_piece piece = { 0 };
 
-		ask.offset = (u_int)part->out.len;
-		if (clk_now_us() >= part->deadline_us ||
+		request.offset = (u_int)transfer->result.len;
+		if (clk_now_us() >= transfer->deadline_us ||
 		    atomic_load(&rpc->stopping))
 			return RPC_E_UNREACHABLE;
-		if (clnt_call(part->client, MAG_X_FETCH,
-			      (xdrproc_t)xdr_mag_x_fetch, (caddr_t)&ask,
+		if (clnt_call(transfer->client, MAG_X_FETCH,
+			      (xdrproc_t)xdr_mag_x_fetch, (caddr_t)&request,
 			      (xdrproc_t)xdr_mag_x_piece, (caddr_t)&piece,
-			      rpc_time_left(part)) != RPC_SUCCESS)
+			      rpc_time_left(transfer)) != RPC_SUCCESS)
 			return RPC_E_UNREACHABLE;
-		err = rpc_add_piece(rpc, part, &piece);
+		err = rpc_add_piece(rpc, transfer, &piece);
 		xdr_free((xdrproc_t)xdr_mag_x_piece, (char *)&piece);
-		ask.revision = part->out.revision;
-	} while (!err && part->out.len < part->total);
+		request.revision = transfer->result.revision;
+	} while (!err && transfer->result.len < transfer->total);
 	return err;
 }
 
 /*
- * Adds one piece.  The text may change while it is fetched: pieces of two
- * revisions would make a set that nobody published, so they don't mix.
+ * Appends one piece.  The text may change while it is fetched.  Pieces of two
+ * revisions would form a set that was never published, so a piece of another
+ * revision is an error.
  */
-static int rpc_add_piece(struct rpc *rpc, struct rpc_transfer *part,
+static int rpc_add_piece(struct rpc *rpc, struct rpc_transfer *transfer,
 			 const mag_x_piece *piece)
 {
 	char *text;
 
 	if (piece->status != 0)
 		return RPC_E_NO_REVISION;
-	if (!part->started) {
-		part->started = true;
-		part->out.revision = piece->revision;
-		part->total = piece->total;
+	if (!transfer->started) {
+		transfer->started = true;
+		transfer->result.revision = piece->revision;
+		transfer->total = piece->total;
 	}
-	if (piece->revision != part->out.revision ||
-	    piece->total != part->total ||
+	if (piece->revision != transfer->result.revision ||
+	    piece->total != transfer->total ||
 	    piece->total > rpc->settings.fetch_bytes_max ||
-	    piece->bytes.bytes_len > part->total - part->out.len ||
-	    (piece->bytes.bytes_len == 0 && part->total > part->out.len))
+	    piece->bytes.bytes_len > transfer->total - transfer->result.len ||
+	    (piece->bytes.bytes_len == 0 &&
+	     transfer->total > transfer->result.len))
 		return RPC_E_REPLY;
-	text = realloc(part->out.text,
-		       part->out.len + piece->bytes.bytes_len + 1);
+	text = realloc(transfer->result.text,
+		       transfer->result.len + piece->bytes.bytes_len + 1);
 	if (!text)
 		return RPC_E_MEMORY;
-	memcpy(text + part->out.len, piece->bytes.bytes_val,
+	memcpy(text + transfer->result.len, piece->bytes.bytes_val,
 	       piece->bytes.bytes_len);
-	part->out.text = text;
-	part->out.len += piece->bytes.bytes_len;
-	text[part->out.len] = '\0';
+	transfer->result.text = text;
+	transfer->result.len += piece->bytes.bytes_len;
+	text[transfer->result.len] = '\0';
 	return RPC_OK;
 }
 
-static struct timeval rpc_time_left(const struct rpc_transfer *part)
+static struct timeval rpc_time_left(const struct rpc_transfer *transfer)
 {
-	int64_t left_us = part->deadline_us - clk_now_us();
-	struct timeval left = { 0, 1 };
+	int64_t remaining_us = transfer->deadline_us - clk_now_us();
+	struct timeval remaining = { 0, 1 };
 
-	if (left_us > 0) {
-		left.tv_sec = left_us / MAG_US_PER_S;
-		left.tv_usec = left_us % MAG_US_PER_S;
+	if (remaining_us > 0) {
+		remaining.tv_sec = remaining_us / MAG_US_PER_S;
+		remaining.tv_usec = remaining_us % MAG_US_PER_S;
 	}
-	return left;
+	return remaining;
 }
--- a/src/rpc_int.h
+++ b/src/rpc_int.h
@@ -1,7 +1,7 @@
 #ifndef RPC_INT_H
 #define RPC_INT_H
 
-/* What the files of the rpc family share. */
+/* Internal declarations of the rpc modules. */
 
 #include <netinet/in.h>
 #include <pthread.h>
@@ -12,13 +12,13 @@
 
 #define RPC_FETCH_THREADS_MAX 8
 #define RPC_FETCH_WAITING_MAX 16
-#define RPC_POLL_MS	      200 /* how soon a thread sees that it stops */
+#define RPC_POLL_MS	      200 /* bounds the time to notice a stop */
 
 struct rpc_job {
 	struct cds_list_head node;
 	char address[MAG_ADDR_MAX];
-	uint64_t at_least;
-	uint64_t base_revision; /* to get edits to; 0: none */
+	uint64_t min_revision;
+	uint64_t base_revision; /* that edits apply to; 0: complete text */
 };
 
 struct rpc {
--- a/src/rpc_serve.c
+++ b/src/rpc_serve.c
@@ -11,11 +11,11 @@
 #include "rpc_int.h"
 
 /*
- * Serves the configuration to peers.  The library keeps its connections in
- * tables of the whole process, so one server runs in a process.
+ * Serves the configuration to peers.  The RPC library stores its connections
+ * in tables of the process, so only one server can run per process.
  */
 
-#define RPC_RECORD_MAX	4096 /* longest request */
+#define RPC_RECORD_MAX	4096 /* longest request, in bytes */
 #define RPC_STATUS_NONE 1
 #define RPC_FDS_MAX	256
 #define RPC_NO_FD	(-1)
@@ -34,13 +34,13 @@
 
 	/*
 	 * Without a bound the library waits for the rest of a record that a
-	 * peer has begun and never ends, and serves nobody else meanwhile.
+	 * peer starts but never completes, and serves no other peer meanwhile.
 	 */
 	rpc_control(RPC_SVC_CONNMAXREC_SET, &record_max);
 	transport = svctcp_create(rpc->tcp, 0, 0);
 	if (!transport)
 		return RPC_E_SOCKET;
-	rpc->tcp = RPC_NO_FD; /* the transport owns it */
+	rpc->tcp = RPC_NO_FD; /* owned by the transport from here on */
 	rpc_served = rpc;
 	svc_unregister(MAG_X_PROGRAM, MAG_X_VERSION);
 	if (!svc_register(transport, MAG_X_PROGRAM, MAG_X_VERSION,
@@ -52,7 +52,7 @@
 	return RPC_OK;
 }
 
-/* Ends the thread and closes what it served. */
+/* Stops the server thread and closes its sockets. */
 void rpc_serve_stop(struct rpc *rpc)
 {
 	int i;
@@ -71,7 +71,7 @@
 	rpc_served = NULL;
 }
 
-/* A heartbeat comes as a datagram; one over a stream gets no answer. */
+/* Heartbeats arrive as datagrams; one over a stream gets no reply. */
 bool_t mag_x_heartbeat_1_svc(mag_x_heartbeat arg, void *result,
 			     struct svc_req *request)
 {
@@ -82,7 +82,7 @@
 	return FALSE;
 }
 
-/* Answers with the edits that lead from the asker's revision to this one. */
+/* Replies with the edits that lead from the caller's revision to this one. */
 bool_t mag_x_edits_1_svc(mag_x_fetch arg, mag_x_piece *result,
 			 struct svc_req *request)
 {
@@ -113,7 +113,7 @@
 	return TRUE;
 }
 
-/* Answers with the piece of the text in force that begins at an offset. */
+/* Replies with the piece of the text in force that starts at an offset. */
 bool_t mag_x_fetch_1_svc(mag_x_fetch arg, mag_x_piece *result,
 			 struct svc_req *request)
 {
@@ -148,7 +148,7 @@
 	return TRUE;
 }
 
-/* Frees an answer that was sent. */
+/* Frees a reply that was sent. */
 int mag_x_program_1_freeresult(SVCXPRT *transport, xdrproc_t proc,
 			       caddr_t result)
 {
@@ -157,7 +157,7 @@
 	return 1;
 }
 
-/* As svc_run, but it ends when the owner stops. */
+/* Like svc_run, but returns when the owner stops. */
 static void *rpc_server(void *arg)
 {
 	struct pollfd fds[RPC_FDS_MAX];
