--- a/src/inst.c
+++ b/src/inst.c
@@ -4,42 +4,42 @@
 #include "inst.h"
 
 /*
- * Calls to the platform's service get their ids from the module that makes
- * them; this bit tells the fleet's from the core's.
+ * The module that makes a call to the platform's service assigns its id.  This
+ * bit distinguishes the fleet's ids from the core's.
  */
 #define INST_FLEET_CALL_BIT (UINT64_C(1) << 63)
-/* How often what callers ask of the limits is passed on. */
+/* Interval at which the callers' demand on the limits goes to the fleet. */
 #define INST_DEMAND_PERIOD_US (100 * MAG_US_PER_MS)
 
 struct inst {
 	struct core *core;
 	struct fleet *fleet;
 	char data_centre[MAG_NAME_MAX];
-	uint64_t revision; /* that the fleet knows */
+	uint64_t revision; /* last one given to the fleet */
 	int64_t demand_due_us;
-	struct inst_fetch fetch; /* the last news of a newer revision */
+	struct inst_fetch fetch; /* source of the newest revision announced */
 	bool fetch_pending;
 	struct inst_role role;
 	bool role_reported;
 };
 
 typedef void (*inst_update_fn)(struct inst *inst,
-			       const struct fleet_update *news);
+			       const struct fleet_update *update);
 
 static void post_core(struct inst *inst, const struct core_event *event,
 		      int64_t now);
-static void pass_config(struct inst *inst, int64_t now);
-static void pass_quarantines(struct inst *inst, int64_t now);
-static void pass_demand(struct inst *inst, int64_t now);
-static void take_news(struct inst *inst);
-static void on_revision(struct inst *inst, const struct fleet_update *news);
-static void on_leaving(struct inst *inst, const struct fleet_update *news);
-static void on_quarantine(struct inst *inst, const struct fleet_update *news);
-static void on_share(struct inst *inst, const struct fleet_update *news);
+static void forward_config(struct inst *inst, int64_t now);
+static void forward_quarantines(struct inst *inst, int64_t now);
+static void forward_demand(struct inst *inst, int64_t now);
+static void apply_updates(struct inst *inst);
+static void on_revision(struct inst *inst, const struct fleet_update *update);
+static void on_leaving(struct inst *inst, const struct fleet_update *update);
+static void on_quarantine(struct inst *inst, const struct fleet_update *update);
+static void on_share(struct inst *inst, const struct fleet_update *update);
 static bool next_core_action(struct inst *inst, struct inst_action *action);
 static bool next_role(struct inst *inst, struct inst_action *action);
 
-/* What each kind of news changes here; a peer's coming and going nothing. */
+/* Handlers by type of update; nothing here depends on which peers are up. */
 static const inst_update_fn inst_update_handlers[FLEET_UPDATE_COUNT] = {
 	[FLEET_UPDATE_LEAVING] = on_leaving,
 	[FLEET_UPDATE_QUARANTINE] = on_quarantine,
@@ -47,7 +47,7 @@
 	[FLEET_UPDATE_REVISION] = on_revision,
 };
 
-/* Makes an instance; NULL if memory is short. */
+/* Creates an instance; returns NULL if memory is short. */
 struct inst *inst_new(const struct inst_settings *settings, int64_t now)
 {
 	struct inst *inst = calloc(1, sizeof(*inst));
@@ -65,7 +65,7 @@
 	return inst;
 }
 
-/* Frees an instance with what waits in it. */
+/* Frees an instance and its pending events; NULL is allowed. */
 void inst_free(struct inst *inst)
 {
 	if (!inst)
@@ -77,8 +77,8 @@
 }
 
 /*
- * Takes an event for the next tick; what it points to belongs to the instance.
- * Returns 0, or -1 if it could not be taken.
+ * Accepts an event for the next tick.  The instance takes ownership of what the
+ * event points to.  Returns 0, or -1 if the event was rejected.
  */
 int inst_post(struct inst *inst, const struct inst_event *event, int64_t now)
 {
@@ -91,7 +91,7 @@
 		return fleet_order_done(inst->fleet, &event->order, now) ? -1
 									 : 0;
 	case INST_EV_SEED:
-		/* Its name and data centre are learned when it answers. */
+		/* Its introduction brings its name and data centre. */
 		mag_copy_name(peer.name, sizeof(peer.name), event->seed);
 		mag_copy_name(peer.address, sizeof(peer.address), event->seed);
 		memcpy(peer.data_centre, inst->data_centre,
@@ -103,18 +103,18 @@
 	}
 }
 
-/* Runs the fleet, the core, and what passes between them. */
+/* Runs the fleet and the core, and the exchange between them. */
 void inst_tick(struct inst *inst, int64_t now)
 {
 	fleet_tick(inst->fleet, now);
-	take_news(inst);
+	apply_updates(inst);
 	core_tick(inst->core, now);
-	pass_config(inst, now);
-	pass_quarantines(inst, now);
-	pass_demand(inst, now);
+	forward_config(inst, now);
+	forward_quarantines(inst, now);
+	forward_demand(inst, now);
 }
 
-/* Takes the oldest action; false if there is none. */
+/* Returns the next action; false if there is none. */
 bool inst_next_action(struct inst *inst, struct inst_action *action)
 {
 	if (next_core_action(inst, action))
@@ -139,7 +139,7 @@
 	return false;
 }
 
-/* Returns when the next tick is due at the latest. */
+/* Returns the latest time at which the next tick is due. */
 int64_t inst_next_deadline(const struct inst *inst)
 {
 	int64_t due = core_next_deadline(inst->core);
@@ -148,19 +148,22 @@
 	return other < due ? other : due;
 }
 
-/* Returns the instance's core, to be read between ticks. */
+/* Returns the instance's core, which may be read between ticks. */
 struct core *inst_core(struct inst *inst)
 {
 	return inst->core;
 }
 
-/* Returns the instance's fleet, to be read between ticks. */
+/* Returns the instance's fleet, which may be read between ticks. */
 struct fleet *inst_fleet(struct inst *inst)
 {
 	return inst->fleet;
 }
 
-/* Sorts replies of the platform's service, and tells the fleet of a stop. */
+/*
+ * Posts an event to the core.  Replies to the fleet's calls go to the fleet
+ * instead, and a stop goes to both.
+ */
 static void post_core(struct inst *inst, const struct core_event *event,
 		      int64_t now)
 {
@@ -178,8 +181,11 @@
 	core_post(inst->core, &copy);
 }
 
-/* The fleet reads the core's set, so it has to follow before it runs. */
-static void pass_config(struct inst *inst, int64_t now)
+/*
+ * Gives a new configuration set to the fleet.  The fleet reads the core's set,
+ * so it has to get the new one before it runs again.
+ */
+static void forward_config(struct inst *inst, int64_t now)
 {
 	const struct cfg_set *set = core_config(inst->core);
 
@@ -189,17 +195,19 @@
 	fleet_config(inst->fleet, set, now);
 }
 
-static void pass_quarantines(struct inst *inst, int64_t now)
+static void forward_quarantines(struct inst *inst, int64_t now)
 {
-	uint8_t print[MAG_DIGEST_BYTES];
-	uint32_t lost;
+	uint8_t fingerprint[MAG_DIGEST_BYTES];
+	uint32_t endpoints_lost;
 	int64_t until_us;
 
-	while (core_next_quarantine(inst->core, print, &lost, &until_us))
-		fleet_note_quarantine(inst->fleet, print, lost, until_us, now);
+	while (core_next_quarantine(inst->core, fingerprint, &endpoints_lost,
+				    &until_us))
+		fleet_note_quarantine(inst->fleet, fingerprint, endpoints_lost,
+				      until_us, now);
 }
 
-static void pass_demand(struct inst *inst, int64_t now)
+static void forward_demand(struct inst *inst, int64_t now)
 {
 	const struct cfg_set *set = core_config(inst->core);
 	size_t i;
@@ -212,50 +220,50 @@
 				  core_demand(inst->core, (int)i));
 }
 
-/* Applies what the fleet learned to the core. */
-static void take_news(struct inst *inst)
+/* Applies the fleet's updates to the core. */
+static void apply_updates(struct inst *inst)
 {
-	struct fleet_update news;
+	struct fleet_update update;
 
-	while (fleet_next_update(inst->fleet, &news)) {
-		if (inst_update_handlers[news.type])
-			inst_update_handlers[news.type](inst, &news);
+	while (fleet_next_update(inst->fleet, &update)) {
+		if (inst_update_handlers[update.type])
+			inst_update_handlers[update.type](inst, &update);
 	}
 }
 
-static void on_revision(struct inst *inst, const struct fleet_update *news)
+static void on_revision(struct inst *inst, const struct fleet_update *update)
 {
-	inst->fetch.revision = news->revision.revision;
-	memcpy(inst->fetch.address, news->revision.address,
+	inst->fetch.revision = update->revision.revision;
+	memcpy(inst->fetch.address, update->revision.address,
 	       sizeof(inst->fetch.address));
 	inst->fetch_pending = true;
 }
 
-static void on_leaving(struct inst *inst, const struct fleet_update *news)
+static void on_leaving(struct inst *inst, const struct fleet_update *update)
 {
 	struct core_event event = { .type = CORE_EV_LEAVING };
 
-	memcpy(event.leaving.endpoint, news->leaving.endpoint,
+	memcpy(event.leaving.endpoint, update->leaving.endpoint,
 	       sizeof(event.leaving.endpoint));
-	event.leaving.leaving = news->leaving.leaving;
+	event.leaving.leaving = update->leaving.leaving;
 	core_post(inst->core, &event);
 }
 
-static void on_quarantine(struct inst *inst, const struct fleet_update *news)
+static void on_quarantine(struct inst *inst, const struct fleet_update *update)
 {
-	core_learn_quarantine(inst->core, news->quarantine.fingerprint,
-			      news->quarantine.endpoints_lost,
-			      news->quarantine.until_us);
+	core_learn_quarantine(inst->core, update->quarantine.fingerprint,
+			      update->quarantine.endpoints_lost,
+			      update->quarantine.until_us);
 }
 
-static void on_share(struct inst *inst, const struct fleet_update *news)
+static void on_share(struct inst *inst, const struct fleet_update *update)
 {
-	core_set_share(inst->core, news->share.limit,
-		       news->share.requests_per_s, news->share.tokens_per_s,
-		       news->share.concurrent);
+	core_set_share(inst->core, update->share.limit,
+		       update->share.requests_per_s, update->share.tokens_per_s,
+		       update->share.concurrent);
 }
 
-/* Takes an action of the core, or a call that the fleet wants made. */
+/* Returns the next action of the core, or else the next call of the fleet. */
 static bool next_core_action(struct inst *inst, struct inst_action *action)
 {
 	action->type = INST_ACT_CORE;
@@ -268,7 +276,9 @@
 	return true;
 }
 
-/* Says when this instance becomes a bridge or not, or the fleet's size moves.
+/*
+ * Reports the role when this instance starts or stops being a bridge, or the
+ * number of listed instances changes.
  */
 static bool next_role(struct inst *inst, struct inst_action *action)
 {
--- a/src/inst.h
+++ b/src/inst.h
@@ -2,8 +2,8 @@
 #define INST_H
 
 /*
- * One instance without its shells: a core and a fleet, and what passes
- * between them.  Deterministic, as they are; one thread owns an instance.
+ * One instance without its I/O layers: a core and a fleet, and the exchange
+ * between them.  Deterministic, as both are; one thread owns an instance.
  */
 
 #include "core.h"
@@ -18,9 +18,9 @@
 
 enum inst_event_type {
 	INST_EV_CORE,	  /* an event of the core */
-	INST_EV_PEER_MSG, /* a heartbeat came */
-	INST_EV_ORDER,	  /* an order to an engine ended */
-	INST_EV_SEED,	  /* the settings name a peer */
+	INST_EV_PEER_MSG, /* a heartbeat was received */
+	INST_EV_ORDER,	  /* the result of an order to an engine */
+	INST_EV_SEED,	  /* a peer's address from the settings */
 	INST_EVENT_COUNT
 };
 
@@ -37,9 +37,9 @@
 enum inst_action_type {
 	INST_ACT_CORE,	/* an action of the core */
 	INST_ACT_SEND,	/* a heartbeat to a peer */
-	INST_ACT_FETCH, /* get the configuration from a peer */
+	INST_ACT_FETCH, /* fetch the configuration from a peer */
 	INST_ACT_ORDER, /* an order to an engine */
-	INST_ACT_ROLE,	/* towards the platform's service */
+	INST_ACT_ROLE,	/* this instance's role changed */
 	INST_ACTION_COUNT
 };
 
@@ -53,11 +53,10 @@
 	struct peer_msg msg;
 };
 
-/* What this instance does towards the platform's service. */
+/* The role of this instance in the calls to the platform's service. */
 struct inst_role {
-	bool bridge;	       /* watches the head for its data centre */
-	uint32_t listed_count; /* instances that share the fleet's budget; 0:
-				* unknown
+	bool bridge;	       /* watches the head record for its data centre */
+	uint32_t listed_count; /* instances sharing the call budget; 0: unknown
 				*/
 };
 
--- a/src/ord.c
+++ b/src/ord.c
@@ -43,13 +43,13 @@
 static void ord_execute(const struct plc_order *order,
 			struct plc_order_result *result);
 static CURLcode ord_call(const struct plc_order *order, const char *body,
-			 struct ord_response *answer, long *status);
+			 struct ord_response *response, long *status);
 static char *ord_body(const struct plc_order *order);
-static void ord_parse_state(const struct ord_response *answer,
+static void ord_parse_state(const struct ord_response *response,
 			    struct plc_order_result *result);
 static size_t ord_receive(char *bytes, size_t size, size_t count, void *ctx);
 
-/* Starts the thread; NULL if that fails. */
+/* Starts the thread; returns NULL if that fails. */
 struct ord *ord_start(struct loop *loop)
 {
 	struct ord *ord = calloc(1, sizeof(*ord));
@@ -82,7 +82,7 @@
 	return 0;
 }
 
-/* Ends the thread; orders that were not sent are dropped. */
+/* Stops the thread; orders that were not sent are dropped. */
 void ord_stop(struct ord *ord)
 {
 	struct ord_node *node, *next;
@@ -116,7 +116,7 @@
 	return NULL;
 }
 
-/* Waits for the next order; NULL when the thread is to end. */
+/* Waits for the next order; returns NULL when the thread has to stop. */
 static struct ord_node *ord_next(struct ord *ord)
 {
 	struct ord_node *node = NULL;
@@ -133,14 +133,14 @@
 }
 
 /*
- * Sends one order.  The process may have been paused since the holder decided
- * on it, and its lease may be another's by now; the stored deadline is looked
- * at last, right before the first byte.
+ * Sends one order.  The process may have been paused since the order was
+ * decided, and another instance may hold the placement lease by now.  So the
+ * order's send deadline is checked last, immediately before the first byte.
  */
 static void ord_execute(const struct plc_order *order,
 			struct plc_order_result *result)
 {
-	struct ord_response answer = { .len = 0 };
+	struct ord_response response = { .len = 0 };
 	char *body = ord_body(order);
 	CURLcode code;
 	long status = 0;
@@ -149,7 +149,7 @@
 	result->id = order->id;
 	result->status = PLC_UNSENT;
 	if (clk_now_us() < order->send_before_us) {
-		code = ord_call(order, body, &answer, &status);
+		code = ord_call(order, body, &response, &status);
 		if (code == CURLE_COULDNT_CONNECT)
 			result->status = PLC_UNSENT;
 		else if (code == CURLE_OK && status == ORD_HTTP_CONFLICT)
@@ -160,12 +160,12 @@
 			result->status = PLC_LOST;
 	}
 	if (result->status == PLC_DONE)
-		ord_parse_state(&answer, result);
+		ord_parse_state(&response, result);
 	free(body);
 }
 
 static CURLcode ord_call(const struct plc_order *order, const char *body,
-			 struct ord_response *answer, long *status)
+			 struct ord_response *response, long *status)
 {
 	CURL *easy = curl_easy_init();
 	char url[ORD_URL_MAX];
@@ -180,7 +180,7 @@
 	curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, ORD_TIMEOUT_MS);
 	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, ord_receive);
-	curl_easy_setopt(easy, CURLOPT_WRITEDATA, answer);
+	curl_easy_setopt(easy, CURLOPT_WRITEDATA, response);
 	if (order->kind == PLC_LOAD)
 		curl_easy_setopt(easy, CURLOPT_POSTFIELDS, body);
 	code = curl_easy_perform(easy);
@@ -189,16 +189,16 @@
 	return code;
 }
 
-/* Makes an order's body; the deadline goes along as what remains of it. */
+/* Encodes an order; the deadline is sent as the time that remains. */
 static char *ord_body(const struct plc_order *order)
 {
 	json_t *object;
 	char *text;
-	int64_t left_us = order->deadline_us - clk_now_us();
+	int64_t remaining_us = order->deadline_us - clk_now_us();
 
 	object = json_pack("{s:I, s:I, s:i, s:i, s:s}", "fence",
 			   (json_int_t)order->fence, "deadline_ms",
-			   (json_int_t)(left_us / MAG_US_PER_MS), "first",
+			   (json_int_t)(remaining_us / MAG_US_PER_MS), "first",
 			   (int)order->first_layer, "last",
 			   (int)order->last_layer, "model", order->model);
 	text = json_dumps(object, JSON_COMPACT);
@@ -206,11 +206,11 @@
 	return text;
 }
 
-/* Reads what the engine says it holds. */
-static void ord_parse_state(const struct ord_response *answer,
+/* Parses the state that the engine reports. */
+static void ord_parse_state(const struct ord_response *response,
 			    struct plc_order_result *result)
 {
-	json_t *object = json_loadb(answer->text, answer->len, 0, NULL);
+	json_t *object = json_loadb(response->text, response->len, 0, NULL);
 	const char *model = json_string_value(json_object_get(object, "model"));
 
 	if (model)
@@ -225,12 +225,12 @@
 
 static size_t ord_receive(char *bytes, size_t size, size_t count, void *ctx)
 {
-	struct ord_response *answer = ctx;
+	struct ord_response *response = ctx;
 	size_t len = size * count;
 
-	if (answer->len + len > sizeof(answer->text))
+	if (response->len + len > sizeof(response->text))
 		return 0;
-	memcpy(answer->text + answer->len, bytes, len);
-	answer->len += len;
+	memcpy(response->text + response->len, bytes, len);
+	response->len += len;
 	return len;
 }
--- a/src/ord.h
+++ b/src/ord.h
@@ -1,7 +1,10 @@
 #ifndef ORD_H
 #define ORD_H
 
-/* Carries the placement holder's orders to engines, one thread for all. */
+/*
+ * Sends orders to engines while this instance holds the placement lease.  One
+ * thread sends all orders.
+ */
 
 #include "loop.h"
 #include "plc.h"
