--- a/regress/check_fleet.c
+++ b/regress/check_fleet.c
@@ -6,74 +6,77 @@
 #include "script.h"
 
 /*
- * Scripts of regress/fleet: many fleets act together in virtual time.  Nodes
- * are written as numbers, 3-5, dN (a data centre), or all.
+ * Driver for the scripts of regress/fleet: many fleets interact in virtual
+ * time.  A script names nodes by a number, a range such as 3-5, dN (a data
+ * centre), or all.
  */
 
 #define LIMITS_MAX  400
 #define RECORDS_MAX 8
 
-/* What one instance was told. */
-struct told {
+/* What one instance's fleet has reported, and the demand set on it. */
+struct node_state {
 	double share[LIMITS_MAX];
 	double demand[LIMITS_MAX];
 	bool leaving[RECORDS_MAX];
-	int quarantined;
-	int64_t quarantined_at;
-	int64_t knew_at;
+	int quarantine_count;
+	int64_t quarantined_at_us;
+	int64_t notified_at_us;
 	uint64_t revision;
-	uint64_t highest;
+	uint64_t max_revision;
 	bool reverted;
 	int64_t fetch_at_us;
-	uint64_t fetch;
+	uint64_t fetch_revision;
 	uint64_t arrivals;
-	int64_t last_arrival;
+	int64_t last_arrival_us;
 	int ups;
 	int downs;
 };
 
 struct run {
 	struct net net;
-	struct told told[NET_MAX];
+	struct node_state states[NET_MAX];
 	struct cfg_set set;
 	struct cfg_limit limits[LIMITS_MAX];
 	struct cfg_endpoint endpoints[RECORDS_MAX];
-	int64_t marked;
+	int64_t mark_us;
 	FILE *out;
 };
 
-static void on_news(struct net *net, int node, const struct fleet_update *news)
+static void on_update(struct net *net, int node,
+		      const struct fleet_update *update)
 {
 	struct run *run = net->ctx;
-	struct told *told = &run->told[node];
+	struct node_state *state = &run->states[node];
 	int i;
 
-	switch (news->type) {
+	switch (update->type) {
 	case FLEET_UPDATE_SHARE:
-		told->share[news->share.limit] = news->share.requests_per_s;
+		state->share[update->share.limit] =
+			update->share.requests_per_s;
 		break;
 	case FLEET_UPDATE_LEAVING:
-		i = cfg_find_endpoint(&run->set, news->leaving.endpoint);
+		i = cfg_find_endpoint(&run->set, update->leaving.endpoint);
 		if (i >= 0)
-			told->leaving[i] = news->leaving.leaving;
-		told->knew_at = net->now;
+			state->leaving[i] = update->leaving.leaving;
+		state->notified_at_us = net->now;
 		break;
 	case FLEET_UPDATE_QUARANTINE:
-		told->quarantined++;
-		told->quarantined_at = net->now;
+		state->quarantine_count++;
+		state->quarantined_at_us = net->now;
 		break;
 	case FLEET_UPDATE_REVISION:
-		told->fetch = news->revision.revision;
-		told->fetch_at_us = net->now + 50 * MAG_US_PER_MS;
+		state->fetch_revision = update->revision.revision;
+		state->fetch_at_us = net->now + 50 * MAG_US_PER_MS;
 		break;
 	default:
-		told->ups += news->peer.up;
-		told->downs += !news->peer.up;
+		state->ups += update->peer.up;
+		state->downs += !update->peer.up;
 	}
 }
 
-/* Reads a list of nodes; returns the rest of the text. */
-static int nodes(const struct run *run, const char *text, int *list)
+/* Parses a set of nodes into list; returns their number. */
+static int parse_nodes(const struct run *run, const char *text, int *list)
 {
 	int low = 0;
 	int high = run->net.count - 1;
@@ -93,38 +96,39 @@
 	return count;
 }
 
-static void work(struct run *run)
+static void step(struct run *run)
 {
 	int i;
 
 	net_step(&run->net);
 	for (i = 0; i < run->net.count; i++) {
-		struct told *told = &run->told[i];
+		struct node_state *state = &run->states[i];
 
 		if (!run->net.nodes[i].alive || run->net.nodes[i].paused)
 			continue;
-		if (told->fetch && run->net.now >= told->fetch_at_us) {
-			told->revision = told->fetch;
-			told->fetch = 0;
-			told->knew_at = run->net.now;
+		if (state->fetch_revision &&
+		    run->net.now >= state->fetch_at_us) {
+			state->revision = state->fetch_revision;
+			state->fetch_revision = 0;
+			state->notified_at_us = run->net.now;
 			fleet_note_revision(run->net.nodes[i].fleet,
-					    told->revision, run->net.now);
+					    state->revision, run->net.now);
 		}
-		told->reverted |= told->revision < told->highest;
-		if (told->revision > told->highest)
-			told->highest = told->revision;
-		if (!told->leaving[0]) {
-			told->arrivals++;
-			told->last_arrival = run->net.now;
+		state->reverted |= state->revision < state->max_revision;
+		if (state->revision > state->max_revision)
+			state->max_revision = state->revision;
+		if (!state->leaving[0]) {
+			state->arrivals++;
+			state->last_arrival_us = run->net.now;
 		}
 	}
 }
 
-/* Runs for some time and prints how much of limit 0 the nodes used. */
+/* Runs for some time and prints how much of limit 0 the nodes use. */
 static void measure(struct run *run, long ms, const char *who)
 {
 	int list[NET_MAX];
-	int count = nodes(run, who, list);
+	int count = parse_nodes(run, who, list);
 	double limit = run->limits[0].requests_per_s;
 	double least = 1e9;
 	double most = 0;
@@ -136,12 +140,12 @@
 	for (s = 0; s < steps; s++) {
 		double used = 0;
 
-		work(run);
+		step(run);
 		for (i = 0; i < count; i++) {
-			struct told *told = &run->told[list[i]];
+			struct node_state *state = &run->states[list[i]];
 
 			if (run->net.nodes[list[i]].alive)
-				used += fmin(told->share[0], told->demand[0]);
+				used += fmin(state->share[0], state->demand[0]);
 		}
 		least = fmin(least, used);
 		most = fmax(most, used);
@@ -154,7 +158,7 @@
 		100 * most / limit);
 }
 
-/* Draws a new demand for every node each period, and measures as one. */
+/* Sets a random demand on every node each period; measures all together. */
 static void storm(struct run *run, long ms, long period_ms)
 {
 	double limit = run->limits[0].requests_per_s;
@@ -169,21 +173,21 @@
 		double demand = 0;
 
 		for (i = 0; i < run->net.count; i++) {
-			struct told *told = &run->told[i];
+			struct node_state *state = &run->states[i];
 
 			if (t % period_ms == 0)
-				told->demand[0] = net_random(&run->net) % 400;
+				state->demand[0] = net_random(&run->net) % 400;
 			fleet_note_demand(run->net.nodes[i].fleet, 0,
-					  told->demand[0]);
+					  state->demand[0]);
 		}
-		work(run);
+		step(run);
 		for (i = 0; i < run->net.count; i++) {
-			struct told *told = &run->told[i];
+			struct node_state *state = &run->states[i];
 
 			if (!run->net.nodes[i].alive)
 				continue;
-			demand += told->demand[0];
-			used += fmin(told->share[0], told->demand[0]);
+			demand += state->demand[0];
+			used += fmin(state->share[0], state->demand[0]);
 		}
 		most = fmax(most, used);
 		sum += used;
@@ -210,52 +214,52 @@
 	run->set.endpoints = run->endpoints;
 	run->set.endpoint_count = RECORDS_MAX;
 	run->net.set = &run->set;
-	run->net.news = on_news;
+	run->net.news = on_update;
 	run->net.ctx = run;
 	net_init(&run->net, dcs, count);
 }
 
-/* Prints when the last of the nodes came to know, after the mark. */
-static void show_known(struct run *run, const char *who, const char *what)
+/* Prints how long after the mark the last of the nodes was notified. */
+static void show_notified(struct run *run, const char *who, const char *what)
 {
 	int list[NET_MAX];
-	int count = nodes(run, who, list);
+	int count = parse_nodes(run, who, list);
 	int known = 0;
-	int64_t last = run->marked;
+	int64_t last = run->mark_us;
 	int i;
 
 	for (i = 0; i < count; i++) {
-		struct told *told = &run->told[list[i]];
-		int64_t at = told->knew_at;
+		struct node_state *state = &run->states[list[i]];
+		int64_t at = state->notified_at_us;
 
 		if (what[0] == 'q')
-			at = told->quarantined_at;
-		known += at > run->marked;
+			at = state->quarantined_at_us;
+		known += at > run->mark_us;
 		if (at > last)
 			last = at;
 	}
-	fprintf(run->out, "%s: %d of %d were told, the last after %lld ms\n",
-		who, known, count,
-		(long long)(last - run->marked) / MAG_US_PER_MS);
+	fprintf(run->out,
+		"%s: %d of %d were notified, the last after %lld ms\n", who,
+		known, count, (long long)(last - run->mark_us) / MAG_US_PER_MS);
 }
 
 static void show_arrivals(struct run *run)
 {
-	int64_t last = run->marked;
+	int64_t last = run->mark_us;
 	int i;
 
 	for (i = 0; i < run->net.count; i++) {
-		if (run->told[i].last_arrival > last)
-			last = run->told[i].last_arrival;
+		if (run->states[i].last_arrival_us > last)
+			last = run->states[i].last_arrival_us;
 	}
 	fprintf(run->out, "last arrival at e0 %lld ms after the mark\n",
-		(long long)(last - run->marked) / MAG_US_PER_MS);
+		(long long)(last - run->mark_us) / MAG_US_PER_MS);
 }
 
 static void show_groups(struct run *run, const char *who)
 {
 	int list[NET_MAX];
-	int count = nodes(run, who, list);
+	int count = parse_nodes(run, who, list);
 	int bridges = 0;
 	int i;
 
@@ -270,48 +274,48 @@
 	fprintf(run->out, " bridges %d\n", bridges);
 }
 
-/* Prints how many of the nodes keep e0 off, and know how many prints. */
-static void show_kept(struct run *run, const char *who)
+/* Prints how many nodes have e0 as leaving, and their quarantine counts. */
+static void show_records(struct run *run, const char *who)
 {
 	int list[NET_MAX];
-	int count = nodes(run, who, list);
-	int prints = INT32_MAX;
+	int count = parse_nodes(run, who, list);
+	int fingerprints = INT32_MAX;
 	int leaving = 0;
 	int i;
 
 	for (i = 0; i < count; i++) {
-		struct told *told = &run->told[list[i]];
+		struct node_state *state = &run->states[list[i]];
 
-		leaving += told->leaving[0];
-		if (told->quarantined < prints)
-			prints = told->quarantined;
+		leaving += state->leaving[0];
+		if (state->quarantine_count < fingerprints)
+			fingerprints = state->quarantine_count;
 	}
-	fprintf(run->out, "%s: %d of %d keep e0 off, each has %d prints\n", who,
-		leaving, count, prints);
+	fprintf(run->out, "%s: %d of %d avoid e0, each has %d fingerprints\n",
+		who, leaving, count, fingerprints);
 }
 
 static void show_revisions(struct run *run, const char *who)
 {
 	int list[NET_MAX];
-	int count = nodes(run, who, list);
+	int count = parse_nodes(run, who, list);
 	uint64_t low = UINT64_MAX;
 	uint64_t high = 0;
 	bool reverted = false;
 	int i;
 
 	for (i = 0; i < count; i++) {
-		struct told *told = &run->told[list[i]];
+		struct node_state *state = &run->states[list[i]];
 
-		low = told->revision < low ? told->revision : low;
-		high = told->revision > high ? told->revision : high;
-		reverted |= told->reverted;
+		low = state->revision < low ? state->revision : low;
+		high = state->revision > high ? state->revision : high;
+		reverted |= state->reverted;
 	}
 	fprintf(run->out, "%s revisions %llu to %llu, %s\n", who,
 		(unsigned long long)low, (unsigned long long)high,
 		reverted ? "reverted" : "none reverted");
 }
 
-/* A heartbeat that node 0 never sent: what is done with it? */
+/* Sends node 0 a forged heartbeat and prints whether it is accepted. */
 static void forge(struct run *run, const char *how)
 {
 	struct peer_msg msg = { .version = PEER_VERSION,
@@ -337,21 +341,21 @@
 	else if (strcmp(how, "demands") == 0)
 		msg.demand_count = PEER_DEMANDS_MAX + 1;
 	err = fleet_receive(run->net.nodes[0].fleet, &msg, run->net.now);
-	fprintf(run->out, "forged %s: %s\n", how, err ? "dropped" : "taken");
+	fprintf(run->out, "forged %s: %s\n", how, err ? "dropped" : "accepted");
 }
 
-static void each_node(struct run *run, const char *verb, const char *who,
-		      double value, int index)
+static void apply_to_nodes(struct run *run, const char *verb, const char *who,
+			   double value, int index)
 {
 	int list[NET_MAX];
-	int count = nodes(run, who, list);
-	uint8_t print[MAG_DIGEST_BYTES] = { 0 };
+	int count = parse_nodes(run, who, list);
+	uint8_t fingerprint[MAG_DIGEST_BYTES] = { 0 };
 	int i;
 
-	print[0] = (uint8_t)index;
+	fingerprint[0] = (uint8_t)index;
 	for (i = 0; i < count; i++) {
 		struct net_node *node = &run->net.nodes[list[i]];
-		struct told *told = &run->told[list[i]];
+		struct node_state *state = &run->states[list[i]];
 
 		if (strcmp(verb, "kill") == 0) {
 			node->alive = false;
@@ -360,7 +364,7 @@
 		} else if (strcmp(verb, "wake") == 0) {
 			node->paused = false;
 		} else if (strcmp(verb, "start") == 0) {
-			memset(told, 0, sizeof(*told));
+			memset(state, 0, sizeof(*state));
 			net_start(&run->net, list[i]);
 		} else if (strcmp(verb, "stop") == 0) {
 			fleet_note_stopping(node->fleet, run->net.now);
@@ -368,23 +372,23 @@
 			run->net.platform_cut[list[i]] = value > 0;
 			run->net.unlisted[list[i]] = value > 0;
 		} else if (strcmp(verb, "demand") == 0) {
-			told->demand[index] = value;
+			state->demand[index] = value;
 			fleet_note_demand(node->fleet, index, value);
 		} else if (strcmp(verb, "leaving") == 0) {
 			fleet_note_leaving(node->fleet,
 					   run->endpoints[index].name,
 					   value > 0, run->net.now);
 		} else if (strcmp(verb, "quarantine") == 0) {
-			told->quarantined++;
-			told->quarantined_at = run->net.now;
+			state->quarantine_count++;
+			state->quarantined_at_us = run->net.now;
 			fleet_note_quarantine(
-				node->fleet, print, 2,
+				node->fleet, fingerprint, 2,
 				run->net.now + (int64_t)(value * MAG_US_PER_S),
 				run->net.now);
 		} else if (strcmp(verb, "revision") == 0) {
-			told->revision = (uint64_t)value;
-			told->knew_at = run->net.now;
-			fleet_note_revision(node->fleet, told->revision,
+			state->revision = (uint64_t)value;
+			state->notified_at_us = run->net.now;
+			fleet_note_revision(node->fleet, state->revision,
 					    run->net.now);
 		} else {
 			fprintf(run->out, "unknown verb %s\n", verb);
@@ -398,8 +402,8 @@
 {
 	int a[NET_MAX];
 	int b[NET_MAX];
-	int a_count = nodes(run, from, a);
-	int b_count = nodes(run, to, b);
+	int a_count = parse_nodes(run, from, a);
+	int b_count = parse_nodes(run, to, b);
 	int i;
 	int j;
 
@@ -418,10 +422,10 @@
 
 	(void)b;
 	for (ms = 0; ms < atol(a); ms += 10)
-		work(run);
+		step(run);
 }
 
-/* Runs, and prints how many calls the platform got, and in its worst second. */
+/* Runs, and prints the mean and the highest call rate at the platform. */
 static void do_calls(struct run *run, const char *a, const char *b)
 {
 	long seconds = atol(a) / 1000;
@@ -441,7 +445,7 @@
 		(unsigned long long)most);
 }
 
-/* Prints the sum of all parts of a fleet-wide rate of calls. */
+/* Prints the sum of the instances' parts of a fleet-wide call rate. */
 static void do_parts(struct run *run, const char *a, const char *b)
 {
 	uint32_t sum = 0;
@@ -471,7 +475,7 @@
 {
 	(void)a;
 	(void)b;
-	run->marked = run->net.now;
+	run->mark_us = run->net.now;
 }
 
 static void do_loss(struct run *run, const char *a, const char *b)
@@ -486,7 +490,7 @@
 	run->net.platform_delay_us = atol(b) * MAG_US_PER_MS;
 }
 
-/* From now on the list of the first bridge shows e0 as leaving. */
+/* Makes the list that the first bridge reads show e0 as leaving. */
 static void do_list_leaving(struct run *run, const char *a, const char *b)
 {
 	int i = 0;
@@ -536,7 +540,7 @@
 static void do_kept(struct run *run, const char *a, const char *b)
 {
 	(void)b;
-	show_kept(run, a);
+	show_records(run, a);
 }
 
 static void do_revisions(struct run *run, const char *a, const char *b)
@@ -562,7 +566,7 @@
 	{ "cut1", do_cut_one_way },
 	{ "join", do_join },
 	{ "forge", do_forge },
-	{ "known", show_known },
+	{ "known", show_notified },
 	{ "arrivals", do_arrivals },
 	{ "groups", do_groups },
 	{ "kept", do_kept },
@@ -591,7 +595,7 @@
 		}
 	}
 	sscanf(line, "%*s %*s %lf %d", &value, &index);
-	each_node(run, verb, a, value, index);
+	apply_to_nodes(run, verb, a, value, index);
 }
 
 static void driver(FILE *in, FILE *out)
--- a/regress/check_msgs.h
+++ b/regress/check_msgs.h
@@ -5,13 +5,13 @@
 #include <stdio.h>
 
 /*
- * Fails if a numbered message of a validator stands in no expected output of
- * a folder: one that nothing brings up could be wrong without notice.
+ * Fails if a numbered message of a validator occurs in no expected output of a
+ * directory: a message that no test triggers could be wrong without notice.
  */
 
 #define MSGS_MAX 256
 
-/* Notes the number that ends each line of an expected output. */
+/* Marks the message number at the end of each line of an expected output. */
 static void note_numbers(const char *path, bool *seen)
 {
 	char line[1024];
--- a/regress/check_rpc.c
+++ b/regress/check_rpc.c
@@ -18,8 +18,8 @@
 #define PORT_TRIES 200
 #define TEXT_BYTES 700000
 
-/* What the handlers were given, and what they serve. */
-struct got {
+/* What the handlers received, and what they serve. */
+struct received {
 	pthread_mutex_t lock;
 	pthread_cond_t wake;
 	int messages;
@@ -30,57 +30,57 @@
 	size_t len;
 };
 
-static struct got got = { .lock = PTHREAD_MUTEX_INITIALIZER,
-			  .wake = PTHREAD_COND_INITIALIZER };
+static struct received received = { .lock = PTHREAD_MUTEX_INITIALIZER,
+				    .wake = PTHREAD_COND_INITIALIZER };
 static struct rpc *rpc;
 static char address[MAG_ADDR_MAX];
 
 static void on_message(void *ctx, const struct peer_msg *msg)
 {
 	(void)ctx;
-	pthread_mutex_lock(&got.lock);
-	got.messages++;
-	got.last = *msg;
-	pthread_cond_signal(&got.wake);
-	pthread_mutex_unlock(&got.lock);
+	pthread_mutex_lock(&received.lock);
+	received.messages++;
+	received.last = *msg;
+	pthread_cond_signal(&received.wake);
+	pthread_mutex_unlock(&received.lock);
 }
 
-static int on_serve(void *ctx, uint64_t at_least, uint64_t *revision,
+static int on_serve(void *ctx, uint64_t min_revision, uint64_t *revision,
 		    char **text, size_t *len)
 {
 	size_t i;
 
 	(void)ctx;
-	if (at_least > got.revision)
+	if (min_revision > received.revision)
 		return -1;
-	*text = malloc(got.len + 1);
-	for (i = 0; i < got.len; i++)
+	*text = malloc(received.len + 1);
+	for (i = 0; i < received.len; i++)
 		(*text)[i] = (char)('a' + i * 7 % 26);
-	*revision = got.revision;
-	*len = got.len;
+	*revision = received.revision;
+	*len = received.len;
 	return 0;
 }
 
-static int on_edits(void *ctx, uint64_t have, uint64_t *revision, char **text,
-		    size_t *len)
+static int on_edits(void *ctx, uint64_t base_revision, uint64_t *revision,
+		    char **text, size_t *len)
 {
 	(void)ctx;
-	if (have < 10)
+	if (base_revision < 10)
 		return -1;
 	*text = strdup("edits");
 	*len = strlen(*text);
-	*revision = got.revision;
+	*revision = received.revision;
 	return 0;
 }
 
 static void on_fetched(void *ctx, const struct rpc_fetched *fetched)
 {
 	(void)ctx;
-	pthread_mutex_lock(&got.lock);
-	got.fetches++;
-	got.fetched = *fetched;
-	pthread_cond_signal(&got.wake);
-	pthread_mutex_unlock(&got.lock);
+	pthread_mutex_lock(&received.lock);
+	received.fetches++;
+	received.fetched = *fetched;
+	pthread_cond_signal(&received.wake);
+	pthread_mutex_unlock(&received.lock);
 }
 
 static int set_up(void **state)
@@ -111,13 +111,13 @@
 
 static void wait_for(const int *count, int wanted)
 {
-	pthread_mutex_lock(&got.lock);
+	pthread_mutex_lock(&received.lock);
 	while (*count < wanted)
-		pthread_cond_wait(&got.wake, &got.lock);
-	pthread_mutex_unlock(&got.lock);
+		pthread_cond_wait(&received.wake, &received.lock);
+	pthread_mutex_unlock(&received.lock);
 }
 
-static struct peer_msg whole_message(void)
+static struct peer_msg full_message(void)
 {
 	struct peer_msg msg = { .version = PEER_VERSION,
 				.cluster = 7,
@@ -145,32 +145,32 @@
 	return msg;
 }
 
-/* A heartbeat comes out as it went in. */
+/* A heartbeat arrives with every field unchanged. */
 static void test_heartbeat(void **state)
 {
-	struct peer_msg msg = whole_message();
+	struct peer_msg msg = full_message();
 
 	(void)state;
 	assert_int_equal(rpc_send(rpc, address, &msg), RPC_OK);
-	wait_for(&got.messages, 1);
-	assert_memory_equal(&msg, &got.last, sizeof(msg));
+	wait_for(&received.messages, 1);
+	assert_memory_equal(&msg, &received.last, sizeof(msg));
 }
 
 /*
- * Datagrams that are cut short, changed in any byte, too long or no message
- * at all come from a broken network or a foreign program.  They are dropped
- * or decode within their bounds, and the next heartbeat is taken.
+ * A broken network or a foreign program sends datagrams that are truncated,
+ * changed in any byte, too long or not messages at all.  They are dropped or
+ * decode within their bounds, and the next heartbeat is received.
  */
 static void test_malformed(void **state)
 {
-	struct peer_msg msg = whole_message();
+	struct peer_msg msg = full_message();
 	struct peer_msg out;
 	char buf[PEER_WIRE_MAX];
 	char bad[PEER_WIRE_MAX];
 	int len = peer_wire_encode(&msg, 1, buf, sizeof(buf));
 	uint64_t dropped = cnt_get(CNT_RPC_MALFORMED);
 	struct sockaddr_in to;
-	int before = got.messages;
+	int before = received.messages;
 	int i;
 
 	(void)state;
@@ -188,93 +188,93 @@
 	sendto(rpc->udp, buf, (size_t)len - 1, 0, (struct sockaddr *)&to,
 	       sizeof(to));
 	rpc_send(rpc, address, &msg);
-	wait_for(&got.messages, before + 1);
+	wait_for(&received.messages, before + 1);
 	assert_int_equal(cnt_get(CNT_RPC_MALFORMED), dropped + 1);
 }
 
-/* The text comes whole, in pieces, from a peer while nothing else serves it. */
+/* The complete text arrives in pieces from a peer that is the only source. */
 static void test_fetch(void **state)
 {
 	char *text;
 	uint64_t revision;
 	size_t len;
-	int before = got.fetches;
+	int before = received.fetches;
 
 	(void)state;
-	got.revision = 12;
-	got.len = TEXT_BYTES;
+	received.revision = 12;
+	received.len = TEXT_BYTES;
 	assert_int_equal(rpc_fetch(rpc, address, 11, 0), RPC_OK);
-	wait_for(&got.fetches, before + 1);
-	assert_int_equal(got.fetched.err, RPC_OK);
-	assert_int_equal(got.fetched.revision, 12);
-	assert_int_equal(got.fetched.len, TEXT_BYTES);
+	wait_for(&received.fetches, before + 1);
+	assert_int_equal(received.fetched.err, RPC_OK);
+	assert_int_equal(received.fetched.revision, 12);
+	assert_int_equal(received.fetched.len, TEXT_BYTES);
 	on_serve(NULL, 0, &revision, &text, &len);
-	assert_memory_equal(got.fetched.text, text, TEXT_BYTES);
+	assert_memory_equal(received.fetched.text, text, TEXT_BYTES);
 	free(text);
-	free(got.fetched.text);
+	free(received.fetched.text);
 }
 
 /*
- * One that holds a revision gets edits to it; the whole text if the peer keeps
- * none from so far back, or only to a revision that is too old.
+ * A caller that has a revision gets edits to it.  It gets the complete text if
+ * the peer has no edits from that revision, or only to one that is too old.
  */
 static void test_fetch_edits(void **state)
 {
-	int before = got.fetches;
+	int before = received.fetches;
 
 	(void)state;
 	assert_int_equal(rpc_fetch(rpc, address, 12, 11), RPC_OK);
-	wait_for(&got.fetches, before + 1);
-	assert_int_equal(got.fetched.err, RPC_OK);
-	assert_int_equal(got.fetched.base_revision, 11);
-	assert_int_equal(got.fetched.revision, 12);
-	assert_string_equal(got.fetched.text, "edits");
-	free(got.fetched.text);
+	wait_for(&received.fetches, before + 1);
+	assert_int_equal(received.fetched.err, RPC_OK);
+	assert_int_equal(received.fetched.base_revision, 11);
+	assert_int_equal(received.fetched.revision, 12);
+	assert_string_equal(received.fetched.text, "edits");
+	free(received.fetched.text);
 	assert_int_equal(rpc_fetch(rpc, address, 12, 9), RPC_OK);
-	wait_for(&got.fetches, before + 2);
-	assert_int_equal(got.fetched.err, RPC_OK);
-	assert_int_equal(got.fetched.base_revision, 0);
-	assert_int_equal(got.fetched.len, TEXT_BYTES);
-	free(got.fetched.text);
+	wait_for(&received.fetches, before + 2);
+	assert_int_equal(received.fetched.err, RPC_OK);
+	assert_int_equal(received.fetched.base_revision, 0);
+	assert_int_equal(received.fetched.len, TEXT_BYTES);
+	free(received.fetched.text);
 	assert_int_equal(rpc_fetch(rpc, address, 13, 11), RPC_OK);
-	wait_for(&got.fetches, before + 3);
-	assert_int_equal(got.fetched.err, RPC_E_NO_REVISION);
+	wait_for(&received.fetches, before + 3);
+	assert_int_equal(received.fetched.err, RPC_E_NO_REVISION);
 }
 
-/* A peer that lacks the revision says so. */
+/* A peer that lacks the revision reports that. */
 static void test_fetch_none(void **state)
 {
-	int before = got.fetches;
+	int before = received.fetches;
 
 	(void)state;
 	assert_int_equal(rpc_fetch(rpc, address, 13, 0), RPC_OK);
-	wait_for(&got.fetches, before + 1);
-	assert_int_equal(got.fetched.err, RPC_E_NO_REVISION);
-	assert_null(got.fetched.text);
+	wait_for(&received.fetches, before + 1);
+	assert_int_equal(received.fetched.err, RPC_E_NO_REVISION);
+	assert_null(received.fetched.text);
 }
 
-/* A text beyond the bound is refused, whatever a peer sends. */
+/* A text that exceeds the size bound is rejected, whatever a peer sends. */
 static void test_fetch_bound(void **state)
 {
-	int before = got.fetches;
+	int before = received.fetches;
 
 	(void)state;
-	got.len = (16u << 20) + 1;
+	received.len = (16u << 20) + 1;
 	assert_int_equal(rpc_fetch(rpc, address, 11, 0), RPC_OK);
-	wait_for(&got.fetches, before + 1);
-	assert_int_equal(got.fetched.err, RPC_E_REPLY);
+	wait_for(&received.fetches, before + 1);
+	assert_int_equal(received.fetched.err, RPC_E_REPLY);
 }
 
 /*
- * A peer accepts the connection and then stands still.  The fetch ends with
- * an error at its deadline, so that another peer can be asked.
+ * A peer accepts the connection and then stops responding.  The fetch fails at
+ * its deadline, so that another peer can be tried.
  */
 static void test_fetch_hung(void **state)
 {
 	struct sockaddr_in local = { .sin_family = AF_INET };
 	socklen_t len = sizeof(local);
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
-	int before = got.fetches;
+	int before = received.fetches;
 	char hung[MAG_ADDR_MAX];
 
 	(void)state;
@@ -284,33 +284,33 @@
 	getsockname(fd, (struct sockaddr *)&local, &len);
 	snprintf(hung, sizeof(hung), "127.0.0.1:%d", ntohs(local.sin_port));
 	assert_int_equal(rpc_fetch(rpc, hung, 1, 0), RPC_OK);
-	wait_for(&got.fetches, before + 1);
-	assert_int_equal(got.fetched.err, RPC_E_UNREACHABLE);
+	wait_for(&received.fetches, before + 1);
+	assert_int_equal(received.fetched.err, RPC_E_UNREACHABLE);
 	close(fd);
 	assert_int_equal(rpc_fetch(rpc, hung, 1, 0), RPC_OK);
-	wait_for(&got.fetches, before + 2);
-	assert_int_equal(got.fetched.err, RPC_E_UNREACHABLE);
+	wait_for(&received.fetches, before + 2);
+	assert_int_equal(received.fetched.err, RPC_E_UNREACHABLE);
 }
 
 /*
- * A caller begins a request over the stream and never ends it.  Others are
- * served all the same.
+ * A caller starts a request over the stream and never completes it.  Other
+ * callers are still served.
  */
 static void test_half_request(void **state)
 {
 	struct sockaddr_in to;
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
-	int before = got.fetches;
+	int before = received.fetches;
 
 	(void)state;
-	got.len = 1000;
+	received.len = 1000;
 	rpc_parse_address(address, &to);
 	assert_int_equal(connect(fd, (struct sockaddr *)&to, sizeof(to)), 0);
 	assert_int_equal(write(fd, "\x80\0\0\x40half", 8), 8);
 	assert_int_equal(rpc_fetch(rpc, address, 12, 0), RPC_OK);
-	wait_for(&got.fetches, before + 1);
-	assert_int_equal(got.fetched.err, RPC_OK);
-	free(got.fetched.text);
+	wait_for(&received.fetches, before + 1);
+	assert_int_equal(received.fetched.err, RPC_OK);
+	free(received.fetched.text);
 	close(fd);
 }
 
