--- a/src/fleet.c
+++ b/src/fleet.c
@@ -12,9 +12,8 @@
 #define FLEET_INSTANCES_MAX 12 /* when the settings give none */
 #define FLEET_RECORDS_MAX   4096
 #define FLEET_RESEND_US	    (500 * MAG_US_PER_MS)
-#define FLEET_FETCH_INTERVAL_US                                                \
-	(500 * MAG_US_PER_MS)		      /* between two fetches           \
-					       */
+/* Least time between two fetches of the same revision. */
+#define FLEET_FETCH_INTERVAL_US	 (500 * MAG_US_PER_MS)
 #define FLEET_BRIDGE_POLL_US	 MAG_US_PER_S /* least for a bridge */
 #define FLEET_BRIDGE_POLLS_PER_S 6	      /* of all bridges together */
 #define FLEET_POLL_US		 (60 * MAG_US_PER_S) /* least for the others */
@@ -33,14 +32,14 @@
 	const struct cfg_set *set;
 	int64_t now;
 	uint64_t revision;
-	uint64_t fetch_revision;
+	uint64_t fetch_revision; /* last one requested from a peer */
 	int64_t refetch_after_us;
 	bool fetch_pending;
-	int fetch_link;
+	int fetch_link; /* the peer to fetch from */
 	int64_t next_list_us;
-	bool list_running;
-	bool list_pending;
-	int rail;
+	bool list_running; /* a call for the list is pending or in progress */
+	bool list_pending; /* fleet_next_call has yet to return it */
+	int rail;	   /* that this instance bridges; -1: none */
 };
 
 static int fleet_create_modules(struct fleet *fleet, int64_t now);
--- a/src/inst.h
+++ b/src/inst.h
@@ -56,8 +56,7 @@
 /* The role of this instance in the calls to the platform's service. */
 struct inst_role {
 	bool bridge;	       /* watches the head record for its data centre */
-	uint32_t listed_count; /* instances sharing the call budget; 0: unknown
-				*/
+	uint32_t listed_count; /* that share the call budget; 0: unknown */
 };
 
 struct inst_action {
