--- a/src/fleet.c
+++ b/src/fleet.c
@@ -123,8 +123,8 @@
 }
 
 /*
- * Records whether this instance's own list of endpoints shows an endpoint as
- * leaving.
+ * Records whether the owner of this fleet sees an endpoint as leaving.  The
+ * platform's list is a separate source.
  */
 int fleet_note_leaving(struct fleet *fleet, const char *endpoint, bool leaving,
 		       int64_t now)
