--- a/src/daemon.c
+++ b/src/daemon.c
@@ -198,7 +198,7 @@
 	to->bytes_per_s = from->peer_bytes_per_s;
 	to->instances_max = from->instances_max;
 	to->kv_timeout_us = from->kv_timeout_ms * MAG_US_PER_MS;
-	to->place = from->place;
+	to->may_place = from->place;
 }
 
 static int create_servers(struct daemon *daemon)
@@ -328,9 +328,9 @@
 static void on_role(struct daemon *daemon, const struct inst_role *role)
 {
 	uint32_t calls = fleet_call_part(daemon->settings.kv_fleet_calls_per_s,
-					 role->listed);
+					 role->listed_count);
 
-	watch_set_role(daemon->watch, role->bridge, role->listed);
+	watch_set_role(daemon->watch, role->bridge, role->listed_count);
 	if (calls > daemon->settings.kv_calls_per_s)
 		calls = daemon->settings.kv_calls_per_s;
 	if (calls == daemon->kv_calls_per_s)
--- a/src/lim.c
+++ b/src/lim.c
@@ -343,14 +343,14 @@
 		    !peer_link_agrees(peer, (int)i) ||
 		    peer_link_rail(peer, (int)i) != peer_rail(peer))
 			continue;
-		lim->group_size += peer_link_group(peer, (int)i);
+		lim->group_size += peer_link_group_size(peer, (int)i);
 		lim_add_link(lim, (int)i, false);
-		if (peer_link_listed(peer, (int)i) > listed)
-			listed = peer_link_listed(peer, (int)i);
+		if (peer_link_listed_count(peer, (int)i) > listed)
+			listed = peer_link_listed_count(peer, (int)i);
 	}
 	lim->part_count = listed;
-	if (peer_chief(peer) >= 0)
-		lim_use_chief_totals(lim, peer, peer_chief(peer));
+	if (peer_aggregator(peer) >= 0)
+		lim_use_chief_totals(lim, peer, peer_aggregator(peer));
 	if (lim->part_count < lim->group_size)
 		lim->part_count = lim->group_size;
 }
@@ -373,8 +373,8 @@
 
 	for (i = 0; i < peer_link_count(peer); i++) {
 		if (peer_link_up(peer, (int)i) &&
-		    peer_link_listed(peer, (int)i) > peers_listed)
-			peers_listed = peer_link_listed(peer, (int)i);
+		    peer_link_listed_count(peer, (int)i) > peers_listed)
+			peers_listed = peer_link_listed_count(peer, (int)i);
 	}
 	if (listed == 0)
 		listed = peers_listed;
@@ -408,7 +408,7 @@
 				 int chief)
 {
 	const struct lim_link *state = NULL;
-	uint32_t listed = peer_link_listed(peer, chief);
+	uint32_t listed = peer_link_listed_count(peer, chief);
 	size_t i;
 
 	if ((size_t)chief < lim->link_count)
@@ -416,7 +416,7 @@
 	lim->group_size = 1;
 	if (state && state->received && state->sends_totals &&
 	    peer_link_agrees(peer, chief)) {
-		lim->group_size = peer_link_group(peer, chief);
+		lim->group_size = peer_link_group_size(peer, chief);
 		lim->part_count = listed; /* the bridge's list is newer */
 	} else if (listed > lim->part_count) {
 		lim->part_count = listed;
@@ -444,8 +444,8 @@
 	size_t i;
 
 	if (next) {
-		lim->slot_end_us =
-			now + peer_hold_us(peer) / (LIM_WINDOW_SLOTS - 1);
+		lim->slot_end_us = now + peer_raise_delay_us(peer) /
+						 (LIM_WINDOW_SLOTS - 1);
 		lim->slot = (lim->slot + 1) % LIM_WINDOW_SLOTS;
 	}
 	for (i = 0; i < lim->row_count; i++) {
--- a/src/lim_link.c
+++ b/src/lim_link.c
@@ -66,9 +66,10 @@
 	bool totals = view == LIM_TOTAL;
 	size_t i;
 
-	msg->group = view == LIM_LOCAL ? lim->local_count : lim->group_size;
+	msg->group_size =
+		view == LIM_LOCAL ? lim->local_count : lim->group_size;
 	if (totals)
-		msg->listed = lim->part_count;
+		msg->listed_count = lim->part_count;
 	if (!state || view == LIM_NOTHING)
 		return;
 	if (totals != state->sent_totals) {
@@ -76,7 +77,7 @@
 			state->sent[i] = NAN;
 		state->sent_totals = totals;
 	}
-	lim_choose_rows(lim, state, view, peer_demands_fit(peer), msg);
+	lim_choose_rows(lim, state, view, peer_demand_capacity(peer), msg);
 }
 
 /* Returns a link's state, which is reset for a new incarnation of the peer. */
--- a/src/rpc.c
+++ b/src/rpc.c
@@ -16,15 +16,15 @@
 #define RPC_DEFAULT_BYTES      (16u << 20)
 #define RPC_DEFAULT_TIMEOUT_US (5 * MAG_US_PER_S)
 
-static void rpc_defaults(struct rpc *rpc);
+static void rpc_set_defaults(struct rpc *rpc);
 static int rpc_bind(const struct rpc *rpc, int type);
-static int rpc_run(struct rpc *rpc);
+static int rpc_start_threads(struct rpc *rpc);
 static void *rpc_receiver(void *arg);
-static void rpc_take(struct rpc *rpc);
+static void rpc_receive(struct rpc *rpc);
 
 /*
- * Binds the port and starts the threads.  On RPC_OK *rpc is running and is
- * to be stopped with rpc_stop; otherwise it is NULL.
+ * Binds the port and starts the threads.  On RPC_OK *rpc is running and has to
+ * be stopped with rpc_stop; otherwise it is NULL.
  */
 int rpc_start(const struct rpc_settings *settings,
 	      const struct rpc_handlers *handlers, struct rpc **rpc)
@@ -37,7 +37,7 @@
 		return RPC_E_MEMORY;
 	new->settings = *settings;
 	new->handlers = *handlers;
-	rpc_defaults(new);
+	rpc_set_defaults(new);
 	new->cluster = (uint32_t)peer_hash(settings->cluster);
 	pthread_mutex_init(&new->lock, NULL);
 	pthread_cond_init(&new->wake, NULL);
@@ -46,7 +46,7 @@
 	new->tcp = rpc_bind(new, SOCK_STREAM);
 	err = new->udp < 0 ? new->udp : new->tcp;
 	if (err >= 0)
-		err = rpc_run(new);
+		err = rpc_start_threads(new);
 	if (err) {
 		rpc_stop(new);
 		return err;
@@ -55,7 +55,7 @@
 	return RPC_OK;
 }
 
-/* Stops the threads, waits for them and frees all; NULL is allowed. */
+/* Stops the threads, joins them and frees everything; NULL is allowed. */
 void rpc_stop(struct rpc *rpc)
 {
 	if (!rpc)
@@ -73,8 +73,8 @@
 }
 
 /*
- * Sends a heartbeat.  It doesn't wait: a datagram for which the kernel has
- * no room is counted as lost, and the next heartbeat makes up for it.
+ * Sends a heartbeat without blocking.  A datagram for which the kernel has no
+ * buffer space is counted as a failed send, and the next heartbeat replaces it.
  */
 int rpc_send(struct rpc *rpc, const char *address, const struct peer_msg *msg)
 {
@@ -87,7 +87,7 @@
 	len = peer_wire_encode(msg, atomic_fetch_add(&rpc->xid, 1), buf,
 			       sizeof(buf));
 	if (len < 0)
-		return RPC_E_ANSWER;
+		return RPC_E_REPLY;
 	if (sendto(rpc->udp, buf, (size_t)len, MSG_DONTWAIT,
 		   (struct sockaddr *)&to, sizeof(to)) == len)
 		return RPC_OK;
@@ -95,7 +95,7 @@
 	return RPC_E_SEND;
 }
 
-/* Reads "ip:port"; names aren't looked up. */
+/* Parses "ip:port"; host names aren't resolved. */
 int rpc_parse_address(const char *text, struct sockaddr_in *address)
 {
 	char ip[MAG_ADDR_MAX];
@@ -117,7 +117,7 @@
 							       : RPC_E_ADDRESS;
 }
 
-static void rpc_defaults(struct rpc *rpc)
+static void rpc_set_defaults(struct rpc *rpc)
 {
 	struct rpc_settings *set = &rpc->settings;
 
@@ -131,7 +131,10 @@
 		set->fetch_timeout_us = RPC_DEFAULT_TIMEOUT_US;
 }
 
-/* Returns a bound socket, listening if it is a stream. */
+/*
+ * Returns a bound socket, which listens if it is a stream, or a negative enum
+ * rpc_error.
+ */
 static int rpc_bind(const struct rpc *rpc, int type)
 {
 	struct sockaddr_in address;
@@ -153,8 +156,8 @@
 	return fd;
 }
 
-/* Starts the threads. */
-static int rpc_run(struct rpc *rpc)
+/* Starts the server, the fetchers and the receiver. */
+static int rpc_start_threads(struct rpc *rpc)
 {
 	int err = rpc_serve_start(rpc);
 
@@ -169,8 +172,8 @@
 }
 
 /*
- * Receives heartbeats on a thread of its own: a peer that stops in the
- * middle of a fetch must not hold up the messages that decide who is up.
+ * Receives heartbeats on a separate thread: a peer that stops in the middle of
+ * a fetch must not delay the messages that decide which instances are up.
  */
 static void *rpc_receiver(void *arg)
 {
@@ -179,13 +182,13 @@
 
 	while (!atomic_load(&rpc->stopping)) {
 		if (poll(&fd, 1, RPC_POLL_MS) == 1)
-			rpc_take(rpc);
+			rpc_receive(rpc);
 	}
 	return NULL;
 }
 
-/* Takes one datagram; what is no heartbeat is counted and dropped. */
-static void rpc_take(struct rpc *rpc)
+/* Receives one datagram; if it isn't a heartbeat, counts and drops it. */
+static void rpc_receive(struct rpc *rpc)
 {
 	char buf[PEER_WIRE_MAX];
 	struct peer_msg msg;
--- a/src/spread.c
+++ b/src/spread.c
@@ -136,9 +136,9 @@
 			   int64_t now)
 {
 	struct peer_record rec = { .kind = PEER_REC_QUARANTINE,
-				   .lost = endpoints_lost };
+				   .endpoints_lost = endpoints_lost };
 
-	memcpy(rec.print, fingerprint, MAG_DIGEST_BYTES);
+	memcpy(rec.fingerprint, fingerprint, MAG_DIGEST_BYTES);
 	if (until_us <= now)
 		return SPREAD_OK;
 	rec.remaining_ms = (uint32_t)((until_us - now) / MAG_US_PER_MS);
@@ -162,15 +162,15 @@
 	 * instance doesn't apply to this log.  An acknowledgement that is lower
 	 * than before means that the peer lost its log.
 	 */
-	state->acked_by_peer = peer_hears_us(peer, msg) ? msg->news_ack : 0;
+	state->acked_by_peer = peer_acks_us(peer, msg) ? msg->records_ack : 0;
 	if (state->acked_by_peer > spread->seq)
 		state->acked_by_peer = 0;
-	for (i = 0; i < msg->news_count; i++) {
-		if (spread_merge(spread, &msg->news[i], link, now))
+	for (i = 0; i < msg->record_count; i++) {
+		if (spread_merge(spread, &msg->records[i], link, now))
 			return 0; /* log full: the peer sends it again */
 	}
-	state->received = msg->news_seq;
-	return (int)msg->news_count;
+	state->received = msg->records_seq;
+	return (int)msg->record_count;
 }
 
 /* Adds the records that the receiver hasn't acknowledged to a message. */
@@ -180,18 +180,18 @@
 	struct spread_link *state = spread_link(spread, peer, link);
 	struct spread_record *record;
 
-	msg->news_seq = state ? state->acked_by_peer : 0;
-	msg->news_ack = state ? state->received : 0;
+	msg->records_seq = state ? state->acked_by_peer : 0;
+	msg->records_ack = state ? state->received : 0;
 	if (!state)
 		return;
 	cds_list_for_each_entry (record, &spread->log, log) {
-		struct peer_record *rec = &msg->news[msg->news_count];
+		struct peer_record *rec = &msg->records[msg->record_count];
 
 		if (record->seq <= state->acked_by_peer)
 			continue;
-		if (msg->news_count == PEER_NEWS_MAX)
+		if (msg->record_count == PEER_RECORDS_MAX)
 			return;
-		msg->news_seq = record->seq;
+		msg->records_seq = record->seq;
 		if (!spread_forwards(peer, record, link) ||
 		    (record->rec.kind == PEER_REC_QUARANTINE &&
 		     record->until_us <= now))
@@ -199,7 +199,7 @@
 		*rec = record->rec;
 		rec->remaining_ms =
 			(uint32_t)((record->until_us - now) / MAG_US_PER_MS);
-		msg->news_count++;
+		msg->record_count++;
 	}
 }
 
@@ -257,9 +257,9 @@
 	record->in_changes = false;
 	change->kind = record->rec.kind;
 	memcpy(change->endpoint, record->rec.endpoint, MAG_NAME_MAX);
-	memcpy(change->fingerprint, record->rec.print, MAG_DIGEST_BYTES);
+	memcpy(change->fingerprint, record->rec.fingerprint, MAG_DIGEST_BYTES);
 	change->leaving = record->rec.leaving;
-	change->endpoints_lost = record->rec.lost;
+	change->endpoints_lost = record->rec.endpoints_lost;
 	change->until_us = record->until_us;
 	return true;
 }
@@ -283,8 +283,8 @@
 		    strcmp(record->rec.endpoint, rec->endpoint) == 0)
 			return record;
 		if (rec->kind == PEER_REC_QUARANTINE &&
-		    memcmp(record->rec.print, rec->print, MAG_DIGEST_BYTES) ==
-			    0)
+		    memcmp(record->rec.fingerprint, rec->fingerprint,
+			   MAG_DIGEST_BYTES) == 0)
 			return record;
 	}
 	return NULL;
@@ -305,7 +305,7 @@
 		return NULL;
 	record->rec.kind = rec->kind;
 	memcpy(record->rec.endpoint, rec->endpoint, MAG_NAME_MAX);
-	memcpy(record->rec.print, rec->print, MAG_DIGEST_BYTES);
+	memcpy(record->rec.fingerprint, rec->fingerprint, MAG_DIGEST_BYTES);
 	record->origin = SPREAD_LOCAL;
 	record->seq = ++spread->seq;
 	cds_list_add_tail(&record->log, &spread->log);
@@ -415,8 +415,8 @@
 		return SPREAD_OK;
 	record->rec.leaving = rec->leaving;
 	record->rec.version = rec->version;
-	if (rec->lost > record->rec.lost)
-		record->rec.lost = rec->lost;
+	if (rec->endpoints_lost > record->rec.endpoints_lost)
+		record->rec.endpoints_lost = rec->endpoints_lost;
 	if (until_us > record->until_us)
 		record->until_us = until_us;
 	spread_mark_changed(spread, record, link);
@@ -438,6 +438,6 @@
 		return rec->leaving && !record->rec.leaving;
 	}
 	/* Messages round the remaining time: up to 1 s is no change. */
-	return rec->lost > record->rec.lost ||
+	return rec->endpoints_lost > record->rec.endpoints_lost ||
 	       until_us > record->until_us + MAG_US_PER_S;
 }
