--- a/bench/bench_pub.c
+++ b/bench/bench_pub.c
@@ -140,8 +140,8 @@
 	mag_copy_name(request.change.id, PUB_ID_MAX, id);
 	err = pub_apply(pub, &request, &result);
 	printf("%s: %s, %zu writes, %zu bytes written, %.1f ms", id,
-	       pub_err_text((enum pub_err)err), result.writes, result.bytes,
-	       now_ms() - start);
+	       pub_err_text((enum pub_err)err), result.writes,
+	       result.written_bytes, now_ms() - start);
 	pub_result_clear(&result);
 	bytes_read = 0;
 	start = now_ms();
--- a/regress/check_patch.c
+++ b/regress/check_patch.c
@@ -130,7 +130,7 @@
 
 		text[i] = (char)(was == '1' ? '2' : '1');
 		assert_int_equal(pub_edit_apply(s->text, text, &revision, &got),
-				 PUB_E_HOSTILE);
+				 PUB_E_REJECTED);
 		assert_null(got);
 		text[i] = was;
 	}
@@ -204,11 +204,11 @@
 	struct cfg_set *made = NULL;
 	struct pub_edit edit = { 0 };
 	int err = cfg_parse(next, strlen(next), &whole, &faults);
-	bool lined = whole && pub_is_lined(next);
+	bool lined = whole && pub_is_object_per_line(next);
 
 	if (s->set && pub_edit_make(s->text, next, &edit) == PUB_OK &&
-	    cfg_patch(s->set, edit.drop, edit.drops, edit.put, edit.puts,
-		      &made) == CFG_OK) {
+	    cfg_patch(s->set, edit.removed, edit.removed_count, edit.added,
+		      edit.added_count, &made) == CFG_OK) {
 		char *a = NULL;
 		char *b = dump(made);
 
@@ -226,7 +226,8 @@
 	if (show)
 		fprintf(s->out, "%s, %s, %zu out, %zu in\n",
 			err == CFG_OK ? "valid" : cfg_fault_text(faults, 0),
-			made ? "short way" : "whole", edit.drops, edit.puts);
+			made ? "short way" : "whole", edit.removed_count,
+			edit.added_count);
 	pub_edit_free(&edit);
 	cfg_free(made);
 	cfg_faults_free(faults);
@@ -359,7 +360,8 @@
 
 	for (at = text; (at = strchr(at, '|')); at++)
 		*at = '\n';
-	fprintf(s->out, "%s\n", pub_is_lined(text) ? "lined" : "whole only");
+	fprintf(s->out, "%s\n",
+		pub_is_object_per_line(text) ? "lined" : "whole only");
 }
 
 static void run(FILE *in, FILE *out)
--- a/regress/check_pub.c
+++ b/regress/check_pub.c
@@ -206,8 +206,8 @@
 	if (err == PUB_OK)
 		fprintf(w.out, ": revision %llu%s%s, %zu writes",
 			(unsigned long long)r->revision,
-			r->before ? ", by an earlier try" : "",
-			r->same ? ", nothing to change" : "", r->writes);
+			r->already_published ? ", by an earlier try" : "",
+			r->unchanged ? ", nothing to change" : "", r->writes);
 	fputs("\n", w.out);
 	for (i = 0; i < cfg_fault_count(r->faults); i++)
 		fprintf(w.out, "  %s\n", cfg_fault_text(r->faults, i));
@@ -425,7 +425,8 @@
 
 	if (strcmp(command, "accept") == 0) {
 		sscanf(rest, "%llu %llu", &now, &offered);
-		fprintf(w.out, "%s\n", pub_accept(now, offered) ? "yes" : "no");
+		fprintf(w.out, "%s\n",
+			pub_accepts_revision(now, offered) ? "yes" : "no");
 	} else if (strcmp(command, "offer") == 0) {
 		offer(rest);
 	} else if (strcmp(command, "patch") == 0) {
--- a/src/ctl_apply.c
+++ b/src/ctl_apply.c
@@ -153,13 +153,13 @@
 {
 	size_t i;
 
-	if (err == PUB_OK && result->same)
+	if (err == PUB_OK && result->unchanged)
 		printf("revision %llu: nothing to change\n",
 		       (unsigned long long)result->revision);
 	else if (err == PUB_OK)
 		printf("revision %llu: published%s\n",
 		       (unsigned long long)result->revision,
-		       result->before ? " by an earlier try" : "");
+		       result->already_published ? " by an earlier try" : "");
 	else
 		fprintf(stderr, "magctl: %s\n",
 			pub_err_text((enum pub_err)err));
@@ -183,10 +183,11 @@
 
 	if (err == PUB_OK)
 		json_object_update_new(
-			doc, json_pack("{s:I, s:b, s:b}", "revision",
-				       (json_int_t)result->revision,
-				       "by_earlier_try", result->before,
-				       "nothing_to_change", result->same));
+			doc,
+			json_pack("{s:I, s:b, s:b}", "revision",
+				  (json_int_t)result->revision,
+				  "by_earlier_try", result->already_published,
+				  "nothing_to_change", result->unchanged));
 	if (result->faults)
 		json_object_set_new(doc, "faults",
 				    ctl_fault_list(result->faults));
--- a/src/ctl_out.c
+++ b/src/ctl_out.c
@@ -65,7 +65,7 @@
 		return CTL_DONE;
 	case PUB_E_INVALID:
 		return CTL_FAULTS;
-	case PUB_E_RACE:
+	case PUB_E_CONFLICT:
 	case PUB_E_BASE:
 		return CTL_RACE;
 	case PUB_E_DOWN:
--- a/src/ctl_set.c
+++ b/src/ctl_set.c
@@ -100,7 +100,7 @@
 /* magctl history: the changes that are kept, newest first. */
 enum ctl_exit ctl_history(const struct ctl_args *args)
 {
-	struct pub_change changes[PUB_KEEP];
+	struct pub_change changes[PUB_RETAINED_REVISIONS];
 	uint64_t most = CTL_HISTORY_COUNT;
 	struct ctl_store store;
 	json_t *list;
@@ -108,7 +108,7 @@
 	size_t i;
 	int err;
 
-	if (!ctl_number(args, CTL_O_COUNT, PUB_KEEP, &most))
+	if (!ctl_number(args, CTL_O_COUNT, PUB_RETAINED_REVISIONS, &most))
 		return CTL_USAGE;
 	if (!ctl_store_open(&store, args))
 		return CTL_DOWN;
--- a/src/mesh.c
+++ b/src/mesh.c
@@ -116,7 +116,7 @@
  */
 static void take_fetched(struct mesh *mesh, const struct rpc_fetched *fetched)
 {
-	int rc = PUB_E_HOSTILE;
+	int rc = PUB_E_REJECTED;
 
 	if (fetched->have)
 		rc = watch_offer_edits(mesh->watch, fetched->have,
--- a/src/pub.h
+++ b/src/pub.h
@@ -24,22 +24,24 @@
 #define PUB_DIGEST_BYTES 20
 #define PUB_DIGEST_HEX	 (2 * PUB_DIGEST_BYTES + 1)
 #define PUB_REVISION_MAX (UINT64_C(1) << 40) /* no site gets so far */
-#define PUB_JUMP_MAX	 (UINT64_C(1) << 20) /* most at once from a peer */
-#define PUB_KEEP	 256		     /* past revisions that are kept */
+#define PUB_REVISION_STEP_MAX                                                  \
+	(UINT64_C(1) << 20)	   /* most at once from a peer                 \
+				    */
+#define PUB_RETAINED_REVISIONS 256 /* past revisions that are kept */
 
 enum pub_err {
 	PUB_OK = 0,
 	PUB_E_ABSENT = -1,   /* nothing was ever published */
 	PUB_E_DOWN = -2,     /* the service did not answer; nothing changed */
 	PUB_E_UNKNOWN = -3,  /* no answer to the swap: it may have landed */
-	PUB_E_RACE = -4,     /* another change came first */
+	PUB_E_CONFLICT = -4, /* another change came first */
 	PUB_E_INVALID = -5,  /* the set has faults */
 	PUB_E_DAMAGED = -6,  /* the service holds what is no configuration */
 	PUB_E_BASE = -7,     /* the change does not say what it was made from */
 	PUB_E_STALE = -8,    /* a revision older than one already seen */
 	PUB_E_SIZE = -9,     /* too large for the service */
 	PUB_E_GONE = -10,    /* that past revision is not kept */
-	PUB_E_HOSTILE = -11, /* an offer that can't be what it says */
+	PUB_E_REJECTED = -11, /* an offer that can't be what it says */
 	PUB_E_MEMORY = -12,
 };
 
@@ -66,30 +68,30 @@
 };
 
 struct pub_result {
-	uint64_t revision;	   /* that holds the change, or is in force */
-	bool before;		   /* an earlier try under the same id landed */
-	bool same;		   /* nothing to change */
-	size_t writes;		   /* calls that wrote */
-	size_t bytes;		   /* in them */
-	json_t *difference;	   /* PUB_E_RACE, PUB_E_BASE: see pub_diff */
+	uint64_t revision;	/* that holds the change, or is in force */
+	bool already_published; /* an earlier try under the same id landed */
+	bool unchanged;		/* nothing to change */
+	size_t writes;		/* calls that wrote */
+	size_t written_bytes;	/* in them */
+	json_t *difference;	/* PUB_E_CONFLICT, PUB_E_BASE: see pub_diff */
 	struct cfg_faults *faults; /* PUB_E_INVALID */
 };
 
 /* One place where two texts differ, by line. */
 struct pub_hunk {
-	size_t at; /* line of the old text */
-	size_t drops;
-	size_t puts;
+	size_t line; /* line of the old text */
+	size_t removed;
+	size_t added;
 };
 
 /* What differs between two texts that hold one object a line. */
 struct pub_edit {
 	struct pub_hunk *hunks;
 	size_t hunk_count;
-	struct cfg_line *drop;
-	size_t drops;
-	struct cfg_line *put;
-	size_t puts;
+	struct cfg_line *removed;
+	size_t removed_count;
+	struct cfg_line *added;
+	size_t added_count;
 };
 
 struct pub;
@@ -110,13 +112,13 @@
 		struct pub_change *changes, size_t max, size_t *count);
 
 /* Without the service: what instances pass to each other. */
-bool pub_accept(uint64_t current, uint64_t offered);
+bool pub_accepts_revision(uint64_t current, uint64_t offered);
 int pub_digest(const char *text, size_t len, char digest[PUB_DIGEST_HEX]);
 int pub_check_offer(uint64_t current, uint64_t offered, const char *digest,
 		    const char *text, size_t len, struct cfg_set **set);
 int pub_delta(const char *old_text, const char *new_text, char **delta);
 int pub_patch(const char *old_text, const char *delta, char **new_text);
-bool pub_is_lined(const char *text);
+bool pub_is_object_per_line(const char *text);
 int pub_edit_make(const char *old_text, const char *new_text,
 		  struct pub_edit *edit);
 void pub_edit_free(struct pub_edit *edit);
--- a/src/pub_apply.c
+++ b/src/pub_apply.c
@@ -69,7 +69,7 @@
 		err = pub_try(&job);
 	}
 	if (err == PUB_AGAIN)
-		err = job.lost ? PUB_E_UNKNOWN : PUB_E_RACE;
+		err = job.lost ? PUB_E_UNKNOWN : PUB_E_CONFLICT;
 	else if (err == PUB_E_DOWN && job.lost)
 		err = PUB_E_UNKNOWN;
 	pub_job_clear(&job);
@@ -105,7 +105,7 @@
 
 	if (err == PUB_OK)
 		err = pub_settle(job);
-	if (err != PUB_OK || job->result->before)
+	if (err != PUB_OK || job->result->already_published)
 		return err;
 	err = pub_load_objects(job->pub, job->request->deadline_us, &job->head,
 			       &job->theirs);
@@ -115,7 +115,7 @@
 	}
 	if (err == PUB_OK)
 		err = pub_choose(job);
-	if (err != PUB_OK || job->result->same)
+	if (err != PUB_OK || job->result->unchanged)
 		return err;
 	return pub_write(job);
 }
@@ -146,7 +146,7 @@
 	if (err != PUB_OK)
 		return PUB_E_UNKNOWN;
 	job->lost = job->request->resume;
-	job->result->before = revision != 0;
+	job->result->already_published = revision != 0;
 	job->result->revision = revision;
 	return PUB_OK;
 }
@@ -182,7 +182,7 @@
 
 	job->wanted = &job->mine;
 	if (json_array_size(difference) == 0) {
-		job->result->same = true;
+		job->result->unchanged = true;
 		job->result->revision = now;
 	} else if (request->replace || request->base == now) {
 		err = PUB_OK;
@@ -224,7 +224,7 @@
 			&job->result->difference);
 	pub_objects_free(&base);
 	if (err == PUB_OK && !job->request->merge)
-		err = PUB_E_RACE;
+		err = PUB_E_CONFLICT;
 	if (err != PUB_OK)
 		return err;
 	job->wanted = &job->merged;
@@ -257,11 +257,11 @@
 
 	if (request->floor > above)
 		above = request->floor;
-	if (job->pub->seen > above)
-		above = job->pub->seen;
+	if (job->pub->highest_revision > above)
+		above = job->pub->highest_revision;
 	/* An instance that reports an absurd number must not lead there. */
-	if (!pub_accept(job->head.revision, above + 1))
-		return PUB_E_HOSTILE;
+	if (!pub_accepts_revision(job->head.revision, above + 1))
+		return PUB_E_REJECTED;
 	next->revision = above + 1;
 	next->previous = job->head.revision;
 	next->changes[0] = request->change;
@@ -323,7 +323,7 @@
 	if (strlen(text) > PUB_VALUE_MAX)
 		return PUB_E_SIZE;
 	job->result->writes++;
-	job->result->bytes += strlen(text);
+	job->result->written_bytes += strlen(text);
 	return pub_create_chunk(job->pub, chunk, text,
 				job->request->deadline_us);
 }
@@ -342,7 +342,7 @@
 		return PUB_E_MEMORY;
 	pub_past_key(key, job->head.revision);
 	job->result->writes++;
-	job->result->bytes += strlen(text);
+	job->result->written_bytes += strlen(text);
 	err = pub_create(job->pub, key, text, job->request->deadline_us);
 	free(text);
 	return err;
@@ -364,7 +364,7 @@
 	if (err != PUB_OK)
 		return err;
 	job->result->revision = job->next.revision;
-	pub_see(job->pub, &job->next);
+	pub_set_highest(job->pub, &job->next);
 	pub_prune(job->pub, job->request->deadline_us, job->head.revision,
 		  job->next.revision);
 	return PUB_OK;
@@ -384,7 +384,7 @@
 
 	for (try = 0; try < PUB_TRIES; try++) {
 		job->result->writes++;
-		job->result->bytes += strlen(text);
+		job->result->written_bytes += strlen(text);
 		status = pub_put(job->pub, PUB_HEAD_KEY, job->version, text,
 				 job->request->deadline_us, &reply);
 		if (status == KV_OK)
--- a/src/pub_diff.c
+++ b/src/pub_diff.c
@@ -69,7 +69,7 @@
 
 /*
  * Takes over into theirs what was changed from base to mine.  Returns PUB_OK
- * with the merged set, or PUB_E_RACE if an object was changed on both sides
+ * with the merged set, or PUB_E_CONFLICT if an object was changed on both sides
  * in different ways.  *difference, if asked for, lists the changes of both
  * sides in either case.
  */
@@ -92,7 +92,7 @@
 			json_array_append_new(*difference,
 					      pub_three_entry(&three));
 		if (changed && pub_differ(b, t) && pub_differ(m, t))
-			err = PUB_E_RACE;
+			err = PUB_E_CONFLICT;
 		if (pub_keep(merged, changed ? m : t) != PUB_OK)
 			err = PUB_E_MEMORY;
 		if (err == PUB_E_MEMORY)
--- a/src/pub_edit.c
+++ b/src/pub_edit.c
@@ -42,7 +42,7 @@
  * its lines may be taken one by one.  Else what looks like an object in a line
  * could be a part of a larger one.
  */
-bool pub_is_lined(const char *text)
+bool pub_is_object_per_line(const char *text)
 {
 	struct pub_lines lines = { 0 };
 	bool lined = pub_split(&lines, text) == PUB_OK;
@@ -55,10 +55,10 @@
 }
 
 /*
- * Finds the lines that differ.  The old text must be one that pub_is_lined
- * takes; the lines point into both texts.  Returns PUB_OK, PUB_E_SIZE if too
- * much differs, or PUB_E_DAMAGED if the new one isn't made of lines; the edit
- * is to be freed with pub_edit_free in each case.
+ * Finds the lines that differ.  The old text must be one that
+ * pub_is_object_per_line takes; the lines point into both texts.  Returns
+ * PUB_OK, PUB_E_SIZE if too much differs, or PUB_E_DAMAGED if the new one isn't
+ * made of lines; the edit is to be freed with pub_edit_free in each case.
  */
 int pub_edit_make(const char *old_text, const char *new_text,
 		  struct pub_edit *edit)
@@ -85,8 +85,8 @@
 			err = PUB_E_SIZE;
 		else
 			err = pub_add_hunk(edit, &old, &new, b, &hunk);
-		a += hunk.drops;
-		b += hunk.puts;
+		a += hunk.removed;
+		b += hunk.added;
 	}
 	free(old.list);
 	free(new.list);
@@ -97,8 +97,8 @@
 void pub_edit_free(struct pub_edit *edit)
 {
 	free(edit->hunks);
-	free(edit->drop);
-	free(edit->put);
+	free(edit->removed);
+	free(edit->added);
 	memset(edit, 0, sizeof(*edit));
 }
 
@@ -125,11 +125,11 @@
 	for (i = 0; i < edit->hunk_count; i++) {
 		const struct pub_hunk *hunk = &edit->hunks[i];
 
-		fprintf(out, "@%zu %zu %zu\n", hunk->at, hunk->drops,
-			hunk->puts);
-		for (k = 0; k < hunk->puts; k++, put++)
-			fprintf(out, "%.*s\n", (int)edit->put[put].len,
-				edit->put[put].text);
+		fprintf(out, "@%zu %zu %zu\n", hunk->line, hunk->removed,
+			hunk->added);
+		for (k = 0; k < hunk->added; k++, put++)
+			fprintf(out, "%.*s\n", (int)edit->added[put].len,
+				edit->added[put].text);
 	}
 	if (fclose(out) == 0)
 		return text;
@@ -139,7 +139,7 @@
 
 /*
  * Makes the next text from the one that the edit was made for.  What doesn't
- * lead to the digest that it names is PUB_E_HOSTILE, as is anything that isn't
+ * lead to the digest that it names is PUB_E_REJECTED, as is anything that isn't
  * an edit at all.  The set is to be checked after; the caller frees *new_text.
  */
 int pub_edit_apply(const char *old_text, const char *edit, uint64_t *revision,
@@ -150,17 +150,17 @@
 	char found[PUB_DIGEST_HEX];
 	unsigned long long number;
 	int skip = 0;
-	int err = PUB_E_HOSTILE;
+	int err = PUB_E_REJECTED;
 
 	*new_text = NULL;
 	if (sscanf(edit, "%20llu %40[0-9a-f]%n", &number, digest, &skip) != 2 ||
 	    edit[skip] != '\n' || strlen(digest) != PUB_DIGEST_HEX - 1)
-		return PUB_E_HOSTILE;
+		return PUB_E_REJECTED;
 	if (pub_split(&old, old_text) == PUB_OK)
 		*new_text = pub_edit_lines(&old, edit + skip + 1, number);
 	if (*new_text) {
 		pub_digest_bytes(*new_text, strlen(*new_text), found);
-		err = strcmp(found, digest) == 0 ? PUB_OK : PUB_E_HOSTILE;
+		err = strcmp(found, digest) == 0 ? PUB_OK : PUB_E_REJECTED;
 	}
 	free(old.list);
 	if (err != PUB_OK) {
@@ -255,9 +255,9 @@
 	size_t sum;
 	size_t i;
 
-	hunk->at = a;
-	hunk->drops = 0;
-	hunk->puts = 0;
+	hunk->line = a;
+	hunk->removed = 0;
+	hunk->added = 0;
 	for (sum = 1; sum <= PUB_EDIT_SPAN; sum++) {
 		for (i = 0; i <= sum; i++) {
 			size_t x = a + i;
@@ -269,8 +269,8 @@
 			if (!ends && (x == old->count || y == new->count ||
 				      !pub_same(&old->list[x], &new->list[y])))
 				continue;
-			hunk->drops = i;
-			hunk->puts = sum - i;
+			hunk->removed = i;
+			hunk->added = sum - i;
 			return true;
 		}
 	}
@@ -286,20 +286,21 @@
 
 	if (!edit->hunks) {
 		edit->hunks = calloc(PUB_EDIT_LINES, sizeof(*edit->hunks));
-		edit->drop = calloc(PUB_EDIT_LINES, sizeof(*edit->drop));
-		edit->put = calloc(PUB_EDIT_LINES, sizeof(*edit->put));
-		if (!edit->hunks || !edit->drop || !edit->put)
+		edit->removed = calloc(PUB_EDIT_LINES, sizeof(*edit->removed));
+		edit->added = calloc(PUB_EDIT_LINES, sizeof(*edit->added));
+		if (!edit->hunks || !edit->removed || !edit->added)
 			return PUB_E_MEMORY;
 	}
 	if (edit->hunk_count + 1 > PUB_EDIT_LINES ||
-	    edit->drops + hunk->drops > PUB_EDIT_LINES ||
-	    edit->puts + hunk->puts > PUB_EDIT_LINES)
+	    edit->removed_count + hunk->removed > PUB_EDIT_LINES ||
+	    edit->added_count + hunk->added > PUB_EDIT_LINES)
 		return PUB_E_SIZE;
 	edit->hunks[edit->hunk_count++] = *hunk;
-	for (i = 0; i < hunk->drops; i++)
-		edit->drop[edit->drops++] = old->list[hunk->at + i];
-	for (i = 0; i < hunk->puts; i++)
-		edit->put[edit->puts++] = new->list[b + i];
+	for (i = 0; i < hunk->removed; i++)
+		edit->removed[edit->removed_count++] =
+			old->list[hunk->line + i];
+	for (i = 0; i < hunk->added; i++)
+		edit->added[edit->added_count++] = new->list[b + i];
 	return PUB_OK;
 }
 
@@ -321,15 +322,15 @@
 		(unsigned long long)revision);
 	while (at && *at) {
 		at = pub_read_hunk(at, &hunk);
-		if (!at || hunk.at < a || hunk.at > old->count ||
-		    hunk.drops > old->count - hunk.at) {
+		if (!at || hunk.line < a || hunk.line > old->count ||
+		    hunk.removed > old->count - hunk.line) {
 			at = NULL;
 			break;
 		}
-		while (a < hunk.at)
+		while (a < hunk.line)
 			pub_put_line(out, &count, &old->list[a++]);
-		a += hunk.drops;
-		at = pub_put_lines(out, &count, at, hunk.puts);
+		a += hunk.removed;
+		at = pub_put_lines(out, &count, at, hunk.added);
 	}
 	while (a < old->count)
 		pub_put_line(out, &count, &old->list[a++]);
@@ -345,8 +346,8 @@
 {
 	int skip = 0;
 
-	if (sscanf(at, "@%9zu %9zu %9zu%n", &hunk->at, &hunk->drops,
-		   &hunk->puts, &skip) != 3 ||
+	if (sscanf(at, "@%9zu %9zu %9zu%n", &hunk->line, &hunk->removed,
+		   &hunk->added, &skip) != 3 ||
 	    at[skip] != '\n')
 		return NULL;
 	return at + skip + 1;
--- a/src/pub_int.h
+++ b/src/pub_int.h
@@ -15,8 +15,8 @@
  * Objects a chunk.  One change rewrites a chunk and the head, so the sum of
  * both is least where they are about equal; see docs/OPERATING.md.
  */
-#define PUB_CHUNK_MOST	64 /* more on average: twice the chunks */
-#define PUB_CHUNK_LEAST 16 /* less on average: half the chunks */
+#define PUB_CHUNK_OBJECTS_MAX 64 /* more on average: twice the chunks */
+#define PUB_CHUNK_OBJECTS_MIN 16 /* less on average: half the chunks */
 
 /* One object in its canonical form: compact, fields sorted. */
 struct pub_object {
@@ -29,7 +29,7 @@
 struct pub_objects {
 	struct pub_object *list;
 	size_t count;
-	size_t room;
+	size_t capacity;
 };
 
 /* One chunk as the head names it; an empty digest stands for no objects. */
@@ -54,12 +54,12 @@
 /* What a publisher or reader remembers of the service. */
 struct pub {
 	struct kv_backend backend;
-	uint64_t next_id;
-	uint64_t seen;		  /* highest revision read or published */
-	char seen_id[PUB_ID_MAX]; /* of the change that made it */
-	uint64_t version;	  /* of the head's key */
-	json_t *cache;		  /* digest of a chunk: its text */
-	int last;		  /* how the last reading ended */
+	uint64_t next_call_id;
+	uint64_t highest_revision; /* highest revision read or published */
+	char highest_change_id[PUB_ID_MAX]; /* of the change that made it */
+	uint64_t head_version;		    /* of the head's key */
+	json_t *cache;			    /* digest of a chunk: its text */
+	int last_result;		    /* how the last reading ended */
 };
 
 /* pub_objects.c */
@@ -108,7 +108,7 @@
 void pub_past_key(char key[KV_KEY_MAX], uint64_t revision);
 
 /* pub_read.c */
-void pub_see(struct pub *pub, const struct pub_head *head);
+void pub_set_highest(struct pub *pub, const struct pub_head *head);
 int pub_load_head(struct pub *pub, int64_t deadline_us, struct pub_head *head,
 		  uint64_t *version);
 int pub_load_past(struct pub *pub, int64_t deadline_us, uint64_t revision,
--- a/src/pub_kv.c
+++ b/src/pub_kv.c
@@ -110,7 +110,7 @@
 			       const char *key, struct kv_reply *reply)
 {
 	memset(reply, 0, sizeof(*reply));
-	call->id = ++pub->next_id;
+	call->id = ++pub->next_call_id;
 	mag_copy_name(call->key, sizeof(call->key), key);
 	pub->backend.call(pub->backend.ctx, call, reply);
 	return reply->status;
--- a/src/pub_objects.c
+++ b/src/pub_objects.c
@@ -53,19 +53,19 @@
 {
 	const char *kind = json_string_value(json_object_get(object, "kind"));
 	const char *name = json_string_value(json_object_get(object, "name"));
-	size_t room = objects->room ? 2 * objects->room : 64;
+	size_t room = objects->capacity ? 2 * objects->capacity : 64;
 	struct pub_object *grown;
 	struct pub_object *entry;
 
 	if (!kind || !name || pub_kind_of(kind) < 0 ||
 	    strlen(name) >= MAG_NAME_MAX)
 		return PUB_E_DAMAGED;
-	if (objects->count == objects->room) {
+	if (objects->count == objects->capacity) {
 		grown = realloc(objects->list, room * sizeof(*grown));
 		if (!grown)
 			return PUB_E_MEMORY;
 		objects->list = grown;
-		objects->room = room;
+		objects->capacity = room;
 	}
 	entry = &objects->list[objects->count];
 	entry->kind = (enum cfg_kind)pub_kind_of(kind);
@@ -170,9 +170,10 @@
 {
 	size_t buckets = now ? now : 1;
 
-	while (buckets < PUB_BUCKETS_MAX && objects > buckets * PUB_CHUNK_MOST)
+	while (buckets < PUB_BUCKETS_MAX &&
+	       objects > buckets * PUB_CHUNK_OBJECTS_MAX)
 		buckets *= 2;
-	while (buckets > 1 && objects < buckets * PUB_CHUNK_LEAST)
+	while (buckets > 1 && objects < buckets * PUB_CHUNK_OBJECTS_MIN)
 		buckets /= 2;
 	return buckets;
 }
--- a/src/pub_offer.c
+++ b/src/pub_offer.c
@@ -17,11 +17,11 @@
  * only ever goes up, whoever offers; and a step that no site could have made
  * is refused, as taking it would shut out every later change.
  */
-bool pub_accept(uint64_t current, uint64_t offered)
+bool pub_accepts_revision(uint64_t current, uint64_t offered)
 {
 	if (offered <= current || offered > PUB_REVISION_MAX)
 		return false;
-	return current == 0 || offered - current <= PUB_JUMP_MAX;
+	return current == 0 || offered - current <= PUB_REVISION_STEP_MAX;
 }
 
 /*
@@ -39,17 +39,17 @@
 	*set = NULL;
 	if (offered <= current)
 		return PUB_E_STALE;
-	if (!pub_accept(current, offered))
-		return PUB_E_HOSTILE;
+	if (!pub_accepts_revision(current, offered))
+		return PUB_E_REJECTED;
 	if (pub_digest(text, len, found) != PUB_OK ||
 	    strcmp(found, digest) != 0)
-		return PUB_E_HOSTILE;
+		return PUB_E_REJECTED;
 	err = cfg_parse(text, len, set, &faults);
 	cfg_faults_free(faults);
 	if (err == CFG_E_MEMORY)
 		return PUB_E_MEMORY;
 	if (err != CFG_OK)
-		return PUB_E_HOSTILE;
+		return PUB_E_REJECTED;
 	(*set)->revision = offered;
 	return PUB_OK;
 }
@@ -92,7 +92,7 @@
 }
 
 /*
- * Applies a delta to the set it was made from.  PUB_E_HOSTILE if it was made
+ * Applies a delta to the set it was made from.  PUB_E_REJECTED if it was made
  * from another one, or does not lead to the digest that it names.  The caller
  * frees *new_text and checks it with pub_check_offer.
  */
@@ -104,7 +104,7 @@
 	struct pub_objects old = { 0 };
 	struct pub_objects new = { 0 };
 	char found[PUB_DIGEST_HEX];
-	int err = PUB_E_HOSTILE;
+	int err = PUB_E_REJECTED;
 
 	*new_text = NULL;
 	if (digest && to > 0 &&
@@ -122,7 +122,7 @@
 	     strcmp(found, digest) != 0)) {
 		free(*new_text);
 		*new_text = NULL;
-		err = PUB_E_HOSTILE;
+		err = PUB_E_REJECTED;
 	}
 	pub_objects_free(&old);
 	pub_objects_free(&new);
@@ -157,7 +157,7 @@
 			     struct pub_objects *new)
 {
 	const json_t *put = json_object_get(delta, "put");
-	int err = json_is_array(put) ? PUB_OK : PUB_E_HOSTILE;
+	int err = json_is_array(put) ? PUB_OK : PUB_E_REJECTED;
 	size_t i;
 
 	for (i = 0; i < json_array_size(put) && err == PUB_OK; i++)
@@ -173,7 +173,7 @@
 		json_decref(object);
 	}
 	pub_objects_sort(new);
-	return err == PUB_E_DAMAGED ? PUB_E_HOSTILE : err;
+	return err == PUB_E_DAMAGED ? PUB_E_REJECTED : err;
 }
 
 /* Tells whether a delta replaces or drops an object. */
--- a/src/pub_past.c
+++ b/src/pub_past.c
@@ -83,11 +83,14 @@
 void pub_prune(struct pub *pub, int64_t deadline_us, uint64_t previous,
 	       uint64_t revision)
 {
-	uint64_t first = previous > PUB_KEEP ? previous - PUB_KEEP + 1 : 1;
+	uint64_t first = previous > PUB_RETAINED_REVISIONS
+				 ? previous - PUB_RETAINED_REVISIONS + 1
+				 : 1;
 	uint64_t at;
 
-	for (at = first;
-	     at + PUB_KEEP <= revision && at < first + PUB_PRUNE_MAX; at++)
+	for (at = first; at + PUB_RETAINED_REVISIONS <= revision &&
+			 at < first + PUB_PRUNE_MAX;
+	     at++)
 		pub_prune_one(pub, deadline_us, at);
 }
 
--- a/src/pub_read.c
+++ b/src/pub_read.c
@@ -18,14 +18,14 @@
 	[-PUB_E_ABSENT] = "nothing was ever published",
 	[-PUB_E_DOWN] = "the platform's service does not answer",
 	[-PUB_E_UNKNOWN] = "no answer to the write; it may be in force",
-	[-PUB_E_RACE] = "another change came first",
+	[-PUB_E_CONFLICT] = "another change came first",
 	[-PUB_E_INVALID] = "the set has faults",
 	[-PUB_E_DAMAGED] = "the service holds what is no configuration",
 	[-PUB_E_BASE] = "the set does not say which revision it was made from",
 	[-PUB_E_STALE] = "the service holds an older revision than was seen",
 	[-PUB_E_SIZE] = "too large for the platform's service",
 	[-PUB_E_GONE] = "that revision is not kept",
-	[-PUB_E_HOSTILE] = "the offer can't be what it says",
+	[-PUB_E_REJECTED] = "the offer can't be what it says",
 	[-PUB_E_MEMORY] = "out of memory",
 };
 
@@ -93,14 +93,14 @@
 {
 	struct kv_call call = { .op = KV_WATCH,
 				.key = PUB_HEAD_KEY,
-				.version = pub->version,
+				.version = pub->head_version,
 				.deadline_us = deadline_us };
 	struct kv_reply reply = { 0 };
 
-	call.id = ++pub->next_id;
+	call.id = ++pub->next_call_id;
 	pub->backend.call(pub->backend.ctx, &call, &reply);
 	free(reply.value);
-	if (reply.status == KV_OK && reply.version != pub->version)
+	if (reply.status == KV_OK && reply.version != pub->head_version)
 		return PUB_OK;
 	if (reply.status == KV_OK || reply.status == KV_ABSENT ||
 	    reply.status == KV_CONFLICT)
@@ -134,10 +134,10 @@
 }
 
 /* Notes a head that was read whole or published. */
-void pub_see(struct pub *pub, const struct pub_head *head)
+void pub_set_highest(struct pub *pub, const struct pub_head *head)
 {
-	pub->seen = head->revision;
-	mag_copy_name(pub->seen_id, sizeof(pub->seen_id),
+	pub->highest_revision = head->revision;
+	mag_copy_name(pub->highest_change_id, sizeof(pub->highest_change_id),
 		      head->change_count ? head->changes[0].id : "");
 }
 
@@ -163,13 +163,13 @@
 /* Logs a refused head once, however often it is read again. */
 static void pub_log_change(struct pub *pub, int err)
 {
-	if (err == PUB_E_STALE && pub->last != err)
+	if (err == PUB_E_STALE && pub->last_result != err)
 		log_event(LOG_CONFIG_STALE, "revision=%llu",
-			  (unsigned long long)pub->seen);
-	if (err == PUB_E_DAMAGED && pub->last != err)
+			  (unsigned long long)pub->highest_revision);
+	if (err == PUB_E_DAMAGED && pub->last_result != err)
 		log_event(LOG_CONFIG_DAMAGED, "revision=%llu",
-			  (unsigned long long)pub->seen);
-	pub->last = err;
+			  (unsigned long long)pub->highest_revision);
+	pub->last_result = err;
 }
 
 static int pub_read_once(struct pub *pub, int64_t deadline_us, char **text,
@@ -181,14 +181,14 @@
 
 	if (err != PUB_OK)
 		return err;
-	pub->version = version;
+	pub->head_version = version;
 	if (pub_is_stale(pub, &head)) {
 		pub_head_free(&head);
 		return PUB_E_STALE;
 	}
 	err = pub_load_text(pub, deadline_us, &head, text);
 	if (err == PUB_OK) {
-		pub_see(pub, &head);
+		pub_set_highest(pub, &head);
 		*revision = head.revision;
 	}
 	pub_head_free(&head);
@@ -204,9 +204,9 @@
 {
 	const char *id = head->change_count ? head->changes[0].id : "";
 
-	if (head->revision != pub->seen)
-		return head->revision < pub->seen;
-	return strcmp(id, pub->seen_id) != 0;
+	if (head->revision != pub->highest_revision)
+		return head->revision < pub->highest_revision;
+	return strcmp(id, pub->highest_change_id) != 0;
 }
 
 static int pub_load_key(struct pub *pub, const char *key, int64_t deadline_us,
--- a/src/rev.c
+++ b/src/rev.c
@@ -9,18 +9,18 @@
 
 /* What led from one revision to a later one. */
 struct rev_edit {
-	uint64_t from;
-	uint64_t to;
+	uint64_t from_revision;
+	uint64_t to_revision;
 	char *text; /* NULL: too much differed */
 };
 
 struct rev {
 	uint64_t revision;
 	char *text;
-	bool lined; /* its lines may be taken one by one */
+	bool object_per_line; /* its lines may be taken one by one */
 	struct rev_edit edits[REV_EDITS];
-	size_t next;	    /* to be overwritten */
-	unsigned long made; /* sets made from the one before */
+	size_t next_edit;	    /* to be overwritten */
+	unsigned long patched_sets; /* sets made from the one before */
 };
 
 static int rev_take(struct rev *rev, const struct cfg_set *base,
@@ -57,7 +57,7 @@
  * Takes the text of a new revision.  base is the set of the revision held
  * before, NULL for none.  On PUB_OK *set is the new set, to be freed by the
  * caller; else nothing changed: PUB_E_STALE for one that is no newer,
- * PUB_E_HOSTILE for one that no site could have made or that has faults.
+ * PUB_E_REJECTED for one that no site could have made or that has faults.
  */
 int rev_offer(struct rev *rev, const struct cfg_set *base, const char *text,
 	      uint64_t revision, struct cfg_set **set)
@@ -77,8 +77,8 @@
 	*set = NULL;
 	if (revision <= rev->revision)
 		err = PUB_E_STALE;
-	else if (!pub_accept(rev->revision, revision))
-		err = PUB_E_HOSTILE;
+	else if (!pub_accepts_revision(rev->revision, revision))
+		err = PUB_E_REJECTED;
 	if (err == PUB_OK)
 		copy = strdup(text);
 	if (err == PUB_OK && !copy)
@@ -121,7 +121,7 @@
 		err = pub_edit_apply(text ? text : rev->text, edit, &revision,
 				     &next);
 		if (err == PUB_OK && revision <= last)
-			err = PUB_E_HOSTILE;
+			err = PUB_E_REJECTED;
 		free(text);
 		text = next;
 		last = revision;
@@ -148,9 +148,9 @@
 }
 
 /* Returns how many sets were made from the one before. */
-unsigned long rev_made(const struct rev *rev)
+unsigned long rev_patched_sets(const struct rev *rev)
 {
-	return rev->made;
+	return rev->patched_sets;
 }
 
 /*
@@ -171,7 +171,7 @@
 		return NULL;
 	while (have < rev->revision && (edit = rev_from(rev, have))) {
 		fprintf(out, "%s%s", ftell(out) > 0 ? "\n" : "", edit->text);
-		have = edit->to;
+		have = edit->to_revision;
 	}
 	if (fclose(out) == 0 && have == rev->revision && len <= REV_EDITS_BYTES)
 		return text;
@@ -187,17 +187,18 @@
 	struct pub_edit lines = { 0 };
 	int err = PUB_E_SIZE;
 
-	if (base && rev->lined)
+	if (base && rev->object_per_line)
 		err = pub_edit_make(rev->text, text, &lines);
 	if (err == PUB_OK && !*edit)
 		*edit = pub_edit_text(&lines, revision, text);
-	if (err == PUB_OK && cfg_patch(base, lines.drop, lines.drops, lines.put,
-				       lines.puts, set) == CFG_OK) {
-		rev->made++;
+	if (err == PUB_OK &&
+	    cfg_patch(base, lines.removed, lines.removed_count, lines.added,
+		      lines.added_count, set) == CFG_OK) {
+		rev->patched_sets++;
 	} else {
 		err = rev_parse(text, set);
 		if (err == PUB_OK)
-			rev->lined = pub_is_lined(text);
+			rev->object_per_line = pub_is_object_per_line(text);
 	}
 	pub_edit_free(&lines);
 	return err;
@@ -211,20 +212,20 @@
 	cfg_faults_free(faults);
 	if (err == CFG_E_MEMORY)
 		return PUB_E_MEMORY;
-	return err == CFG_OK ? PUB_OK : PUB_E_HOSTILE;
+	return err == CFG_OK ? PUB_OK : PUB_E_REJECTED;
 }
 
 /* Puts a text in place of the one held, with what led to it if known. */
 static void rev_keep(struct rev *rev, char *text, uint64_t revision, char *edit)
 {
-	struct rev_edit *kept = &rev->edits[rev->next];
+	struct rev_edit *kept = &rev->edits[rev->next_edit];
 
 	if (edit) {
 		free(kept->text);
 		kept->text = edit;
-		kept->from = rev->revision;
-		kept->to = revision;
-		rev->next = (rev->next + 1) % REV_EDITS;
+		kept->from_revision = rev->revision;
+		kept->to_revision = revision;
+		rev->next_edit = (rev->next_edit + 1) % REV_EDITS;
 	}
 	free(rev->text);
 	rev->text = text;
@@ -237,7 +238,7 @@
 	size_t i;
 
 	for (i = 0; i < REV_EDITS; i++) {
-		if (rev->edits[i].text && rev->edits[i].from == from)
+		if (rev->edits[i].text && rev->edits[i].from_revision == from)
 			return &rev->edits[i];
 	}
 	return NULL;
--- a/src/rev.h
+++ b/src/rev.h
@@ -22,7 +22,7 @@
 		    const char *edits, struct cfg_set **set);
 uint64_t rev_revision(const struct rev *rev);
 const char *rev_text(const struct rev *rev);
-unsigned long rev_made(const struct rev *rev);
+unsigned long rev_patched_sets(const struct rev *rev);
 char *rev_edits(const struct rev *rev, uint64_t have);
 
 #endif /* REV_H */
--- a/src/watch.c
+++ b/src/watch.c
@@ -346,7 +346,7 @@
 
 	if (rc == PUB_E_STALE)
 		return PUB_OK;
-	return rc == PUB_E_HOSTILE ? PUB_E_DAMAGED : rc;
+	return rc == PUB_E_REJECTED ? PUB_E_DAMAGED : rc;
 }
 
 static void take_loads(struct watch *watch)
