--- a/src/ctl.h
+++ b/src/ctl.h
@@ -19,35 +19,35 @@
 /* Exit codes; magctl(1) lists them, and they stay as they are. */
 enum ctl_exit {
 	CTL_DONE = 0,
-	CTL_USAGE = 1,	 /* the command line is wrong */
-	CTL_FAULTS = 2,	 /* the set has faults; nothing was published */
-	CTL_RACE = 3,	 /* another change came first, or no base was named */
-	CTL_DOWN = 4,	 /* the service or the instances don't answer */
-	CTL_UNKNOWN = 5, /* the change may be in force */
-	CTL_REFUSED = 6, /* damaged, stale, gone, too large */
-	CTL_WAITING = 7, /* not all instances hold the revision */
-	CTL_DIFFERS = 8, /* diff found a difference */
+	CTL_USAGE = 1,	  /* the command line is wrong */
+	CTL_FAULTS = 2,	  /* the set has faults; nothing was published */
+	CTL_CONFLICT = 3, /* another change came first, or no base was named */
+	CTL_DOWN = 4,	  /* the service or the instances don't answer */
+	CTL_UNKNOWN = 5,  /* the change may be in force */
+	CTL_REFUSED = 6,  /* damaged, stale, gone, too large */
+	CTL_PENDING = 7,  /* not all instances hold the revision */
+	CTL_DIFFERS = 8,  /* diff found a difference */
 };
 
 enum ctl_option {
-	CTL_O_FILE,   /* positional: a file, or "-" for standard input */
-	CTL_O_OBJECT, /* positional: kind/name */
-	CTL_O_PLATFORM,
-	CTL_O_ADMIN,
-	CTL_O_TIMEOUT,
-	CTL_O_REVISION,
-	CTL_O_BASE,
-	CTL_O_REPLACE,
-	CTL_O_MERGE,
-	CTL_O_CHANGE_ID,
-	CTL_O_FLOOR,
-	CTL_O_OPERATOR,
-	CTL_O_NOTE,
-	CTL_O_WAIT,
-	CTL_O_COUNT,
-	CTL_O_SERVICE,
-	CTL_O_JSON,
-	CTL_O_HELP,
+	CTL_OPT_FILE,	/* positional: a file, or "-" for standard input */
+	CTL_OPT_OBJECT, /* positional: kind/name */
+	CTL_OPT_PLATFORM,
+	CTL_OPT_ADMIN,
+	CTL_OPT_TIMEOUT,
+	CTL_OPT_REVISION,
+	CTL_OPT_BASE,
+	CTL_OPT_REPLACE,
+	CTL_OPT_MERGE,
+	CTL_OPT_CHANGE_ID,
+	CTL_OPT_FLOOR,
+	CTL_OPT_OPERATOR,
+	CTL_OPT_NOTE,
+	CTL_OPT_WAIT,
+	CTL_OPT_COUNT,
+	CTL_OPT_SERVICE,
+	CTL_OPT_JSON,
+	CTL_OPT_HELP,
 	CTL_OPTION_COUNT
 };
 
@@ -77,7 +77,7 @@
 /* A connection to the platform's service, each call with its own timeout. */
 struct ctl_store {
 	struct pf *pf;
-	struct kv_backend inner;
+	struct kv_backend backend;
 	struct pub *pub;
 	int64_t deadline_us;
 };
@@ -98,10 +98,10 @@
 
 /* ctl_out.c */
 char *ctl_read_file(const char *path);
-enum ctl_exit ctl_fail(const struct ctl_args *args, enum ctl_exit code,
-		       const char *fmt, ...)
+enum ctl_exit ctl_report_error(const struct ctl_args *args, enum ctl_exit code,
+			       const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
-enum ctl_exit ctl_exit_of(int err);
+enum ctl_exit ctl_exit_for_error(int err);
 void ctl_print_json(json_t *doc);
 void ctl_print_table(const json_t *rows);
 json_t *ctl_fault_list(const struct cfg_faults *faults);
@@ -111,8 +111,9 @@
 void ctl_store_close(struct ctl_store *store);
 
 /* ctl_http.c */
-void ctl_ask(const struct ctl_addresses *addresses, const char *path,
-	     int64_t deadline_us, struct ctl_answer *answers);
+void ctl_query_instances(const struct ctl_addresses *addresses,
+			 const char *path, int64_t deadline_us,
+			 struct ctl_answer *answers);
 void ctl_answers_free(struct ctl_answer *answers, size_t count);
 
 /* Commands. */
@@ -127,8 +128,9 @@
 enum ctl_exit ctl_explain(const struct ctl_args *args);
 
 /* ctl_fleet.c, for apply */
-uint64_t ctl_highest(const struct ctl_addresses *admin, int64_t deadline_us);
-size_t ctl_holders(const struct ctl_addresses *admin, uint64_t revision,
-		   int64_t deadline_us);
+uint64_t ctl_highest_revision(const struct ctl_addresses *admin,
+			      int64_t deadline_us);
+size_t ctl_count_holders(const struct ctl_addresses *admin, uint64_t revision,
+			 int64_t deadline_us);
 
 #endif /* CTL_H */
--- a/src/ctl_apply.c
+++ b/src/ctl_apply.c
@@ -30,7 +30,7 @@
 /* magctl apply: publishes a whole set, all or nothing. */
 enum ctl_exit ctl_apply(const struct ctl_args *args)
 {
-	char *text = ctl_read_file(args->value[CTL_O_FILE]);
+	char *text = ctl_read_file(args->value[CTL_OPT_FILE]);
 	struct pub_request request;
 	struct pub_result result;
 	int64_t holders = -1;
@@ -44,10 +44,10 @@
 		return CTL_USAGE;
 	}
 	err = ctl_publish(args, &request, &result);
-	code = ctl_exit_of(err);
+	code = ctl_exit_for_error(err);
 	if (!args->json)
 		ctl_report(&request, err, &result);
-	if (err == PUB_OK && args->value[CTL_O_WAIT])
+	if (err == PUB_OK && args->value[CTL_OPT_WAIT])
 		code = ctl_wait(args, result.revision, &holders);
 	if (args->json)
 		ctl_report_json(&request, err, &result, holders);
@@ -63,26 +63,26 @@
 	request->text = text;
 	request->len = strlen(text);
 	request->base = ctl_named_revision(text);
-	request->replace = args->value[CTL_O_REPLACE] != NULL;
-	request->merge = args->value[CTL_O_MERGE] != NULL;
-	request->resume = args->value[CTL_O_CHANGE_ID] != NULL;
+	request->replace = args->value[CTL_OPT_REPLACE] != NULL;
+	request->merge = args->value[CTL_OPT_MERGE] != NULL;
+	request->resume = args->value[CTL_OPT_CHANGE_ID] != NULL;
 	request->deadline_us = args->deadline_us;
-	if (!ctl_number(args, CTL_O_BASE, PUB_REVISION_MAX, &request->base) ||
-	    !ctl_number(args, CTL_O_FLOOR, PUB_REVISION_MAX, &request->floor))
+	if (!ctl_number(args, CTL_OPT_BASE, PUB_REVISION_MAX, &request->base) ||
+	    !ctl_number(args, CTL_OPT_FLOOR, PUB_REVISION_MAX, &request->floor))
 		return false;
 	/* A change below what instances hold would never come into force. */
-	if (!args->value[CTL_O_FLOOR])
-		request->floor =
-			ctl_highest(&args->admin, clk_now_us() + CTL_FLOOR_US);
+	if (!args->value[CTL_OPT_FLOOR])
+		request->floor = ctl_highest_revision(
+			&args->admin, clk_now_us() + CTL_FLOOR_US);
 	return ctl_make_change(args, &request->change);
 }
 
 static bool ctl_make_change(const struct ctl_args *args,
 			    struct pub_change *change)
 {
-	const char *id = args->value[CTL_O_CHANGE_ID];
-	const char *author = args->value[CTL_O_OPERATOR];
-	const char *note = args->value[CTL_O_NOTE];
+	const char *id = args->value[CTL_OPT_CHANGE_ID];
+	const char *author = args->value[CTL_OPT_OPERATOR];
+	const char *note = args->value[CTL_OPT_NOTE];
 	unsigned char bytes[CTL_ID_BYTES];
 
 	change->time_ms = clk_wall_ms();
@@ -177,9 +177,10 @@
 static void ctl_report_json(const struct pub_request *request, int err,
 			    const struct pub_result *result, int64_t holders)
 {
-	json_t *doc = json_pack(
-		"{s:s, s:i, s:s}", "result", pub_err_text((enum pub_err)err),
-		"exit", (int)ctl_exit_of(err), "change_id", request->change.id);
+	json_t *doc = json_pack("{s:s, s:i, s:s}", "result",
+				pub_err_text((enum pub_err)err), "exit",
+				(int)ctl_exit_for_error(err), "change_id",
+				request->change.id);
 
 	if (err == PUB_OK)
 		json_object_update_new(
@@ -205,8 +206,8 @@
 	size_t holding;
 
 	for (;;) {
-		holding =
-			ctl_holders(&args->admin, revision, args->deadline_us);
+		holding = ctl_count_holders(&args->admin, revision,
+					    args->deadline_us);
 		if (holding == args->admin.count ||
 		    clk_now_us() + CTL_POLL_US >= args->deadline_us)
 			break;
@@ -216,5 +217,5 @@
 	if (!args->json)
 		printf("%zu of %zu instances hold revision %llu\n", holding,
 		       args->admin.count, (unsigned long long)revision);
-	return holding == args->admin.count ? CTL_DONE : CTL_WAITING;
+	return holding == args->admin.count ? CTL_DONE : CTL_PENDING;
 }
--- a/src/ctl_fleet.c
+++ b/src/ctl_fleet.c
@@ -32,13 +32,15 @@
 static void ctl_add_row(json_t *row, const json_t *more);
 
 /* Returns the highest revision that an instance holds, 0 if none answers. */
-uint64_t ctl_highest(const struct ctl_addresses *admin, int64_t deadline_us)
+uint64_t ctl_highest_revision(const struct ctl_addresses *admin,
+			      int64_t deadline_us)
 {
 	struct ctl_answer answers[CTL_ADDRESSES_MAX];
 	uint64_t highest = 0;
 	size_t i;
 
-	ctl_ask(admin, "/admin/status", ctl_ask_deadline(deadline_us), answers);
+	ctl_query_instances(admin, "/admin/status",
+			    ctl_ask_deadline(deadline_us), answers);
 	for (i = 0; i < admin->count; i++) {
 		uint64_t revision = ctl_revision_of(answers[i].body);
 
@@ -50,14 +52,15 @@
 }
 
 /* Counts the instances that hold a revision or a later one. */
-size_t ctl_holders(const struct ctl_addresses *admin, uint64_t revision,
-		   int64_t deadline_us)
+size_t ctl_count_holders(const struct ctl_addresses *admin, uint64_t revision,
+			 int64_t deadline_us)
 {
 	struct ctl_answer answers[CTL_ADDRESSES_MAX];
 	size_t holders = 0;
 	size_t i;
 
-	ctl_ask(admin, "/admin/status", ctl_ask_deadline(deadline_us), answers);
+	ctl_query_instances(admin, "/admin/status",
+			    ctl_ask_deadline(deadline_us), answers);
 	for (i = 0; i < admin->count; i++)
 		holders += ctl_revision_of(answers[i].body) >= revision;
 	ctl_answers_free(answers, admin->count);
@@ -73,8 +76,8 @@
 	size_t i;
 
 	fleet.reach = ctl_head(args, &fleet.revision);
-	ctl_ask(&args->admin, "/admin/status",
-		ctl_ask_deadline(args->deadline_us), answers);
+	ctl_query_instances(&args->admin, "/admin/status",
+			    ctl_ask_deadline(args->deadline_us), answers);
 	/* Without the service the newest that an instance holds counts. */
 	for (i = 0; i < count && fleet.reach != PUB_OK; i++) {
 		if (ctl_revision_of(answers[i].body) > fleet.revision)
@@ -89,7 +92,7 @@
 	ctl_answers_free(answers, count);
 	ctl_print_fleet(args, &fleet);
 	json_decref(fleet.rows);
-	return fleet.holders == count ? CTL_DONE : CTL_WAITING;
+	return fleet.holders == count ? CTL_DONE : CTL_PENDING;
 }
 
 /* magctl shares: the load of each account, summed over the instances. */
@@ -110,8 +113,9 @@
 	char path[CTL_PATH_MAX] = "/admin/explain";
 	char *service;
 
-	if (args->value[CTL_O_SERVICE]) {
-		service = curl_easy_escape(NULL, args->value[CTL_O_SERVICE], 0);
+	if (args->value[CTL_OPT_SERVICE]) {
+		service =
+			curl_easy_escape(NULL, args->value[CTL_OPT_SERVICE], 0);
 		snprintf(path, sizeof(path), "/admin/explain?service=%.128s",
 			 service ? service : "");
 		curl_free(service);
@@ -197,8 +201,8 @@
 	size_t answered = 0;
 	size_t i;
 
-	ctl_ask(&args->admin, path, ctl_ask_deadline(args->deadline_us),
-		answers);
+	ctl_query_instances(&args->admin, path,
+			    ctl_ask_deadline(args->deadline_us), answers);
 	for (i = 0; i < args->admin.count; i++) {
 		answered += answers[i].body != NULL;
 		if (!error)
--- a/src/ctl_http.c
+++ b/src/ctl_http.c
@@ -31,8 +31,9 @@
  * for those behind it, and the whole fleet would look lost.  One that does
  * not answer in time has no body.
  */
-void ctl_ask(const struct ctl_addresses *addresses, const char *path,
-	     int64_t deadline_us, struct ctl_answer *answers)
+void ctl_query_instances(const struct ctl_addresses *addresses,
+			 const char *path, int64_t deadline_us,
+			 struct ctl_answer *answers)
 {
 	struct ctl_request requests[CTL_ADDRESSES_MAX] = { 0 };
 	long left_ms = (long)((deadline_us - clk_now_us()) / MAG_US_PER_MS);
--- a/src/ctl_option.c
+++ b/src/ctl_option.c
@@ -40,43 +40,46 @@
 			      struct ctl_addresses *addresses);
 
 static const struct ctl_entry entries[CTL_OPTION_COUNT] = {
-	[CTL_O_FILE] = { NULL, NULL, "FILE",
-			 "set of objects; - or none reads "
-			 "standard input",
-			 NULL },
-	[CTL_O_OBJECT] = { NULL, NULL, "KIND/NAME", "only this object", NULL },
-	[CTL_O_PLATFORM] = { "platform", NULL, "IP:PORT,..",
-			     "the platform's service", "MAGNOLIA_PLATFORM" },
-	[CTL_O_ADMIN] = { "admin", NULL, "IP:PORT,..",
-			  "admin ports of the instances", "MAGNOLIA_ADMIN" },
-	[CTL_O_TIMEOUT] = { "timeout-ms", NULL, "MS",
-			    "longest wait; 10000 if absent", NULL },
-	[CTL_O_REVISION] = { "revision", NULL, "N",
-			     "this past revision in place of the one in force",
+	[CTL_OPT_FILE] = { NULL, NULL, "FILE",
+			   "set of objects; - or none reads "
+			   "standard input",
+			   NULL },
+	[CTL_OPT_OBJECT] = { NULL, NULL, "KIND/NAME", "only this object",
 			     NULL },
-	[CTL_O_BASE] = { "base", NULL, "N",
-			 "revision that the set was made from; absent: the one "
-			 "that it names",
-			 NULL },
-	[CTL_O_REPLACE] = { "replace", NULL, NULL,
-			    "replace whatever is in force", NULL },
-	[CTL_O_MERGE] = { "merge", NULL, NULL,
-			  "go together with changes to other objects", NULL },
-	[CTL_O_CHANGE_ID] = { "change-id", NULL, "ID",
-			      "of an earlier try that got no answer", NULL },
-	[CTL_O_FLOOR] = { "floor", NULL, "N",
-			  "publish above this revision; absent: the highest "
-			  "that an instance holds",
-			  NULL },
-	[CTL_O_OPERATOR] = { "operator", NULL, "NAME", "who makes the change",
-			     "USER" },
-	[CTL_O_NOTE] = { "note", NULL, "TEXT", "why", NULL },
-	[CTL_O_WAIT] = { "wait", "w", NULL,
-			 "until all instances hold the revision", NULL },
-	[CTL_O_COUNT] = { "count", "n", "N", "most changes to list", NULL },
-	[CTL_O_SERVICE] = { "service", "s", "NAME", "this service", NULL },
-	[CTL_O_JSON] = { "json", "j", NULL, "write JSON", NULL },
-	[CTL_O_HELP] = { "help", "h", NULL, "write this text", NULL },
+	[CTL_OPT_PLATFORM] = { "platform", NULL, "IP:PORT,..",
+			       "the platform's service", "MAGNOLIA_PLATFORM" },
+	[CTL_OPT_ADMIN] = { "admin", NULL, "IP:PORT,..",
+			    "admin ports of the instances", "MAGNOLIA_ADMIN" },
+	[CTL_OPT_TIMEOUT] = { "timeout-ms", NULL, "MS",
+			      "longest wait; 10000 if absent", NULL },
+	[CTL_OPT_REVISION] = { "revision", NULL, "N",
+			       "this past revision in place of the one in "
+			       "force",
+			       NULL },
+	[CTL_OPT_BASE] = { "base", NULL, "N",
+			   "revision that the set was made from; absent: the "
+			   "one "
+			   "that it names",
+			   NULL },
+	[CTL_OPT_REPLACE] = { "replace", NULL, NULL,
+			      "replace whatever is in force", NULL },
+	[CTL_OPT_MERGE] = { "merge", NULL, NULL,
+			    "go together with changes to other objects", NULL },
+	[CTL_OPT_CHANGE_ID] = { "change-id", NULL, "ID",
+				"of an earlier try that got no answer", NULL },
+	[CTL_OPT_FLOOR] = { "floor", NULL, "N",
+			    "publish above this revision; absent: the highest "
+			    "that an instance holds",
+			    NULL },
+	[CTL_OPT_OPERATOR] = { "operator", NULL, "NAME", "who makes the change",
+			       "USER" },
+	[CTL_OPT_NOTE] = { "note", NULL, "TEXT", "why", NULL },
+	[CTL_OPT_WAIT] = { "wait", "w", NULL,
+			   "until all instances hold the revision", NULL },
+	[CTL_OPT_COUNT] = { "count", "n", "N", "most changes to list", NULL },
+	[CTL_OPT_SERVICE] = { "service", "s", "NAME", "this service", NULL },
+	[CTL_OPT_JSON] = { "json", "j", NULL, "write JSON", NULL },
+	[CTL_OPT_HELP] = { "help", "h", NULL, "write this text", NULL },
 };
 
 /*
@@ -97,7 +100,7 @@
 	else
 		err = ctl_take(&table, args);
 	ctl_table_free(&table);
-	if (err == 0 && !args->value[CTL_O_HELP])
+	if (err == 0 && !args->value[CTL_OPT_HELP])
 		err = ctl_check_args(command, args);
 	if (err < 0)
 		ctl_free_args(args);
@@ -200,7 +203,7 @@
 			value = strdup(set);
 		args->value[option] = value;
 	}
-	args->json = args->value[CTL_O_JSON] != NULL;
+	args->json = args->value[CTL_OPT_JSON] != NULL;
 	return 0;
 }
 
@@ -221,22 +224,22 @@
 {
 	uint64_t timeout_ms = CTL_TIMEOUT_MS;
 
-	if (!ctl_number(args, CTL_O_TIMEOUT, CTL_TIMEOUT_MAX, &timeout_ms))
+	if (!ctl_number(args, CTL_OPT_TIMEOUT, CTL_TIMEOUT_MAX, &timeout_ms))
 		return -1;
 	args->deadline_us = clk_now_us() + (int64_t)timeout_ms * MAG_US_PER_MS;
-	if (ctl_read_addresses("platform", args->value[CTL_O_PLATFORM],
+	if (ctl_read_addresses("platform", args->value[CTL_OPT_PLATFORM],
 			       &args->platform) < 0 ||
-	    ctl_read_addresses("admin", args->value[CTL_O_ADMIN],
+	    ctl_read_addresses("admin", args->value[CTL_OPT_ADMIN],
 			       &args->admin) < 0)
 		return -1;
-	if ((command->options & CTL_BIT(CTL_O_PLATFORM)) &&
+	if ((command->options & CTL_BIT(CTL_OPT_PLATFORM)) &&
 	    !(command->run == ctl_status) && args->platform.count == 0) {
 		fputs("magctl: --platform or MAGNOLIA_PLATFORM is needed\n",
 		      stderr);
 		return -1;
 	}
-	if ((command->options & CTL_BIT(CTL_O_ADMIN)) &&
-	    (command->run != ctl_apply || args->value[CTL_O_WAIT]) &&
+	if ((command->options & CTL_BIT(CTL_OPT_ADMIN)) &&
+	    (command->run != ctl_apply || args->value[CTL_OPT_WAIT]) &&
 	    args->admin.count == 0) {
 		fputs("magctl: --admin or MAGNOLIA_ADMIN is needed\n", stderr);
 		return -1;
--- a/src/ctl_out.c
+++ b/src/ctl_out.c
@@ -40,8 +40,8 @@
 }
 
 /* Tells the operator why nothing came of a command; returns its exit code. */
-enum ctl_exit ctl_fail(const struct ctl_args *args, enum ctl_exit code,
-		       const char *fmt, ...)
+enum ctl_exit ctl_report_error(const struct ctl_args *args, enum ctl_exit code,
+			       const char *fmt, ...)
 {
 	char text[512];
 	va_list ap;
@@ -58,7 +58,7 @@
 }
 
 /* Returns the exit code that stands for an error of publishing. */
-enum ctl_exit ctl_exit_of(int err)
+enum ctl_exit ctl_exit_for_error(int err)
 {
 	switch (err) {
 	case PUB_OK:
@@ -67,7 +67,7 @@
 		return CTL_FAULTS;
 	case PUB_E_CONFLICT:
 	case PUB_E_BASE:
-		return CTL_RACE;
+		return CTL_CONFLICT;
 	case PUB_E_DOWN:
 		return CTL_DOWN;
 	case PUB_E_UNKNOWN:
--- a/src/ctl_set.c
+++ b/src/ctl_set.c
@@ -18,7 +18,7 @@
 /* magctl check: checks a set as a whole and lists every fault. */
 enum ctl_exit ctl_check(const struct ctl_args *args)
 {
-	char *text = ctl_read_file(args->value[CTL_O_FILE]);
+	char *text = ctl_read_file(args->value[CTL_OPT_FILE]);
 	struct cfg_faults *faults;
 	struct cfg_set *set;
 	size_t i;
@@ -53,9 +53,9 @@
 	char *now;
 	int err;
 
-	if (!ctl_number(args, CTL_O_REVISION, PUB_REVISION_MAX, &revision))
+	if (!ctl_number(args, CTL_OPT_REVISION, PUB_REVISION_MAX, &revision))
 		return CTL_USAGE;
-	text = ctl_read_file(args->value[CTL_O_FILE]);
+	text = ctl_read_file(args->value[CTL_OPT_FILE]);
 	if (!text)
 		return CTL_USAGE;
 	err = ctl_load(args, revision, &now, &revision);
@@ -67,11 +67,12 @@
 	free(now);
 	free(text);
 	if (err != PUB_OK)
-		return ctl_fail(args, ctl_exit_of(err), "%s",
-				pub_err_text((enum pub_err)err));
+		return ctl_report_error(args, ctl_exit_for_error(err), "%s",
+					pub_err_text((enum pub_err)err));
 	if (!difference)
-		return ctl_fail(args, CTL_FAULTS,
-				"not a set of objects; magctl check lists why");
+		return ctl_report_error(
+			args, CTL_FAULTS,
+			"not a set of objects; magctl check lists why");
 	return ctl_print_diff(args, revision, difference);
 }
 
@@ -83,13 +84,13 @@
 	char *text;
 	int err;
 
-	if (!ctl_number(args, CTL_O_REVISION, PUB_REVISION_MAX, &revision))
+	if (!ctl_number(args, CTL_OPT_REVISION, PUB_REVISION_MAX, &revision))
 		return CTL_USAGE;
 	err = ctl_load(args, revision, &text, &revision);
 	if (err != PUB_OK)
-		return ctl_fail(args, ctl_exit_of(err), "%s",
-				pub_err_text((enum pub_err)err));
-	if (args->value[CTL_O_OBJECT])
+		return ctl_report_error(args, ctl_exit_for_error(err), "%s",
+					pub_err_text((enum pub_err)err));
+	if (args->value[CTL_OPT_OBJECT])
 		code = ctl_print_object(args, text);
 	else
 		fputs(text, stdout);
@@ -108,15 +109,15 @@
 	size_t i;
 	int err;
 
-	if (!ctl_number(args, CTL_O_COUNT, PUB_RETAINED_REVISIONS, &most))
+	if (!ctl_number(args, CTL_OPT_COUNT, PUB_RETAINED_REVISIONS, &most))
 		return CTL_USAGE;
 	if (!ctl_store_open(&store, args))
 		return CTL_DOWN;
 	err = pub_history(store.pub, args->deadline_us, changes, most, &count);
 	ctl_store_close(&store);
 	if (err != PUB_OK)
-		return ctl_fail(args, ctl_exit_of(err), "%s",
-				pub_err_text((enum pub_err)err));
+		return ctl_report_error(args, ctl_exit_for_error(err), "%s",
+					pub_err_text((enum pub_err)err));
 	list = json_array();
 	for (i = 0; i < count; i++) {
 		json_array_append_new(list, ctl_change_json(&changes[i]));
@@ -170,7 +171,7 @@
 static enum ctl_exit ctl_print_object(const struct ctl_args *args,
 				      const char *text)
 {
-	const char *wanted = args->value[CTL_O_OBJECT];
+	const char *wanted = args->value[CTL_OPT_OBJECT];
 	json_t *doc = json_loads(text, 0, NULL);
 	json_t *list = json_object_get(doc, "objects");
 	char id[2 * MAG_NAME_MAX];
@@ -189,7 +190,7 @@
 		}
 	}
 	json_decref(doc);
-	return ctl_fail(args, CTL_REFUSED, "there is no %s", wanted);
+	return ctl_report_error(args, CTL_REFUSED, "there is no %s", wanted);
 }
 
 static void ctl_print_change(const struct pub_change *change)
--- a/src/ctl_store.c
+++ b/src/ctl_store.c
@@ -23,7 +23,7 @@
 	store->pf = pf_open(addresses, args->platform.count);
 	if (!store->pf)
 		return false;
-	store->inner = pf_backend(store->pf);
+	store->backend = pf_backend(store->pf);
 	store->pub = pub_new(backend);
 	if (store->pub)
 		return true;
@@ -52,5 +52,5 @@
 
 	if (bounded.deadline_us > deadline_us)
 		bounded.deadline_us = deadline_us;
-	store->inner.call(store->inner.ctx, &bounded, reply);
+	store->backend.call(store->backend.ctx, &bounded, reply);
 }
--- a/src/magctl.c
+++ b/src/magctl.c
@@ -8,7 +8,7 @@
 #include "log.h"
 #include "set.h"
 
-#define OPT(name) CTL_BIT(CTL_O_##name)
+#define OPT(name) CTL_BIT(CTL_OPT_##name)
 #define STORE	  (OPT(PLATFORM) | OPT(TIMEOUT) | OPT(JSON) | OPT(HELP))
 #define FLEET	  (OPT(ADMIN) | OPT(TIMEOUT) | OPT(JSON) | OPT(HELP))
 
@@ -82,7 +82,7 @@
 
 	if (ctl_read_args(command, argc, argv, &args) < 0)
 		return CTL_USAGE;
-	if (args.value[CTL_O_HELP]) {
+	if (args.value[CTL_OPT_HELP]) {
 		ctl_help(command, stdout);
 		ctl_free_args(&args);
 		return CTL_DONE;
