--- a/src/pub.h
+++ b/src/pub.h
@@ -2,10 +2,11 @@
 #define PUB_H
 
 /*
- * Publishing the configuration through the platform's key-value service, and
- * reading it.  One head record holds the revision and names the chunks that
- * hold the objects; chunks are written before the head, and the head's swap
- * publishes all or nothing.  A struct pub belongs to one thread.
+ * Publishes the configuration through the platform's key-value service and
+ * reads it.  One head record holds the revision and names the chunks that hold
+ * the objects.  A publisher writes the chunks first and then replaces the head
+ * by compare-and-swap, so that a change is published completely or not at all.
+ * A struct pub must only be used by one thread.
  */
 
 #include <stdbool.h>
@@ -23,68 +24,67 @@
 #define PUB_NOTE_MAX	 128
 #define PUB_DIGEST_BYTES 20
 #define PUB_DIGEST_HEX	 (2 * PUB_DIGEST_BYTES + 1)
-#define PUB_REVISION_MAX (UINT64_C(1) << 40) /* no site gets so far */
-#define PUB_REVISION_STEP_MAX                                                  \
-	(UINT64_C(1) << 20)	   /* most at once from a peer                 \
-				    */
-#define PUB_RETAINED_REVISIONS 256 /* past revisions that are kept */
+#define PUB_REVISION_MAX (UINT64_C(1) << 40) /* beyond real use */
+/* Largest step to a revision that a peer offers. */
+#define PUB_REVISION_STEP_MAX  (UINT64_C(1) << 20)
+#define PUB_RETAINED_REVISIONS 256 /* history that is stored */
 
 enum pub_err {
 	PUB_OK = 0,
-	PUB_E_ABSENT = -1,   /* nothing was ever published */
-	PUB_E_DOWN = -2,     /* the service did not answer; nothing changed */
-	PUB_E_UNKNOWN = -3,  /* no answer to the swap: it may have landed */
-	PUB_E_CONFLICT = -4, /* another change came first */
-	PUB_E_INVALID = -5,  /* the set has faults */
-	PUB_E_DAMAGED = -6,  /* the service holds what is no configuration */
-	PUB_E_BASE = -7,     /* the change does not say what it was made from */
-	PUB_E_STALE = -8,    /* a revision older than one already seen */
-	PUB_E_SIZE = -9,     /* too large for the service */
-	PUB_E_GONE = -10,    /* that past revision is not kept */
-	PUB_E_REJECTED = -11, /* an offer that can't be what it says */
+	PUB_E_ABSENT = -1,    /* nothing was ever published */
+	PUB_E_DOWN = -2,      /* no answer from the service; nothing changed */
+	PUB_E_UNKNOWN = -3,   /* no answer to the swap; it may be in force */
+	PUB_E_CONFLICT = -4,  /* another change was published first */
+	PUB_E_INVALID = -5,   /* the set is not valid */
+	PUB_E_DAMAGED = -6,   /* the stored configuration can't be read */
+	PUB_E_BASE = -7,      /* no base revision, or not the one held */
+	PUB_E_STALE = -8,     /* older than a revision already read */
+	PUB_E_SIZE = -9,      /* too large for the service, or for an edit */
+	PUB_E_GONE = -10,     /* that past revision is no longer stored */
+	PUB_E_REJECTED = -11, /* an offer or edit that fails its checks */
 	PUB_E_MEMORY = -12,
 };
 
-/* One published change, as the head and the history list it. */
+/* One published change as listed by the head and by the history. */
 struct pub_change {
 	char id[PUB_ID_MAX];
-	char author[MAG_NAME_MAX]; /* the operator */
+	char author[MAG_NAME_MAX]; /* name of the operator */
 	char note[PUB_NOTE_MAX];
 	int64_t time_ms; /* wall clock of the operator's machine */
 	uint64_t revision;
 };
 
-/* What an operator wants in force: a whole set. */
+/* A request to publish a whole set. */
 struct pub_request {
 	const char *text;
 	size_t len;
-	struct pub_change change; /* its revision is not read */
-	uint64_t base;	/* revision that the set was made from, 0: none */
-	bool replace;	/* whatever is in force now */
+	struct pub_change change; /* its revision is ignored */
+	uint64_t base;	/* revision that the set was edited from, 0: none */
+	bool replace;	/* publish regardless of the set in force */
 	bool merge;	/* with changes to other objects since base */
-	bool resume;	/* an earlier try under this id may have landed */
-	uint64_t floor; /* highest revision that any instance holds */
+	bool resume;	/* an earlier try with this id may be in force */
+	uint64_t floor; /* publish above this revision */
 	int64_t deadline_us;
 };
 
 struct pub_result {
-	uint64_t revision;	/* that holds the change, or is in force */
-	bool already_published; /* an earlier try under the same id landed */
-	bool unchanged;		/* nothing to change */
-	size_t writes;		/* calls that wrote */
-	size_t written_bytes;	/* in them */
-	json_t *difference;	/* PUB_E_CONFLICT, PUB_E_BASE: see pub_diff */
+	uint64_t revision;	/* holds the change, or is in force */
+	bool already_published; /* by an earlier try with the same id */
+	bool unchanged;		/* the set is already in force */
+	size_t writes;		/* write calls to the service */
+	size_t written_bytes;	/* bytes in these calls */
+	json_t *difference; /* PUB_E_CONFLICT, PUB_E_BASE: as from pub_diff */
 	struct cfg_faults *faults; /* PUB_E_INVALID */
 };
 
-/* One place where two texts differ, by line. */
+/* One place where two texts differ; counted in lines. */
 struct pub_hunk {
-	size_t line; /* line of the old text */
+	size_t line; /* index in the old text */
 	size_t removed;
 	size_t added;
 };
 
-/* What differs between two texts that hold one object a line. */
+/* The difference between two texts with one object per line. */
 struct pub_edit {
 	struct pub_hunk *hunks;
 	size_t hunk_count;
@@ -111,7 +111,7 @@
 int pub_history(struct pub *pub, int64_t deadline_us,
 		struct pub_change *changes, size_t max, size_t *count);
 
-/* Without the service: what instances pass to each other. */
+/* Exchange between instances, without the service. */
 bool pub_accepts_revision(uint64_t current, uint64_t offered);
 int pub_digest(const char *text, size_t len, char digest[PUB_DIGEST_HEX]);
 int pub_check_offer(uint64_t current, uint64_t offered, const char *digest,
--- a/src/pub_apply.c
+++ b/src/pub_apply.c
@@ -3,49 +3,50 @@
 
 #include "pub_int.h"
 
-/* One request to publish, while it is tried. */
+/* State of one publish request. */
 struct pub_job {
 	struct pub *pub;
 	const struct pub_request *request;
 	struct pub_result *result;
-	struct pub_objects mine;   /* as the operator wants it */
-	struct pub_objects theirs; /* in force now */
+	struct pub_objects mine;   /* the operator's set */
+	struct pub_objects theirs; /* the set in force */
 	struct pub_objects merged;
 	const struct pub_objects *wanted; /* mine or merged */
-	struct pub_head head;		  /* in force now */
-	uint64_t version;
-	struct pub_head next; /* to be swapped in */
-	bool damaged;	      /* what is in force can't be read */
-	bool lost;	      /* a swap got no answer and is not settled */
+	struct pub_head head;		  /* the head in force */
+	uint64_t version;		  /* of the head's key */
+	struct pub_head next;		  /* replaces the head */
+	bool damaged;			  /* the set in force can't be read */
+	bool unresolved; /* a swap got no answer, its result is unknown */
 };
 
-/* Internal: the head moved on, try again from its reading. */
-#define PUB_AGAIN 1
-
-static int pub_check(const char *text, size_t len, struct pub_result *result);
-static int pub_try(struct pub_job *job);
-static int pub_settle(struct pub_job *job);
-static int pub_load(struct pub_job *job);
-static int pub_choose(struct pub_job *job);
-static int pub_rebase(struct pub_job *job);
-static int pub_write(struct pub_job *job);
-static int pub_make_next(struct pub_job *job);
-static int pub_make_kind(struct pub_job *job, enum cfg_kind kind,
-			 size_t objects);
-static int pub_make_chunk(struct pub_job *job, enum cfg_kind kind,
-			  size_t bucket);
+/* Internal: the head changed; read it and try again. */
+#define PUB_RETRY 1
+
+static int pub_validate(const char *text, size_t len,
+			struct pub_result *result);
+static int pub_apply_once(struct pub_job *job);
+static int pub_find_earlier_try(struct pub_job *job);
+static int pub_load_current(struct pub_job *job);
+static int pub_select_set(struct pub_job *job);
+static int pub_merge_changes(struct pub_job *job);
+static int pub_publish(struct pub_job *job);
+static int pub_build_head(struct pub_job *job);
+static int pub_build_kind(struct pub_job *job, enum cfg_kind kind,
+			  size_t objects);
+static int pub_build_chunk(struct pub_job *job, enum cfg_kind kind,
+			   size_t bucket);
 static int pub_write_chunk(struct pub_job *job, const struct pub_chunk *chunk,
 			   const char *text);
 static int pub_write_past(struct pub_job *job);
-static int pub_swap(struct pub_job *job);
-static int pub_swap_text(struct pub_job *job, const char *text);
+static int pub_swap_head(struct pub_job *job);
+static int pub_swap_head_text(struct pub_job *job, const char *text);
 static void pub_job_clear(struct pub_job *job);
 
 /*
- * Publishes a whole set.  PUB_OK says that result->revision holds it.  A
- * change id that was tried before settles an answer that was lost: the same
- * request under the same id publishes once, however often it is made.  The
- * caller clears the result in every case.
+ * Publishes a whole set.  On PUB_OK result->revision holds it.  The change id
+ * makes the request idempotent: if an answer was lost, the same request with
+ * the same id can be repeated and is published only once.  The caller must
+ * clear the result in every case.
  */
 int pub_apply(struct pub *pub, const struct pub_request *request,
 	      struct pub_result *result)
@@ -57,27 +58,27 @@
 	int try;
 
 	memset(result, 0, sizeof(*result));
-	err = pub_check(request->text, request->len, result);
+	err = pub_validate(request->text, request->len, result);
 	if (err == PUB_OK)
 		err = pub_objects_parse(&job.mine, request->text, request->len);
 	if (err != PUB_OK)
 		return err;
-	job.lost = request->resume;
-	err = PUB_AGAIN;
-	for (try = 0; try < PUB_TRIES && err == PUB_AGAIN; try++) {
+	job.unresolved = request->resume;
+	err = PUB_RETRY;
+	for (try = 0; try < PUB_TRIES && err == PUB_RETRY; try++) {
 		pub_job_clear(&job);
-		err = pub_try(&job);
+		err = pub_apply_once(&job);
 	}
-	if (err == PUB_AGAIN)
-		err = job.lost ? PUB_E_UNKNOWN : PUB_E_CONFLICT;
-	else if (err == PUB_E_DOWN && job.lost)
+	if (err == PUB_RETRY)
+		err = job.unresolved ? PUB_E_UNKNOWN : PUB_E_CONFLICT;
+	else if (err == PUB_E_DOWN && job.unresolved)
 		err = PUB_E_UNKNOWN;
 	pub_job_clear(&job);
 	pub_objects_free(&job.mine);
 	return err;
 }
 
-/* Frees what a result holds. */
+/* Frees the members of a result. */
 void pub_result_clear(struct pub_result *result)
 {
 	json_decref(result->difference);
@@ -86,8 +87,8 @@
 	result->faults = NULL;
 }
 
-/* Checks a whole set as the instances will. */
-static int pub_check(const char *text, size_t len, struct pub_result *result)
+/* Validates a set with the parser that the instances use. */
+static int pub_validate(const char *text, size_t len, struct pub_result *result)
 {
 	struct cfg_set *set;
 	int err = cfg_parse(text, len, &set, &result->faults);
@@ -98,13 +99,13 @@
 	return err == CFG_E_MEMORY ? PUB_E_MEMORY : PUB_E_INVALID;
 }
 
-/* Reads what is in force, decides what to publish, and publishes it. */
-static int pub_try(struct pub_job *job)
+/* Reads the set in force, selects the set to publish and publishes it. */
+static int pub_apply_once(struct pub_job *job)
 {
-	int err = pub_load(job);
+	int err = pub_load_current(job);
 
 	if (err == PUB_OK)
-		err = pub_settle(job);
+		err = pub_find_earlier_try(job);
 	if (err != PUB_OK || job->result->already_published)
 		return err;
 	err = pub_load_objects(job->pub, job->request->deadline_us, &job->head,
@@ -114,22 +115,24 @@
 		err = PUB_OK;
 	}
 	if (err == PUB_OK)
-		err = pub_choose(job);
+		err = pub_select_set(job);
 	if (err != PUB_OK || job->result->unchanged)
 		return err;
-	return pub_write(job);
+	return pub_publish(job);
 }
 
 /*
- * Looks for the change's id.  After a swap without an answer, or if the
- * operator says that an earlier try may have landed, past heads are searched
- * as well: others may have published since.
+ * Searches for the change id.  After a swap without an answer, or if the
+ * operator says that an earlier try may be in force, past heads are searched
+ * too, because other changes may have been published since.
  *
- * A swap of this run that got no answer can't land any more, as the head was
- * seen to move on.  That of an earlier run may, as the head may still be the
- * one that it replaces; so its request never ends with "nothing changed".
+ * A swap of this run that got no answer can't take effect any more: the head
+ * has changed since, so its expected version no longer matches.  A swap of an
+ * earlier run still can, because the head may be the one that it replaces.  A
+ * request with the resume flag is therefore never reported as "nothing
+ * changed".
  */
-static int pub_settle(struct pub_job *job)
+static int pub_find_earlier_try(struct pub_job *job)
 {
 	const char *id = job->request->change.id;
 	uint64_t revision = 0;
@@ -140,22 +143,22 @@
 		if (strcmp(job->head.changes[i].id, id) == 0)
 			revision = job->head.changes[i].revision;
 	}
-	if (!revision && job->lost)
+	if (!revision && job->unresolved)
 		err = pub_find_change(job->pub, job->request->deadline_us,
 				      &job->head, id, &revision);
 	if (err != PUB_OK)
 		return PUB_E_UNKNOWN;
-	job->lost = job->request->resume;
+	job->unresolved = job->request->resume;
 	job->result->already_published = revision != 0;
 	job->result->revision = revision;
 	return PUB_OK;
 }
 
 /*
- * Reads the head in force; an absent one is revision 0 with no objects, and
- * so is a damaged one for an operator who replaces whatever is there.
+ * Reads the head in force.  An absent head counts as revision 0 without
+ * objects.  So does a damaged head if the request replaces the set in force.
  */
-static int pub_load(struct pub_job *job)
+static int pub_load_current(struct pub_job *job)
 {
 	int err = pub_load_head(job->pub, job->request->deadline_us, &job->head,
 				&job->version);
@@ -172,38 +175,39 @@
 	return err;
 }
 
-/* Decides which set to publish over the one in force. */
-static int pub_choose(struct pub_job *job)
+/* Selects the set to publish: the operator's, a merged one, or none. */
+static int pub_select_set(struct pub_job *job)
 {
 	const struct pub_request *request = job->request;
-	uint64_t now = job->head.revision;
+	uint64_t current = job->head.revision;
 	json_t *difference = pub_diff_objects(&job->theirs, &job->mine);
 	int err = PUB_OK;
 
 	job->wanted = &job->mine;
 	if (json_array_size(difference) == 0) {
 		job->result->unchanged = true;
-		job->result->revision = now;
-	} else if (request->replace || request->base == now) {
+		job->result->revision = current;
+	} else if (request->replace || request->base == current) {
 		err = PUB_OK;
-	} else if (request->base > now) {
+	} else if (request->base > current) {
 		err = PUB_E_STALE;
 	} else if (request->base == 0) {
 		job->result->difference = json_incref(difference);
 		err = PUB_E_BASE;
 	} else {
-		err = pub_rebase(job);
+		err = pub_merge_changes(job);
 	}
 	json_decref(difference);
 	return err;
 }
 
 /*
- * Another change came first.  The operator sees what both sides changed since
- * the common base; only if asked to, and if no object was changed on both
- * sides, both changes go together into the next revision.
+ * Handles a base older than the revision in force.  Reports to the operator
+ * what both sides changed since the base.  If the operator asked for a merge
+ * and no object was changed differently on both sides, the next revision
+ * contains both changes.
  */
-static int pub_rebase(struct pub_job *job)
+static int pub_merge_changes(struct pub_job *job)
 {
 	int64_t deadline_us = job->request->deadline_us;
 	struct pub_objects base = { 0 };
@@ -229,40 +233,44 @@
 		return err;
 	job->wanted = &job->merged;
 	text = pub_objects_text(&job->merged, 0);
-	err = text ? pub_check(text, strlen(text), job->result) : PUB_E_MEMORY;
+	err = text ? pub_validate(text, strlen(text), job->result)
+		   : PUB_E_MEMORY;
 	free(text);
 	return err;
 }
 
 /* Writes the chunks that changed and the past head, then swaps the head. */
-static int pub_write(struct pub_job *job)
+static int pub_publish(struct pub_job *job)
 {
-	int err = pub_make_next(job);
+	int err = pub_build_head(job);
 
 	if (err == PUB_OK)
 		err = pub_write_past(job);
 	if (err == PUB_OK)
-		err = pub_swap(job);
+		err = pub_swap_head(job);
 	return err;
 }
 
-static int pub_make_next(struct pub_job *job)
+static int pub_build_head(struct pub_job *job)
 {
 	const struct pub_request *request = job->request;
 	struct pub_head *next = &job->next;
-	uint64_t above = job->head.revision;
+	uint64_t floor = job->head.revision;
 	size_t counts[CFG_KIND_COUNT] = { 0 };
 	int err = PUB_OK;
 	size_t i;
 
-	if (request->floor > above)
-		above = request->floor;
-	if (job->pub->highest_revision > above)
-		above = job->pub->highest_revision;
-	/* An instance that reports an absurd number must not lead there. */
-	if (!pub_accepts_revision(job->head.revision, above + 1))
+	if (request->floor > floor)
+		floor = request->floor;
+	if (job->pub->highest_revision > floor)
+		floor = job->pub->highest_revision;
+	/*
+	 * A faulty revision number from an instance must not be adopted: no
+	 * later change could be published above it.
+	 */
+	if (!pub_accepts_revision(job->head.revision, floor + 1))
 		return PUB_E_REJECTED;
-	next->revision = above + 1;
+	next->revision = floor + 1;
 	next->previous = job->head.revision;
 	next->changes[0] = request->change;
 	next->changes[0].revision = next->revision;
@@ -272,12 +280,12 @@
 	for (i = 0; i < job->wanted->count; i++)
 		counts[job->wanted->list[i].kind]++;
 	for (i = 0; i < CFG_KIND_COUNT && err == PUB_OK; i++)
-		err = pub_make_kind(job, i, counts[i]);
+		err = pub_build_kind(job, i, counts[i]);
 	return err;
 }
 
-static int pub_make_kind(struct pub_job *job, enum cfg_kind kind,
-			 size_t objects)
+static int pub_build_kind(struct pub_job *job, enum cfg_kind kind,
+			  size_t objects)
 {
 	struct pub_kind *to = &job->next.kinds[kind];
 	int err = PUB_OK;
@@ -288,13 +296,13 @@
 	if (!to->chunks)
 		return PUB_E_MEMORY;
 	for (i = 0; i < to->count && err == PUB_OK; i++)
-		err = pub_make_chunk(job, kind, i);
+		err = pub_build_chunk(job, kind, i);
 	return err;
 }
 
-/* Takes a chunk over from the head in force, or writes it. */
-static int pub_make_chunk(struct pub_job *job, enum cfg_kind kind,
-			  size_t bucket)
+/* Reuses the chunk of the head in force if it is the same, or writes one. */
+static int pub_build_chunk(struct pub_job *job, enum cfg_kind kind,
+			   size_t bucket)
 {
 	const struct pub_kind *from = &job->head.kinds[kind];
 	struct pub_kind *to = &job->next.kinds[kind];
@@ -328,7 +336,7 @@
 				job->request->deadline_us);
 }
 
-/* Keeps the head in force as a past one before it is replaced. */
+/* Stores the head in force as a past head before it is replaced. */
 static int pub_write_past(struct pub_job *job)
 {
 	char key[KV_KEY_MAX];
@@ -348,7 +356,7 @@
 	return err;
 }
 
-static int pub_swap(struct pub_job *job)
+static int pub_swap_head(struct pub_job *job)
 {
 	char *text = pub_head_text(&job->next);
 	int err;
@@ -359,7 +367,7 @@
 		free(text);
 		return PUB_E_SIZE;
 	}
-	err = pub_swap_text(job, text);
+	err = pub_swap_head_text(job, text);
 	free(text);
 	if (err != PUB_OK)
 		return err;
@@ -371,12 +379,13 @@
 }
 
 /*
- * Swaps the head.  An unanswered swap may have landed or may land later; the
- * same swap is sent again, as only one of them can: they replace the same
- * version.  A conflict sends back to the reading, where the id tells whether
- * it was our own that came first.
+ * Replaces the head by compare-and-swap.  A swap without an answer may have
+ * taken effect or may do so later.  It is sent again, which is safe: all of
+ * them expect the same version, so only one can succeed.  After a conflict the
+ * caller reads the head again and finds out by the change id whether one of its
+ * own swaps succeeded.
  */
-static int pub_swap_text(struct pub_job *job, const char *text)
+static int pub_swap_head_text(struct pub_job *job, const char *text)
 {
 	struct kv_reply reply;
 	enum kv_status status;
@@ -390,15 +399,15 @@
 		if (status == KV_OK)
 			return PUB_OK;
 		if (status == KV_CONFLICT)
-			return PUB_AGAIN;
+			return PUB_RETRY;
 		if (status != KV_LOST)
 			break;
-		job->lost = true;
+		job->unresolved = true;
 	}
-	return job->lost ? PUB_E_UNKNOWN : PUB_E_DOWN;
+	return job->unresolved ? PUB_E_UNKNOWN : PUB_E_DOWN;
 }
 
-/* Forgets what one try read and made. */
+/* Frees what one try read and built. */
 static void pub_job_clear(struct pub_job *job)
 {
 	pub_objects_free(&job->theirs);
--- a/src/pub_chunk.c
+++ b/src/pub_chunk.c
@@ -3,7 +3,7 @@
 
 #include "pub_int.h"
 
-/* Reading the chunks that a head names, and what they hold. */
+/* Reads the chunks that a head names and extracts their objects. */
 
 static int pub_load_chunks(struct pub *pub, int64_t deadline_us,
 			   const struct pub_head *head);
@@ -13,11 +13,11 @@
 			   const struct pub_chunk *chunk, json_t **text);
 static const char *pub_cached(const struct pub *pub,
 			      const struct pub_chunk *chunk);
-static int pub_join(const struct pub *pub, const struct pub_head *head,
-		    FILE *out);
+static int pub_write_set(const struct pub *pub, const struct pub_head *head,
+			 FILE *out);
 static int pub_add_chunk(struct pub_objects *objects, const char *text);
 
-/* Reads all objects that a head names, sorted; the caller frees them. */
+/* Reads all objects of a head, sorted by id; the caller frees them. */
 int pub_load_objects(struct pub *pub, int64_t deadline_us,
 		     const struct pub_head *head, struct pub_objects *objects)
 {
@@ -43,10 +43,7 @@
 	return err;
 }
 
-/*
- * Reads the set that a head names as one text, chunk after chunk.  The caller
- * frees it.
- */
+/* Reads the set of a head as one text, in chunk order; the caller frees it. */
 int pub_load_text(struct pub *pub, int64_t deadline_us,
 		  const struct pub_head *head, char **text)
 {
@@ -60,7 +57,7 @@
 	out = open_memstream(text, &len);
 	if (!out)
 		return PUB_E_MEMORY;
-	err = pub_join(pub, head, out);
+	err = pub_write_set(pub, head, out);
 	if (fclose(out) != 0)
 		err = PUB_E_MEMORY;
 	if (err != PUB_OK) {
@@ -71,9 +68,10 @@
 }
 
 /*
- * Reads the chunks that are not in memory.  What was read stays there if one
- * can't be had, so that the next try goes on from it; else a service that
- * answers every hundredth call with an error would never be read to the end.
+ * Reads the chunks that are not in the cache.  If one fails, the chunks read so
+ * far stay in the cache and the next try continues from there.  Without this, a
+ * set could never be read completely from a service that fails every hundredth
+ * call.
  */
 static int pub_load_chunks(struct pub *pub, int64_t deadline_us,
 			   const struct pub_head *head)
@@ -116,7 +114,7 @@
 	return err;
 }
 
-/* Reads a chunk and holds it against the digest that names it. */
+/* Reads a chunk and verifies its digest. */
 static int pub_fetch_chunk(struct pub *pub, int64_t deadline_us,
 			   const struct pub_chunk *chunk, json_t **text)
 {
@@ -140,18 +138,18 @@
 						      : PUB_E_DOWN;
 }
 
-/* Returns the text of a chunk that was read, NULL for an empty one. */
+/* Returns the cached text of a chunk, NULL for an empty one. */
 static const char *pub_cached(const struct pub *pub,
 			      const struct pub_chunk *chunk)
 {
 	return json_string_value(json_object_get(pub->cache, chunk->digest));
 }
 
-/* Joins the lists of all chunks to one. */
-static int pub_join(const struct pub *pub, const struct pub_head *head,
-		    FILE *out)
+/* Writes a set whose object list concatenates those of all chunks. */
+static int pub_write_set(const struct pub *pub, const struct pub_head *head,
+			 FILE *out)
 {
-	const char *between = "\n";
+	const char *separator = "\n";
 	size_t kind;
 	size_t i;
 
@@ -168,8 +166,9 @@
 				continue;
 			if (len < 2 || text[0] != '[' || text[len - 1] != ']')
 				return PUB_E_DAMAGED;
-			fprintf(out, "%s%.*s", between, (int)len - 2, text + 1);
-			between = ",\n";
+			fprintf(out, "%s%.*s", separator, (int)len - 2,
+				text + 1);
+			separator = ",\n";
 		}
 	}
 	fputs("\n]}\n", out);
--- a/src/pub_diff.c
+++ b/src/pub_diff.c
@@ -5,36 +5,38 @@
 #include "pub_int.h"
 
 /*
- * What differs between two sets, as a JSON list:
+ * Differences between sets.  Between two sets, a JSON list of:
  *	{"object": "kind/name", "change": "added" | "removed" | "changed",
  *	 "fields": {"field": [old, new]}}
- * and between three:
+ * Between a base and two sets edited from it, a JSON list of:
  *	{"object": "kind/name", "yours": .., "theirs": .., "clash": true}
- * where yours and theirs have the form above, or are absent.
+ * where "yours" and "theirs" have the form above, and each is absent if that
+ * side did not change the object.
  */
 
-/* The same place in three sorted lists. */
-struct pub_three {
-	const struct pub_objects *sets[3]; /* base, mine, theirs */
-	size_t at[3];
-	const struct pub_object *now[3]; /* NULL where the object is absent */
+/* Iterates over three sorted lists in parallel, object by object. */
+struct pub_cursor {
+	const struct pub_objects *sets[3];   /* base, mine, theirs */
+	size_t index[3];		     /* of the next object */
+	const struct pub_object *current[3]; /* NULL in a set without it */
 };
 
-static json_t *pub_diff_one(const struct pub_object *old,
-			    const struct pub_object *new);
+static json_t *pub_diff_object(const struct pub_object *old,
+			       const struct pub_object *new);
 static json_t *pub_diff_fields(const char *old_text, const char *new_text);
-static bool pub_differ(const struct pub_object *a, const struct pub_object *b);
-static const char *pub_three_id(const struct pub_three *three, size_t i);
-static bool pub_three_next(struct pub_three *three);
-static int pub_keep(struct pub_objects *merged,
-		    const struct pub_object *object);
-static json_t *pub_three_entry(const struct pub_three *three);
-static void pub_print_one(const json_t *entry, const char *prefix, FILE *out);
+static bool pub_object_differs(const struct pub_object *a,
+			       const struct pub_object *b);
+static const char *pub_cursor_id(const struct pub_cursor *cursor, size_t i);
+static bool pub_cursor_next(struct pub_cursor *cursor);
+static int pub_add_copy(struct pub_objects *merged,
+			const struct pub_object *object);
+static json_t *pub_merge_entry(const struct pub_cursor *cursor);
+static void pub_print_entry(const json_t *entry, const char *prefix, FILE *out);
 static void pub_print_value(const json_t *value, FILE *out);
 
 /*
- * Returns what differs between two sets' texts; an empty list if nothing
- * does, NULL if one can't be read.
+ * Returns the differences between the texts of two sets, an empty list if they
+ * are equal, or NULL if one of them can't be parsed.
  */
 json_t *pub_diff(const char *old_text, const char *new_text)
 {
@@ -52,48 +54,50 @@
 	return list;
 }
 
-/* Returns what differs between two sorted lists of objects. */
+/* Returns the differences between two sorted lists of objects. */
 json_t *pub_diff_objects(const struct pub_objects *old,
 			 const struct pub_objects *new)
 {
-	struct pub_three three = { .sets = { old, new, new } };
+	struct pub_cursor cursor = { .sets = { old, new, new } };
 	json_t *list = json_array();
 
-	while (pub_three_next(&three)) {
-		if (pub_differ(three.now[0], three.now[1]))
+	while (pub_cursor_next(&cursor)) {
+		if (pub_object_differs(cursor.current[0], cursor.current[1]))
 			json_array_append_new(
-				list, pub_diff_one(three.now[0], three.now[1]));
+				list, pub_diff_object(cursor.current[0],
+						      cursor.current[1]));
 	}
 	return list;
 }
 
 /*
- * Takes over into theirs what was changed from base to mine.  Returns PUB_OK
- * with the merged set, or PUB_E_CONFLICT if an object was changed on both sides
- * in different ways.  *difference, if asked for, lists the changes of both
- * sides in either case.
+ * Three-way merge: applies the changes from base to mine on top of theirs.
+ * Returns PUB_OK with the merged set, or PUB_E_CONFLICT if both sides changed
+ * an object in different ways.  In either case *difference lists the changes of
+ * both sides.
  */
 int pub_merge(const struct pub_objects *base, const struct pub_objects *mine,
 	      const struct pub_objects *theirs, struct pub_objects *merged,
 	      json_t **difference)
 {
-	struct pub_three three = { .sets = { base, mine, theirs } };
+	struct pub_cursor cursor = { .sets = { base, mine, theirs } };
 	int err = PUB_OK;
 
 	memset(merged, 0, sizeof(*merged));
 	*difference = json_array();
-	while (pub_three_next(&three)) {
-		const struct pub_object *b = three.now[0];
-		const struct pub_object *m = three.now[1];
-		const struct pub_object *t = three.now[2];
-		bool changed = pub_differ(b, m);
+	while (pub_cursor_next(&cursor)) {
+		const struct pub_object *b = cursor.current[0];
+		const struct pub_object *m = cursor.current[1];
+		const struct pub_object *t = cursor.current[2];
+		bool changed = pub_object_differs(b, m);
 
-		if (changed || pub_differ(b, t))
+		if (changed || pub_object_differs(b, t))
 			json_array_append_new(*difference,
-					      pub_three_entry(&three));
-		if (changed && pub_differ(b, t) && pub_differ(m, t))
+					      pub_merge_entry(&cursor));
+		if (changed && pub_object_differs(b, t) &&
+		    pub_object_differs(m, t))
 			err = PUB_E_CONFLICT;
-		if (pub_keep(merged, changed ? m : t) != PUB_OK)
+		if (pub_add_copy(merged, changed ? m : t) != PUB_OK)
 			err = PUB_E_MEMORY;
 		if (err == PUB_E_MEMORY)
 			break;
@@ -104,7 +108,7 @@
 	return err;
 }
 
-/* Writes a difference as operators read it, one line a field. */
+/* Prints a difference for operators, one line per changed field. */
 void pub_diff_print(const json_t *difference, FILE *out)
 {
 	size_t i;
@@ -115,11 +119,11 @@
 		const json_t *theirs = json_object_get(entry, "theirs");
 
 		if (json_object_get(entry, "change"))
-			pub_print_one(entry, "", out);
+			pub_print_entry(entry, "", out);
 		if (yours)
-			pub_print_one(yours, "yours  ", out);
+			pub_print_entry(yours, "yours  ", out);
 		if (theirs)
-			pub_print_one(theirs, "theirs ", out);
+			pub_print_entry(theirs, "theirs ", out);
 		if (json_is_true(json_object_get(entry, "clash")))
 			fprintf(out, "clash  %s\n",
 				json_string_value(
@@ -127,8 +131,8 @@
 	}
 }
 
-static json_t *pub_diff_one(const struct pub_object *old,
-			    const struct pub_object *new)
+static json_t *pub_diff_object(const struct pub_object *old,
+			       const struct pub_object *new)
 {
 	const struct pub_object *object = new ? new : old;
 
@@ -165,43 +169,46 @@
 	return fields;
 }
 
-static bool pub_differ(const struct pub_object *a, const struct pub_object *b)
+static bool pub_object_differs(const struct pub_object *a,
+			       const struct pub_object *b)
 {
 	if (!a || !b)
 		return a != b;
 	return strcmp(a->text, b->text) != 0;
 }
 
-/* Returns the id at the place in one of the sets, NULL at its end. */
-static const char *pub_three_id(const struct pub_three *three, size_t i)
+/* Returns the id of the next object of a set, NULL at its end. */
+static const char *pub_cursor_id(const struct pub_cursor *cursor, size_t i)
 {
-	if (three->at[i] == three->sets[i]->count)
+	if (cursor->index[i] == cursor->sets[i]->count)
 		return NULL;
-	return three->sets[i]->list[three->at[i]].id;
+	return cursor->sets[i]->list[cursor->index[i]].id;
 }
 
-/* Steps to the next id that any of the three sets holds. */
-static bool pub_three_next(struct pub_three *three)
+/* Advances to the next id in the three sets; false at the end of all. */
+static bool pub_cursor_next(struct pub_cursor *cursor)
 {
 	const char *least = NULL;
 	const char *id;
 	size_t i;
 
-	memset(three->now, 0, sizeof(three->now));
+	memset(cursor->current, 0, sizeof(cursor->current));
 	for (i = 0; i < 3; i++) {
-		id = pub_three_id(three, i);
+		id = pub_cursor_id(cursor, i);
 		if (id && (!least || strcmp(id, least) < 0))
 			least = id;
 	}
 	for (i = 0; i < 3 && least; i++) {
-		id = pub_three_id(three, i);
+		id = pub_cursor_id(cursor, i);
 		if (id && strcmp(id, least) == 0)
-			three->now[i] = &three->sets[i]->list[three->at[i]++];
+			cursor->current[i] =
+				&cursor->sets[i]->list[cursor->index[i]++];
 	}
 	return least != NULL;
 }
 
-static int pub_keep(struct pub_objects *merged, const struct pub_object *object)
+static int pub_add_copy(struct pub_objects *merged,
+			const struct pub_object *object)
 {
 	json_t *value;
 	int err;
@@ -214,27 +221,28 @@
 	return err;
 }
 
-static json_t *pub_three_entry(const struct pub_three *three)
+static json_t *pub_merge_entry(const struct pub_cursor *cursor)
 {
-	const struct pub_object *b = three->now[0];
-	const struct pub_object *m = three->now[1];
-	const struct pub_object *t = three->now[2];
+	const struct pub_object *b = cursor->current[0];
+	const struct pub_object *m = cursor->current[1];
+	const struct pub_object *t = cursor->current[2];
 	json_t *entry = json_object();
 
 	json_object_set_new(entry, "object",
 			    json_string(b   ? b->id
 					: m ? m->id
 					    : t->id));
-	if (pub_differ(b, m))
-		json_object_set_new(entry, "yours", pub_diff_one(b, m));
-	if (pub_differ(b, t))
-		json_object_set_new(entry, "theirs", pub_diff_one(b, t));
-	if (pub_differ(b, m) && pub_differ(b, t) && pub_differ(m, t))
+	if (pub_object_differs(b, m))
+		json_object_set_new(entry, "yours", pub_diff_object(b, m));
+	if (pub_object_differs(b, t))
+		json_object_set_new(entry, "theirs", pub_diff_object(b, t));
+	if (pub_object_differs(b, m) && pub_object_differs(b, t) &&
+	    pub_object_differs(m, t))
 		json_object_set_new(entry, "clash", json_true());
 	return entry;
 }
 
-static void pub_print_one(const json_t *entry, const char *prefix, FILE *out)
+static void pub_print_entry(const json_t *entry, const char *prefix, FILE *out)
 {
 	const char *object =
 		json_string_value(json_object_get(entry, "object"));
--- a/src/pub_edit.c
+++ b/src/pub_edit.c
@@ -4,61 +4,63 @@
 #include "pub_int.h"
 
 /*
- * What differs between two texts of a set that hold one object a line, as
- * pub_read and pub_objects_text write them, found and passed on line by line.
+ * Line-based edits between two texts of a set with one object per line, the
+ * form that pub_read and pub_objects_text write.
  */
 
-#define PUB_EDIT_SPAN  64  /* lines that are searched for the next equal one */
-#define PUB_EDIT_LINES 512 /* that may differ; above, whole sets are passed */
-#define PUB_OPEN       "{\"objects\":["
-#define PUB_OPEN_AT    "{\"revision\":"
-#define PUB_OPEN_LIST  ",\"objects\":["
-#define PUB_CLOSE      "\n]}\n"
+#define PUB_RESYNC_LINES_MAX 64	 /* lines searched for the next equal one */
+#define PUB_EDIT_LINES_MAX   512 /* above, whole sets are sent */
+#define PUB_PREFIX	     "{\"objects\":["
+#define PUB_PREFIX_REVISION  "{\"revision\":"
+#define PUB_PREFIX_OBJECTS   ",\"objects\":["
+#define PUB_SUFFIX	     "\n]}\n"
 
-/* The lines of a text; each without its comma. */
+/* The object lines of a text, without the commas that separate them. */
 struct pub_lines {
 	struct cfg_line *list;
 	size_t count;
 };
 
-static int pub_split(struct pub_lines *lines, const char *text);
-static const char *pub_opened(const char *text);
-static bool pub_balanced(const struct cfg_line *line);
-static bool pub_same(const struct cfg_line *a, const struct cfg_line *b);
+static int pub_split_lines(struct pub_lines *lines, const char *text);
+static const char *pub_skip_prefix(const char *text);
+static bool pub_is_whole_object(const struct cfg_line *line);
+static bool pub_lines_equal(const struct cfg_line *a, const struct cfg_line *b);
 static bool pub_resync(const struct pub_lines *old, const struct pub_lines *new,
 		       size_t a, size_t b, struct pub_hunk *hunk);
 static int pub_add_hunk(struct pub_edit *edit, const struct pub_lines *old,
 			const struct pub_lines *new, size_t b,
 			const struct pub_hunk *hunk);
-static char *pub_edit_lines(const struct pub_lines *old, const char *hunks,
-			    uint64_t revision);
+static char *pub_apply_hunks(const struct pub_lines *old, const char *hunks,
+			     uint64_t revision);
 static const char *pub_read_hunk(const char *at, struct pub_hunk *hunk);
-static const char *pub_put_lines(FILE *out, size_t *count, const char *at,
-				 size_t puts);
-static void pub_put_line(FILE *out, size_t *count, const struct cfg_line *line);
+static const char *pub_copy_lines(FILE *out, size_t *count, const char *at,
+				  size_t remaining);
+static void pub_write_line(FILE *out, size_t *count,
+			   const struct cfg_line *line);
 
 /*
- * Tells whether every line of a valid set's text is one whole object, so that
- * its lines may be taken one by one.  Else what looks like an object in a line
- * could be a part of a larger one.
+ * Returns true if every line of a valid set's text is one complete object, so
+ * that lines can be added and removed separately.  In any other text a line
+ * that looks like an object may be part of a larger one.
  */
 bool pub_is_object_per_line(const char *text)
 {
 	struct pub_lines lines = { 0 };
-	bool lined = pub_split(&lines, text) == PUB_OK;
+	bool per_line = pub_split_lines(&lines, text) == PUB_OK;
 	size_t i;
 
-	for (i = 0; lined && i < lines.count; i++)
-		lined = pub_balanced(&lines.list[i]);
+	for (i = 0; per_line && i < lines.count; i++)
+		per_line = pub_is_whole_object(&lines.list[i]);
 	free(lines.list);
-	return lined;
+	return per_line;
 }
 
 /*
- * Finds the lines that differ.  The old text must be one that
- * pub_is_object_per_line takes; the lines point into both texts.  Returns
- * PUB_OK, PUB_E_SIZE if too much differs, or PUB_E_DAMAGED if the new one isn't
- * made of lines; the edit is to be freed with pub_edit_free in each case.
+ * Finds the lines that differ. pub_is_object_per_line must be true for the old
+ * text.  The lines of the edit point into both texts.  Returns PUB_OK,
+ * PUB_E_SIZE if too many lines differ, or PUB_E_DAMAGED if the new text does
+ * not have one object per line.  The caller frees the edit with pub_edit_free
+ * in every case.
  */
 int pub_edit_make(const char *old_text, const char *new_text,
 		  struct pub_edit *edit)
@@ -71,12 +73,12 @@
 	int err;
 
 	memset(edit, 0, sizeof(*edit));
-	err = pub_split(&old, old_text);
+	err = pub_split_lines(&old, old_text);
 	if (err == PUB_OK)
-		err = pub_split(&new, new_text);
+		err = pub_split_lines(&new, new_text);
 	while (err == PUB_OK && (a < old.count || b < new.count)) {
-		if (a < old.count &&
-		    b < new.count &&pub_same(&old.list[a], &new.list[b])) {
+		if (a < old.count && b < new.count &&pub_lines_equal(
+						 &old.list[a], &new.list[b])) {
 			a++;
 			b++;
 			continue;
@@ -93,7 +95,7 @@
 	return err;
 }
 
-/* Frees an edit, not the texts. */
+/* Frees the members of an edit, not the texts that it points into. */
 void pub_edit_free(struct pub_edit *edit)
 {
 	free(edit->hunks);
@@ -103,9 +105,9 @@
 }
 
 /*
- * Writes an edit for peers: the revision it leads to, the digest of the whole
- * new text, and for each place the lines that go, by number, and come.  The
- * caller frees it; NULL without memory.
+ * Returns the text of an edit for peers: the new revision, the digest of the
+ * whole new text, and for each hunk the index and count of the removed lines
+ * and the text of the added ones.  The caller frees it; NULL if out of memory.
  */
 char *pub_edit_text(const struct pub_edit *edit, uint64_t revision,
 		    const char *new_text)
@@ -114,7 +116,7 @@
 	char *text = NULL;
 	size_t len = 0;
 	FILE *out = open_memstream(&text, &len);
-	size_t put = 0;
+	size_t next_added = 0;
 	size_t i;
 	size_t k;
 
@@ -127,9 +129,9 @@
 
 		fprintf(out, "@%zu %zu %zu\n", hunk->line, hunk->removed,
 			hunk->added);
-		for (k = 0; k < hunk->added; k++, put++)
-			fprintf(out, "%.*s\n", (int)edit->added[put].len,
-				edit->added[put].text);
+		for (k = 0; k < hunk->added; k++, next_added++)
+			fprintf(out, "%.*s\n", (int)edit->added[next_added].len,
+				edit->added[next_added].text);
 	}
 	if (fclose(out) == 0)
 		return text;
@@ -138,9 +140,10 @@
 }
 
 /*
- * Makes the next text from the one that the edit was made for.  What doesn't
- * lead to the digest that it names is PUB_E_REJECTED, as is anything that isn't
- * an edit at all.  The set is to be checked after; the caller frees *new_text.
+ * Applies the text of an edit to the text that it was made from.  Returns
+ * PUB_E_REJECTED if the result does not have the digest that the edit states or
+ * if the edit is malformed.  The caller must still validate the new set, and
+ * frees *new_text.
  */
 int pub_edit_apply(const char *old_text, const char *edit, uint64_t *revision,
 		   char **new_text)
@@ -149,15 +152,15 @@
 	char digest[PUB_DIGEST_HEX];
 	char found[PUB_DIGEST_HEX];
 	unsigned long long number;
-	int skip = 0;
+	int used = 0;
 	int err = PUB_E_REJECTED;
 
 	*new_text = NULL;
-	if (sscanf(edit, "%20llu %40[0-9a-f]%n", &number, digest, &skip) != 2 ||
-	    edit[skip] != '\n' || strlen(digest) != PUB_DIGEST_HEX - 1)
+	if (sscanf(edit, "%20llu %40[0-9a-f]%n", &number, digest, &used) != 2 ||
+	    edit[used] != '\n' || strlen(digest) != PUB_DIGEST_HEX - 1)
 		return PUB_E_REJECTED;
-	if (pub_split(&old, old_text) == PUB_OK)
-		*new_text = pub_edit_lines(&old, edit + skip + 1, number);
+	if (pub_split_lines(&old, old_text) == PUB_OK)
+		*new_text = pub_apply_hunks(&old, edit + used + 1, number);
 	if (*new_text) {
 		pub_digest_bytes(*new_text, strlen(*new_text), found);
 		err = strcmp(found, digest) == 0 ? PUB_OK : PUB_E_REJECTED;
@@ -171,20 +174,20 @@
 	return err;
 }
 
-/* Splits a text into lines; PUB_E_DAMAGED if it has another shape. */
-static int pub_split(struct pub_lines *lines, const char *text)
+/* Splits a text into object lines; PUB_E_DAMAGED for another layout. */
+static int pub_split_lines(struct pub_lines *lines, const char *text)
 {
-	const char *at = pub_opened(text);
+	const char *at = pub_skip_prefix(text);
 	const char *end;
-	size_t room = 0;
+	size_t capacity = 0;
 
 	for (end = at; end && (end = strchr(end, '\n')); end++)
-		room++;
-	lines->list = calloc(room + 1, sizeof(*lines->list));
+		capacity++;
+	lines->list = calloc(capacity + 1, sizeof(*lines->list));
 	if (!lines->list)
 		return PUB_E_MEMORY;
 	for (; at && (end = strchr(at, '\n')); at = end + 1) {
-		bool last = strcmp(end, PUB_CLOSE) == 0;
+		bool last = strcmp(end, PUB_SUFFIX) == 0;
 		size_t len = (size_t)(end - at);
 
 		if (len < 2 || (at[len - 1] == ',') == last)
@@ -197,30 +200,31 @@
 	return PUB_E_DAMAGED;
 }
 
-/* Returns where the first line of objects begins; NULL without the opening. */
-static const char *pub_opened(const char *text)
+/* Returns the start of the first object line, NULL if the prefix is wrong. */
+static const char *pub_skip_prefix(const char *text)
 {
 	size_t digits;
 
-	if (strncmp(text, PUB_OPEN_AT, strlen(PUB_OPEN_AT)) == 0) {
-		text += strlen(PUB_OPEN_AT);
+	if (strncmp(text, PUB_PREFIX_REVISION, strlen(PUB_PREFIX_REVISION)) ==
+	    0) {
+		text += strlen(PUB_PREFIX_REVISION);
 		digits = strspn(text, "0123456789");
 		if (digits == 0 || digits > 18 ||
 		    (text[0] == '0' && digits > 1) ||
-		    strncmp(text + digits, PUB_OPEN_LIST,
-			    strlen(PUB_OPEN_LIST)) != 0)
+		    strncmp(text + digits, PUB_PREFIX_OBJECTS,
+			    strlen(PUB_PREFIX_OBJECTS)) != 0)
 			return NULL;
-		text += digits + strlen(PUB_OPEN_LIST);
-	} else if (strncmp(text, PUB_OPEN, strlen(PUB_OPEN)) == 0) {
-		text += strlen(PUB_OPEN);
+		text += digits + strlen(PUB_PREFIX_OBJECTS);
+	} else if (strncmp(text, PUB_PREFIX, strlen(PUB_PREFIX)) == 0) {
+		text += strlen(PUB_PREFIX);
 	} else {
 		return NULL;
 	}
 	return *text == '\n' ? text + 1 : NULL;
 }
 
-/* Tells whether a line opens with a brace that its last byte closes. */
-static bool pub_balanced(const struct cfg_line *line)
+/* Returns true if the line's first byte is a brace closed by its last one. */
+static bool pub_is_whole_object(const struct cfg_line *line)
 {
 	bool quoted = false;
 	int depth = 0;
@@ -243,12 +247,12 @@
 	return line->text[0] == '{' && !quoted && i == line->len - 1;
 }
 
-static bool pub_same(const struct cfg_line *a, const struct cfg_line *b)
+static bool pub_lines_equal(const struct cfg_line *a, const struct cfg_line *b)
 {
 	return a->len == b->len && memcmp(a->text, b->text, a->len) == 0;
 }
 
-/* Finds the nearest equal lines, or both ends, after some that differ. */
+/* Finds the nearest pair of equal lines, or both ends, after a difference. */
 static bool pub_resync(const struct pub_lines *old, const struct pub_lines *new,
 		       size_t a, size_t b, struct pub_hunk *hunk)
 {
@@ -258,7 +262,7 @@
 	hunk->line = a;
 	hunk->removed = 0;
 	hunk->added = 0;
-	for (sum = 1; sum <= PUB_EDIT_SPAN; sum++) {
+	for (sum = 1; sum <= PUB_RESYNC_LINES_MAX; sum++) {
 		for (i = 0; i <= sum; i++) {
 			size_t x = a + i;
 			size_t y = b + sum - i;
@@ -266,8 +270,9 @@
 
 			if (x > old->count || y > new->count)
 				continue;
-			if (!ends && (x == old->count || y == new->count ||
-				      !pub_same(&old->list[x], &new->list[y])))
+			if (!ends &&
+			    (x == old->count || y == new->count ||
+			     !pub_lines_equal(&old->list[x], &new->list[y])))
 				continue;
 			hunk->removed = i;
 			hunk->added = sum - i;
@@ -277,7 +282,7 @@
 	return false;
 }
 
-/* Adds one place with its lines to an edit. */
+/* Appends one hunk with its lines to an edit. */
 static int pub_add_hunk(struct pub_edit *edit, const struct pub_lines *old,
 			const struct pub_lines *new, size_t b,
 			const struct pub_hunk *hunk)
@@ -285,15 +290,16 @@
 	size_t i;
 
 	if (!edit->hunks) {
-		edit->hunks = calloc(PUB_EDIT_LINES, sizeof(*edit->hunks));
-		edit->removed = calloc(PUB_EDIT_LINES, sizeof(*edit->removed));
-		edit->added = calloc(PUB_EDIT_LINES, sizeof(*edit->added));
+		edit->hunks = calloc(PUB_EDIT_LINES_MAX, sizeof(*edit->hunks));
+		edit->removed =
+			calloc(PUB_EDIT_LINES_MAX, sizeof(*edit->removed));
+		edit->added = calloc(PUB_EDIT_LINES_MAX, sizeof(*edit->added));
 		if (!edit->hunks || !edit->removed || !edit->added)
 			return PUB_E_MEMORY;
 	}
-	if (edit->hunk_count + 1 > PUB_EDIT_LINES ||
-	    edit->removed_count + hunk->removed > PUB_EDIT_LINES ||
-	    edit->added_count + hunk->added > PUB_EDIT_LINES)
+	if (edit->hunk_count + 1 > PUB_EDIT_LINES_MAX ||
+	    edit->removed_count + hunk->removed > PUB_EDIT_LINES_MAX ||
+	    edit->added_count + hunk->added > PUB_EDIT_LINES_MAX)
 		return PUB_E_SIZE;
 	edit->hunks[edit->hunk_count++] = *hunk;
 	for (i = 0; i < hunk->removed; i++)
@@ -304,9 +310,9 @@
 	return PUB_OK;
 }
 
-/* Writes the new text; NULL if the hunks don't fit the old one. */
-static char *pub_edit_lines(const struct pub_lines *old, const char *hunks,
-			    uint64_t revision)
+/* Returns the new text, NULL if the hunks don't fit the old one. */
+static char *pub_apply_hunks(const struct pub_lines *old, const char *hunks,
+			     uint64_t revision)
 {
 	struct pub_hunk hunk = { 0 };
 	const char *at = hunks;
@@ -318,7 +324,7 @@
 
 	if (!out)
 		return NULL;
-	fprintf(out, PUB_OPEN_AT "%llu" PUB_OPEN_LIST,
+	fprintf(out, PUB_PREFIX_REVISION "%llu" PUB_PREFIX_OBJECTS,
 		(unsigned long long)revision);
 	while (at && *at) {
 		at = pub_read_hunk(at, &hunk);
@@ -328,47 +334,48 @@
 			break;
 		}
 		while (a < hunk.line)
-			pub_put_line(out, &count, &old->list[a++]);
+			pub_write_line(out, &count, &old->list[a++]);
 		a += hunk.removed;
-		at = pub_put_lines(out, &count, at, hunk.added);
+		at = pub_copy_lines(out, &count, at, hunk.added);
 	}
 	while (a < old->count)
-		pub_put_line(out, &count, &old->list[a++]);
-	fputs(PUB_CLOSE, out);
+		pub_write_line(out, &count, &old->list[a++]);
+	fputs(PUB_SUFFIX, out);
 	if (fclose(out) == 0 && at)
 		return text;
 	free(text);
 	return NULL;
 }
 
-/* Reads the head of one place; returns what follows it, NULL if it is none. */
+/* Parses a hunk header; returns the text after it, NULL if it is malformed. */
 static const char *pub_read_hunk(const char *at, struct pub_hunk *hunk)
 {
-	int skip = 0;
+	int used = 0;
 
 	if (sscanf(at, "@%9zu %9zu %9zu%n", &hunk->line, &hunk->removed,
-		   &hunk->added, &skip) != 3 ||
-	    at[skip] != '\n')
+		   &hunk->added, &used) != 3 ||
+	    at[used] != '\n')
 		return NULL;
-	return at + skip + 1;
+	return at + used + 1;
 }
 
-/* Writes lines of an edit; returns what follows, NULL if there are too few. */
-static const char *pub_put_lines(FILE *out, size_t *count, const char *at,
-				 size_t puts)
+/* Copies lines of an edit; returns the rest, NULL if there are too few. */
+static const char *pub_copy_lines(FILE *out, size_t *count, const char *at,
+				  size_t remaining)
 {
-	while (puts-- > 0 && at) {
+	while (remaining-- > 0 && at) {
 		const char *end = strchr(at, '\n');
 		struct cfg_line line = { at, end ? (size_t)(end - at) : 0 };
 
 		if (line.len > 0)
-			pub_put_line(out, count, &line);
+			pub_write_line(out, count, &line);
 		at = line.len > 0 ? end + 1 : NULL;
 	}
 	return at;
 }
 
-static void pub_put_line(FILE *out, size_t *count, const struct cfg_line *line)
+static void pub_write_line(FILE *out, size_t *count,
+			   const struct cfg_line *line)
 {
 	fputs((*count)++ ? ",\n" : "\n", out);
 	fwrite(line->text, 1, line->len, out);
--- a/src/pub_head.c
+++ b/src/pub_head.c
@@ -5,20 +5,20 @@
 #include "pub_int.h"
 
 static int pub_head_read(struct pub_head *head, const json_t *doc);
-static bool pub_read_revision(const json_t *value, uint64_t least,
+static bool pub_read_revision(const json_t *value, uint64_t min,
 			      uint64_t *revision);
 static int pub_read_kind(struct pub_head *head, struct pub_kind *kind,
 			 const json_t *list);
 static bool pub_read_chunk(struct pub_chunk *chunk, const char *text,
 			   uint64_t newest);
 static bool pub_read_change(struct pub_change *change, const json_t *value);
-static bool pub_read_word(char *dst, size_t size, const json_t *value);
+static bool pub_read_string(char *dst, size_t size, const json_t *value);
 static json_t *pub_kind_json(const struct pub_kind *kind);
 static json_t *pub_change_json(const struct pub_change *change);
 
 /*
- * Reads a head record.  All of it is checked, as whoever writes to the
- * service by another way could leave what is no head; PUB_E_DAMAGED then.
+ * Parses a head record and validates all of it, because other tools can write
+ * to the service as well.  Returns PUB_E_DAMAGED if it is not valid.
  */
 int pub_head_parse(struct pub_head *head, const char *text, size_t len)
 {
@@ -34,7 +34,7 @@
 	return err;
 }
 
-/* Returns the text of a head record, or NULL without memory. */
+/* Returns the text of a head record, NULL if out of memory. */
 char *pub_head_text(const struct pub_head *head)
 {
 	json_t *doc = json_object();
@@ -60,14 +60,14 @@
 	return text;
 }
 
-/* Copies a head without its chunks, as those who walk the history need it. */
+/* Copies a head without its chunks, for searching the history. */
 void pub_head_copy(struct pub_head *copy, const struct pub_head *head)
 {
 	*copy = *head;
 	memset(copy->kinds, 0, sizeof(copy->kinds));
 }
 
-/* Frees what a head holds. */
+/* Frees the members of a head. */
 void pub_head_free(struct pub_head *head)
 {
 	size_t i;
@@ -109,12 +109,12 @@
 	return PUB_OK;
 }
 
-static bool pub_read_revision(const json_t *value, uint64_t least,
+static bool pub_read_revision(const json_t *value, uint64_t min,
 			      uint64_t *revision)
 {
 	json_int_t n = json_integer_value(value);
 
-	if (!json_is_integer(value) || n < 0 || (uint64_t)n < least ||
+	if (!json_is_integer(value) || n < 0 || (uint64_t)n < min ||
 	    (uint64_t)n > PUB_REVISION_MAX)
 		return false;
 	*revision = (uint64_t)n;
@@ -143,7 +143,7 @@
 	return PUB_OK;
 }
 
-/* A chunk is named "revision/digest", and "" stands for an empty one. */
+/* Parses a chunk reference: "revision/digest", or "" for an empty chunk. */
 static bool pub_read_chunk(struct pub_chunk *chunk, const char *text,
 			   uint64_t newest)
 {
@@ -169,15 +169,15 @@
 	return json_is_integer(time) &&
 	       pub_read_revision(json_object_get(value, "revision"), 1,
 				 &change->revision) &&
-	       pub_read_word(change->id, sizeof(change->id),
-			     json_object_get(value, "id")) &&
-	       pub_read_word(change->author, sizeof(change->author),
-			     json_object_get(value, "operator")) &&
-	       pub_read_word(change->note, sizeof(change->note),
-			     json_object_get(value, "note"));
+	       pub_read_string(change->id, sizeof(change->id),
+			       json_object_get(value, "id")) &&
+	       pub_read_string(change->author, sizeof(change->author),
+			       json_object_get(value, "operator")) &&
+	       pub_read_string(change->note, sizeof(change->note),
+			       json_object_get(value, "note"));
 }
 
-static bool pub_read_word(char *dst, size_t size, const json_t *value)
+static bool pub_read_string(char *dst, size_t size, const json_t *value)
 {
 	const char *text = json_string_value(value);
 
--- a/src/pub_int.h
+++ b/src/pub_int.h
@@ -1,22 +1,23 @@
 #ifndef PUB_INT_H
 #define PUB_INT_H
 
-/* What the files of the pub family share; no other module includes it. */
+/* Shared by the pub_*.c files; other modules must not include it. */
 
 #include "pub.h"
 
 #define PUB_HEAD_KEY	"config/head"
 #define PUB_VALUE_MAX	1000000
 #define PUB_BUCKETS_MAX 4096
-#define PUB_CHANGES_MAX 16 /* that the head lists */
+#define PUB_CHANGES_MAX 16 /* listed in the head */
 #define PUB_TRIES	4
 
 /*
- * Objects a chunk.  One change rewrites a chunk and the head, so the sum of
- * both is least where they are about equal; see docs/OPERATING.md.
+ * Average number of objects per chunk.  One change rewrites one chunk and the
+ * head, so the bytes written are fewest if both have about the same size; see
+ * docs/OPERATING.md.
  */
-#define PUB_CHUNK_OBJECTS_MAX 64 /* more on average: twice the chunks */
-#define PUB_CHUNK_OBJECTS_MIN 16 /* less on average: half the chunks */
+#define PUB_CHUNK_OBJECTS_MAX 64 /* above: the chunk count doubles */
+#define PUB_CHUNK_OBJECTS_MIN 16 /* below: the chunk count halves */
 
 /* One object in its canonical form: compact, fields sorted. */
 struct pub_object {
@@ -25,22 +26,22 @@
 	char *text;
 };
 
-/* A set as the objects that it holds, sorted by id. */
+/* The objects of a set, sorted by id. */
 struct pub_objects {
 	struct pub_object *list;
 	size_t count;
 	size_t capacity;
 };
 
-/* One chunk as the head names it; an empty digest stands for no objects. */
+/* A reference to a chunk; an empty digest means that it has no objects. */
 struct pub_chunk {
 	char digest[PUB_DIGEST_HEX];
-	uint64_t revision; /* that wrote it: part of its key */
+	uint64_t revision; /* that wrote it; part of its key */
 };
 
 struct pub_kind {
 	struct pub_chunk *chunks;
-	size_t count; /* a power of two: objects are spread by hash */
+	size_t count; /* power of two; objects are assigned by hash */
 };
 
 struct pub_head {
@@ -51,15 +52,15 @@
 	size_t change_count;
 };
 
-/* What a publisher or reader remembers of the service. */
+/* State of one publisher or reader of the service. */
 struct pub {
 	struct kv_backend backend;
 	uint64_t next_call_id;
-	uint64_t highest_revision; /* highest revision read or published */
-	char highest_change_id[PUB_ID_MAX]; /* of the change that made it */
-	uint64_t head_version;		    /* of the head's key */
-	json_t *cache;			    /* digest of a chunk: its text */
-	int last_result;		    /* how the last reading ended */
+	uint64_t highest_revision;	    /* read or published */
+	char highest_change_id[PUB_ID_MAX]; /* change that made it */
+	uint64_t head_version; /* store version of the head's key */
+	json_t *cache;	       /* chunk texts by digest */
+	int last_result;       /* PUB_OK or error of the last pub_read */
 };
 
 /* pub_objects.c */
--- a/src/pub_kv.c
+++ b/src/pub_kv.c
@@ -7,7 +7,7 @@
 static enum kv_status pub_call(struct pub *pub, struct kv_call *call,
 			       const char *key, struct kv_reply *reply);
 
-/* Reads a key.  On KV_OK the caller frees the reply's value. */
+/* Reads a key.  The caller frees the value of the reply. */
 enum kv_status pub_get(struct pub *pub, const char *key, int64_t deadline_us,
 		       struct kv_reply *reply)
 {
@@ -16,7 +16,7 @@
 	return pub_call(pub, &call, key, reply);
 }
 
-/* Swaps a key's value if it still has the version; 0 creates it. */
+/* Replaces the value of a key at a given version; version 0 creates it. */
 enum kv_status pub_put(struct pub *pub, const char *key, uint64_t version,
 		       const char *value, int64_t deadline_us,
 		       struct kv_reply *reply)
@@ -34,9 +34,9 @@
 }
 
 /*
- * Creates a key that nobody gives another value, as a past head under its
- * revision.  So an answer that was lost is asked for again, and finding the
- * key there is as good as writing it.
+ * Creates a key that only ever gets one value, such as a past head under its
+ * revision.  Hence the write is repeated if its answer was lost, and a conflict
+ * counts as success because the existing value is the same.
  */
 int pub_create(struct pub *pub, const char *key, const char *value,
 	       int64_t deadline_us)
@@ -51,8 +51,8 @@
 }
 
 /*
- * Creates a chunk.  If its key is there already, its value is held against
- * the one wanted: a head that named a damaged chunk could not be read.
+ * Creates a chunk.  If its key exists already, the stored value is compared
+ * with the new one, because a head that names a damaged chunk can't be read.
  */
 int pub_create_chunk(struct pub *pub, const struct pub_chunk *chunk,
 		     const char *text, int64_t deadline_us)
@@ -79,7 +79,7 @@
 	return err;
 }
 
-/* Deletes a key at a version; one that stays costs space and nothing else. */
+/* Deletes a key at a version.  Failures only cost space and are ignored. */
 void pub_delete(struct pub *pub, const char *key, uint64_t version,
 		int64_t deadline_us)
 {
@@ -92,14 +92,14 @@
 	free(reply.value);
 }
 
-/* Names the key of a chunk: by the revision that wrote it and its content. */
+/* Writes the key of a chunk: the revision that wrote it and its digest. */
 void pub_chunk_key(char key[KV_KEY_MAX], const struct pub_chunk *chunk)
 {
 	snprintf(key, KV_KEY_MAX, "config/chunk/%llu/%s",
 		 (unsigned long long)chunk->revision, chunk->digest);
 }
 
-/* Names the key under which the head of a past revision is kept. */
+/* Writes the key under which the head of a past revision is stored. */
 void pub_past_key(char key[KV_KEY_MAX], uint64_t revision)
 {
 	snprintf(key, KV_KEY_MAX, "config/past/%llu",
--- a/src/pub_objects.c
+++ b/src/pub_objects.c
@@ -7,7 +7,8 @@
 #include "chk.h"
 #include "pub_int.h"
 
-#define PUB_HASH_START 2166136261U /* FNV-1a: the buckets are for good */
+/* FNV-1a.  It must not change, because stored chunks depend on it. */
+#define PUB_HASH_START 2166136261U
 #define PUB_HASH_PRIME 16777619U
 
 static const char *const kind_names[CFG_KIND_COUNT] = {
@@ -16,18 +17,19 @@
 	[CFG_ENDPOINT] = "endpoint",
 };
 
-static int pub_object_cmp(const void *a, const void *b);
-static int pub_kind_of(const char *name);
+static int pub_compare_objects(const void *a, const void *b);
+static int pub_kind_by_name(const char *name);
 
-/* Returns the name of a kind of object. */
+/* Returns the name of a kind of object as the set's text has it. */
 const char *pub_kind_name(enum cfg_kind kind)
 {
 	return kind_names[kind];
 }
 
 /*
- * Reads a set's text into its objects.  The fields are not checked here; an
- * entry without kind and name makes it PUB_E_DAMAGED.
+ * Parses the text of a set into its objects.  Fields other than kind and name
+ * are not validated here.  Returns PUB_E_DAMAGED if an entry lacks a valid kind
+ * or name.
  */
 int pub_objects_parse(struct pub_objects *objects, const char *text, size_t len)
 {
@@ -48,7 +50,7 @@
 	return err;
 }
 
-/* Adds one object in its canonical form; the list is to be sorted after. */
+/* Appends one object in canonical form; the caller sorts the list later. */
 int pub_objects_add(struct pub_objects *objects, const json_t *object)
 {
 	const char *kind = json_string_value(json_object_get(object, "kind"));
@@ -57,7 +59,7 @@
 	struct pub_object *grown;
 	struct pub_object *entry;
 
-	if (!kind || !name || pub_kind_of(kind) < 0 ||
+	if (!kind || !name || pub_kind_by_name(kind) < 0 ||
 	    strlen(name) >= MAG_NAME_MAX)
 		return PUB_E_DAMAGED;
 	if (objects->count == objects->capacity) {
@@ -68,7 +70,7 @@
 		objects->capacity = room;
 	}
 	entry = &objects->list[objects->count];
-	entry->kind = (enum cfg_kind)pub_kind_of(kind);
+	entry->kind = (enum cfg_kind)pub_kind_by_name(kind);
 	entry->text = json_dumps(object, JSON_COMPACT | JSON_SORT_KEYS);
 	if (!entry->text)
 		return PUB_E_MEMORY;
@@ -80,15 +82,15 @@
 	return PUB_OK;
 }
 
-/* Sorts the objects by id. */
+/* Sorts the objects by id, as pub_objects_find requires. */
 void pub_objects_sort(struct pub_objects *objects)
 {
 	if (objects->count)
 		qsort(objects->list, objects->count, sizeof(*objects->list),
-		      pub_object_cmp);
+		      pub_compare_objects);
 }
 
-/* Frees the objects and leaves an empty list. */
+/* Frees the objects; the list is empty afterwards. */
 void pub_objects_free(struct pub_objects *objects)
 {
 	size_t i;
@@ -101,7 +103,7 @@
 	memset(objects, 0, sizeof(*objects));
 }
 
-/* Finds an object by kind/name; NULL if there is none. */
+/* Finds an object in a sorted list by kind/name; NULL if there is none. */
 const struct pub_object *pub_objects_find(const struct pub_objects *objects,
 					  const char *id)
 {
@@ -110,12 +112,12 @@
 	if (objects->count == 0)
 		return NULL;
 	return bsearch(&wanted, objects->list, objects->count,
-		       sizeof(*objects->list), pub_object_cmp);
+		       sizeof(*objects->list), pub_compare_objects);
 }
 
 /*
- * Returns the set's text, one object a line.  A revision of 0 is left out.
- * The caller frees it; NULL without memory.
+ * Returns the text of a set, one object per line, without a revision if it is
+ * 0.  The caller frees it; NULL if out of memory.
  */
 char *pub_objects_text(const struct pub_objects *objects, uint64_t revision)
 {
@@ -140,7 +142,7 @@
 	return NULL;
 }
 
-/* Writes the digest of a value as hexadecimal digits. */
+/* Writes the BLAKE2b digest of a value in hexadecimal. */
 void pub_digest_bytes(const char *text, size_t len, char digest[PUB_DIGEST_HEX])
 {
 	unsigned char bytes[PUB_DIGEST_BYTES];
@@ -150,7 +152,7 @@
 	sodium_bin2hex(digest, PUB_DIGEST_HEX, bytes, sizeof(bytes));
 }
 
-/* Returns the bucket of an object among a power of two of them. */
+/* Returns the bucket of an object; the number of them is a power of two. */
 size_t pub_bucket(const char *id, size_t buckets)
 {
 	uint32_t hash = PUB_HASH_START;
@@ -162,13 +164,14 @@
 }
 
 /*
- * Returns into how many buckets a kind's objects go.  It stays as it is while
- * the mean lies between the bounds: a count that went up and down around one
- * bound would rewrite every chunk each time.
+ * Returns the number of buckets for the objects of a kind.  The current number
+ * is retained while the mean objects per bucket is between the two limits.
+ * With a single limit, a count that varies around it would rewrite every chunk
+ * each time.
  */
-size_t pub_bucket_count(size_t objects, size_t now)
+size_t pub_bucket_count(size_t objects, size_t current)
 {
-	size_t buckets = now ? now : 1;
+	size_t buckets = current ? current : 1;
 
 	while (buckets < PUB_BUCKETS_MAX &&
 	       objects > buckets * PUB_CHUNK_OBJECTS_MAX)
@@ -179,8 +182,8 @@
 }
 
 /*
- * Returns the text of one bucket: a JSON list of its objects, one a line, ""
- * if it is empty.  The caller frees it; NULL without memory.
+ * Returns the text of one bucket: a JSON list of its objects, one per line, or
+ * "" if it has none.  The caller frees it; NULL if out of memory.
  */
 char *pub_chunk_text(const struct pub_objects *objects, enum cfg_kind kind,
 		     size_t bucket, size_t buckets)
@@ -208,8 +211,8 @@
 }
 
 /*
- * Writes the digest of a set's text.  It depends on the objects alone, not on
- * their order or the blanks between them.
+ * Writes the digest of a set.  It depends only on the objects, not on their
+ * order or on white space.
  */
 int pub_digest(const char *text, size_t len, char digest[PUB_DIGEST_HEX])
 {
@@ -229,7 +232,7 @@
 	return PUB_OK;
 }
 
-static int pub_object_cmp(const void *a, const void *b)
+static int pub_compare_objects(const void *a, const void *b)
 {
 	const struct pub_object *x = a;
 	const struct pub_object *y = b;
@@ -237,7 +240,7 @@
 	return strcmp(x->id, y->id);
 }
 
-static int pub_kind_of(const char *name)
+static int pub_kind_by_name(const char *name)
 {
 	int kind;
 
--- a/src/pub_offer.c
+++ b/src/pub_offer.c
@@ -3,19 +3,20 @@
 
 #include "pub_int.h"
 
-/* What instances pass to each other: whole sets, and what changed. */
+/* Exchange between instances: offers of whole sets, and deltas. */
 
 static json_t *pub_delta_json(const struct pub_objects *old,
 			      const struct pub_objects *new);
 static int pub_patch_objects(const struct pub_objects *old, const json_t *delta,
 			     struct pub_objects *new);
-static bool pub_lists(const json_t *delta, const char *id);
-static uint64_t pub_revision_of(const char *text);
+static bool pub_delta_affects(const json_t *delta, const char *id);
+static uint64_t pub_text_revision(const char *text);
 
 /*
- * Tells whether an instance that holds one revision may go to another.  It
- * only ever goes up, whoever offers; and a step that no site could have made
- * is refused, as taking it would shut out every later change.
+ * Returns true if an instance that holds the current revision may adopt the
+ * offered one.  Revisions only increase, whoever offers them.  A step that is
+ * too large to be real is refused, because no later change could get above such
+ * a revision.
  */
 bool pub_accepts_revision(uint64_t current, uint64_t offered)
 {
@@ -25,9 +26,9 @@
 }
 
 /*
- * Checks a set that a peer offers: its number, its digest as other peers gave
- * it, and the whole set.  Returns PUB_OK with the set, whose revision is the
- * offered one; else nothing is to be taken over.
+ * Checks a set offered by a peer: its revision, its digest as other peers
+ * report it, and the whole set.  Returns PUB_OK with the set, which gets the
+ * offered revision; on any error the caller must not adopt anything.
  */
 int pub_check_offer(uint64_t current, uint64_t offered, const char *digest,
 		    const char *text, size_t len, struct cfg_set **set)
@@ -55,9 +56,9 @@
 }
 
 /*
- * Returns in *delta what leads from one set's text to another's: some hundred
- * bytes a change, where a chunk and the head take tens of thousands.  The
- * caller frees it.
+ * Returns in *delta the difference from the text of one set to that of another.
+ * It has some hundred bytes per change, while a chunk and the head have tens of
+ * thousands.  The caller frees it.
  */
 int pub_delta(const char *old_text, const char *new_text, char **delta)
 {
@@ -77,10 +78,10 @@
 		doc = pub_delta_json(&old, &new);
 		json_object_set_new(
 			doc, "from",
-			json_integer((json_int_t)pub_revision_of(old_text)));
+			json_integer((json_int_t)pub_text_revision(old_text)));
 		json_object_set_new(
 			doc, "to",
-			json_integer((json_int_t)pub_revision_of(new_text)));
+			json_integer((json_int_t)pub_text_revision(new_text)));
 		json_object_set_new(doc, "digest", json_string(digest));
 		*delta = json_dumps(doc, JSON_COMPACT | JSON_SORT_KEYS);
 		json_decref(doc);
@@ -92,9 +93,10 @@
 }
 
 /*
- * Applies a delta to the set it was made from.  PUB_E_REJECTED if it was made
- * from another one, or does not lead to the digest that it names.  The caller
- * frees *new_text and checks it with pub_check_offer.
+ * Applies a delta to the set that it was made from.  Returns PUB_E_REJECTED if
+ * it was made from another revision or if the result does not have the digest
+ * that the delta states.  The caller frees *new_text and checks it with
+ * pub_check_offer.
  */
 int pub_patch(const char *old_text, const char *delta, char **new_text)
 {
@@ -109,7 +111,7 @@
 	*new_text = NULL;
 	if (digest && to > 0 &&
 	    (uint64_t)json_integer_value(json_object_get(doc, "from")) ==
-		    pub_revision_of(old_text))
+		    pub_text_revision(old_text))
 		err = pub_objects_parse(&old, old_text, strlen(old_text));
 	if (err == PUB_OK)
 		err = pub_patch_objects(&old, doc, &new);
@@ -166,7 +168,7 @@
 	for (i = 0; i < old->count && err == PUB_OK; i++) {
 		json_t *object;
 
-		if (pub_lists(delta, old->list[i].id))
+		if (pub_delta_affects(delta, old->list[i].id))
 			continue;
 		object = json_loads(old->list[i].text, 0, NULL);
 		err = object ? pub_objects_add(new, object) : PUB_E_MEMORY;
@@ -176,8 +178,8 @@
 	return err == PUB_E_DAMAGED ? PUB_E_REJECTED : err;
 }
 
-/* Tells whether a delta replaces or drops an object. */
-static bool pub_lists(const json_t *delta, const char *id)
+/* Returns true if a delta replaces or removes an object. */
+static bool pub_delta_affects(const json_t *delta, const char *id)
 {
 	const json_t *put = json_object_get(delta, "put");
 	const json_t *drop = json_object_get(delta, "drop");
@@ -202,7 +204,7 @@
 	return false;
 }
 
-static uint64_t pub_revision_of(const char *text)
+static uint64_t pub_text_revision(const char *text)
 {
 	json_t *doc = json_loads(text, 0, NULL);
 	json_int_t n = json_integer_value(json_object_get(doc, "revision"));
--- a/src/pub_past.c
+++ b/src/pub_past.c
@@ -4,81 +4,81 @@
 #include "pub_int.h"
 
 #define PUB_PRUNE_MAX 64 /* past heads that one publication removes */
-#define PUB_GAP_MAX   4	 /* revisions that may be missing in a row */
-
-static int pub_walk(struct pub *pub, int64_t deadline_us,
-		    struct pub_head *head);
-static void pub_prune_one(struct pub *pub, int64_t deadline_us,
-			  uint64_t revision);
-static bool pub_names(const struct pub_head *head,
-		      const struct pub_chunk *chunk);
+#define PUB_GAP_MAX   4	 /* consecutive revisions that may be missing */
+
+static int pub_load_older(struct pub *pub, int64_t deadline_us,
+			  struct pub_head *head);
+static void pub_prune_revision(struct pub *pub, int64_t deadline_us,
+			       uint64_t revision);
+static bool pub_head_names_chunk(const struct pub_head *head,
+				 const struct pub_chunk *chunk);
 static void pub_prune_chunk(struct pub *pub, int64_t deadline_us,
 			    const struct pub_chunk *chunk);
 
 /*
- * Looks for a change id in a head and in the past heads that are kept.
- * *revision is the one that holds it, or 0 if it is in none of them.  Returns
- * PUB_E_UNKNOWN if the history that is kept does not reach back to the first
- * change, so that an older one may hold it.
+ * Searches for a change id in a head and in the stored past heads.  *revision
+ * is the one that contains the change, or 0 if none does.  Returns
+ * PUB_E_UNKNOWN if the change is not found and the stored history does not
+ * reach back to the first change, because an older revision may contain it.
  */
 int pub_find_change(struct pub *pub, int64_t deadline_us,
 		    const struct pub_head *head, const char *id,
 		    uint64_t *revision)
 {
-	struct pub_head at;
+	struct pub_head cursor;
 	size_t i;
 	int err = PUB_OK;
 
-	pub_head_copy(&at, head);
+	pub_head_copy(&cursor, head);
 	*revision = 0;
 	while (err == PUB_OK) {
-		for (i = 0; i < at.change_count; i++) {
-			if (strcmp(at.changes[i].id, id) == 0) {
-				*revision = at.changes[i].revision;
-				pub_head_free(&at);
+		for (i = 0; i < cursor.change_count; i++) {
+			if (strcmp(cursor.changes[i].id, id) == 0) {
+				*revision = cursor.changes[i].revision;
+				pub_head_free(&cursor);
 				return PUB_OK;
 			}
 		}
-		err = pub_walk(pub, deadline_us, &at);
+		err = pub_load_older(pub, deadline_us, &cursor);
 	}
 	if (err == PUB_E_ABSENT)
 		return PUB_OK;
 	return err == PUB_E_GONE ? PUB_E_UNKNOWN : err;
 }
 
-/* Lists the changes that are kept, newest first, at most max of them. */
+/* Lists at most max of the stored changes, newest first. */
 int pub_history(struct pub *pub, int64_t deadline_us,
 		struct pub_change *changes, size_t max, size_t *count)
 {
-	uint64_t above = UINT64_MAX;
-	struct pub_head at;
+	uint64_t last_listed = UINT64_MAX;
+	struct pub_head cursor;
 	uint64_t version;
 	size_t i;
-	int err = pub_load_head(pub, deadline_us, &at, &version);
+	int err = pub_load_head(pub, deadline_us, &cursor, &version);
 
 	*count = 0;
 	if (err != PUB_OK)
 		return err;
 	while (err == PUB_OK && *count < max) {
-		for (i = 0; i < at.change_count && *count < max; i++) {
-			if (at.changes[i].revision >= above)
+		for (i = 0; i < cursor.change_count && *count < max; i++) {
+			if (cursor.changes[i].revision >= last_listed)
 				continue;
-			above = at.changes[i].revision;
-			changes[(*count)++] = at.changes[i];
+			last_listed = cursor.changes[i].revision;
+			changes[(*count)++] = cursor.changes[i];
 		}
-		err = pub_walk(pub, deadline_us, &at);
+		err = pub_load_older(pub, deadline_us, &cursor);
 	}
 	if (err == PUB_OK)
-		pub_head_free(&at);
+		pub_head_free(&cursor);
 	return err == PUB_E_ABSENT || err == PUB_E_GONE ? PUB_OK : err;
 }
 
 /*
- * Removes the past heads that fall out of those kept when a revision follows
- * on another, and the chunks that no later head names.  A chunk's key holds
- * the revision that wrote it, so that no later publication can name it anew;
- * else one could take over a chunk just as it is removed here, and leave a
- * head that can't be read.
+ * Removes the past heads beyond the retained number after a new revision was
+ * published, and the chunks that no later head names.  The key of a chunk
+ * contains the revision that wrote it, so that a later publication that needs
+ * the same content again writes another key.  Otherwise a publication could
+ * reuse a chunk while it is removed here, and its head could not be read.
  */
 void pub_prune(struct pub *pub, int64_t deadline_us, uint64_t previous,
 	       uint64_t revision)
@@ -91,14 +91,16 @@
 	for (at = first; at + PUB_RETAINED_REVISIONS <= revision &&
 			 at < first + PUB_PRUNE_MAX;
 	     at++)
-		pub_prune_one(pub, deadline_us, at);
+		pub_prune_revision(pub, deadline_us, at);
 }
 
 /*
- * Goes from a head to the past one whose list starts where its own ends.
- * Frees the head on any error; PUB_E_ABSENT at the first change.
+ * Replaces a head by the past head whose list of changes starts where its own
+ * list ends.  Frees the head on any error.  Returns PUB_E_ABSENT if the head
+ * already lists the first change.
  */
-static int pub_walk(struct pub *pub, int64_t deadline_us, struct pub_head *head)
+static int pub_load_older(struct pub *pub, int64_t deadline_us,
+			  struct pub_head *head)
 {
 	uint64_t oldest = 0;
 	uint64_t newest = head->revision;
@@ -114,8 +116,8 @@
 	return pub_load_past(pub, deadline_us, oldest, head, &version);
 }
 
-static void pub_prune_one(struct pub *pub, int64_t deadline_us,
-			  uint64_t revision)
+static void pub_prune_revision(struct pub *pub, int64_t deadline_us,
+			       uint64_t revision)
 {
 	struct pub_head next;
 	struct pub_head old;
@@ -136,7 +138,7 @@
 		for (i = 0; i < old.kinds[kind].count; i++) {
 			const struct pub_chunk *c = &old.kinds[kind].chunks[i];
 
-			if (c->digest[0] && !pub_names(&next, c))
+			if (c->digest[0] && !pub_head_names_chunk(&next, c))
 				pub_prune_chunk(pub, deadline_us, c);
 		}
 	}
@@ -147,8 +149,8 @@
 	pub_delete(pub, key, version, deadline_us);
 }
 
-static bool pub_names(const struct pub_head *head,
-		      const struct pub_chunk *chunk)
+static bool pub_head_names_chunk(const struct pub_head *head,
+				 const struct pub_chunk *chunk)
 {
 	size_t kind;
 	size_t i;
--- a/src/pub_read.c
+++ b/src/pub_read.c
@@ -9,7 +9,7 @@
 static int pub_load_key(struct pub *pub, const char *key, int64_t deadline_us,
 			struct pub_head *head, uint64_t *version);
 static bool pub_is_stale(const struct pub *pub, const struct pub_head *head);
-static void pub_log_change(struct pub *pub, int err);
+static void pub_log_refused_head(struct pub *pub, int err);
 static int pub_read_once(struct pub *pub, int64_t deadline_us, char **text,
 			 uint64_t *revision);
 
@@ -29,13 +29,13 @@
 	[-PUB_E_MEMORY] = "out of memory",
 };
 
-/* Returns what an error means, in words. */
+/* Returns the message for an error. */
 const char *pub_err_text(enum pub_err err)
 {
 	return err_texts[-(int)err];
 }
 
-/* Returns a reader and publisher over a service, or NULL without memory. */
+/* Returns a reader and publisher for a service, NULL if out of memory. */
 struct pub *pub_new(struct kv_backend backend)
 {
 	struct pub *pub = calloc(1, sizeof(*pub));
@@ -49,7 +49,7 @@
 	return pub;
 }
 
-/* Frees it; NULL is taken. */
+/* Frees a reader or publisher; NULL is allowed. */
 void pub_free(struct pub *pub)
 {
 	if (!pub)
@@ -59,14 +59,15 @@
 }
 
 /*
- * Reads the set in force.  On PUB_OK the caller frees *text, which names its
- * revision.  Chunks that were read before are not read again, and the objects
- * stand in the order of the chunks: to sort 10,000 of them for each change
- * would cost more than all else here.
+ * Reads the set in force.  On PUB_OK the caller frees *text, which includes its
+ * revision.  Chunks that were read before are not read again.  The objects are
+ * in chunk order: sorting 10,000 of them for each change would cost more than
+ * the rest of the function.
  *
- * The service may come back from an outage with an older head.  An instance
- * that took it would undo changes which operators were told are in force; so
- * a head below the highest revision seen is PUB_E_STALE and changes nothing.
+ * After an outage the service may return an older head.  An instance that
+ * adopted it would undo changes that operators were told are in force.  A head
+ * below the highest revision read or published so far is therefore PUB_E_STALE
+ * and changes nothing.
  */
 int pub_read(struct pub *pub, int64_t deadline_us, char **text,
 	     uint64_t *revision)
@@ -76,18 +77,20 @@
 
 	*text = NULL;
 	*revision = 0;
-	/* A chunk may be pruned between head and chunk: then read both again.
+	/*
+	 * A chunk may be pruned after the head was read and before the chunk
+	 * is; then both are read again.
 	 */
 	for (try = 0; try < PUB_TRIES && err == PUB_E_DAMAGED; try++)
 		err = pub_read_once(pub, deadline_us, text, revision);
-	pub_log_change(pub, err);
+	pub_log_refused_head(pub, err);
 	return err;
 }
 
 /*
- * Waits until the head differs from the one that was read last, or the
- * deadline.  Returns PUB_OK if it differs, PUB_E_ABSENT if the wait ended
- * without, PUB_E_DOWN if the service does not answer.
+ * Waits until the head differs from the one that was read last, or until the
+ * deadline.  Returns PUB_OK if it differs, PUB_E_ABSENT if it is the same when
+ * the wait ends, PUB_E_DOWN if the service does not answer.
  */
 int pub_watch(struct pub *pub, int64_t deadline_us)
 {
@@ -108,7 +111,7 @@
 	return PUB_E_DOWN;
 }
 
-/* Reads the set of a past revision, or of the present one. */
+/* Reads the set of a past revision or of the one in force, sorted by id. */
 int pub_read_past(struct pub *pub, int64_t deadline_us, uint64_t revision,
 		  char **text)
 {
@@ -133,7 +136,7 @@
 	return err == PUB_OK && !*text ? PUB_E_MEMORY : err;
 }
 
-/* Notes a head that was read whole or published. */
+/* Records a head that was read completely or published as the highest. */
 void pub_set_highest(struct pub *pub, const struct pub_head *head)
 {
 	pub->highest_revision = head->revision;
@@ -148,7 +151,7 @@
 	return pub_load_key(pub, PUB_HEAD_KEY, deadline_us, head, version);
 }
 
-/* Reads the head record of a past revision; PUB_E_GONE if it is not kept. */
+/* Reads the head of a past revision; PUB_E_GONE if it is not stored. */
 int pub_load_past(struct pub *pub, int64_t deadline_us, uint64_t revision,
 		  struct pub_head *head, uint64_t *version)
 {
@@ -160,8 +163,8 @@
 	return err == PUB_E_ABSENT ? PUB_E_GONE : err;
 }
 
-/* Logs a refused head once, however often it is read again. */
-static void pub_log_change(struct pub *pub, int err)
+/* Logs a refused head, once for a series of equal failures. */
+static void pub_log_refused_head(struct pub *pub, int err)
 {
 	if (err == PUB_E_STALE && pub->last_result != err)
 		log_event(LOG_CONFIG_STALE, "revision=%llu",
@@ -196,9 +199,10 @@
 }
 
 /*
- * A service that came back with an older head may be published to again, up
- * to a number that was already given to other content: so the change that
- * made the revision has to be the same as well.
+ * Returns true if a head is older than one that was read before.  If the
+ * service returns an older head after an outage, new publications can reach a
+ * revision number that other content already had.  So for an equal revision the
+ * change that made it has to be the same too.
  */
 static bool pub_is_stale(const struct pub *pub, const struct pub_head *head)
 {
--- a/src/rev.c
+++ b/src/rev.c
@@ -4,43 +4,44 @@
 #include "pub.h"
 #include "rev.h"
 
-#define REV_EDITS	32    /* that are kept for peers */
-#define REV_EDITS_BYTES 65536 /* of them together, in one answer */
+#define REV_EDITS	32    /* edits stored for peers */
+#define REV_EDITS_BYTES 65536 /* most in one answer to a peer */
 
-/* What led from one revision to a later one. */
+/* The edit from one revision to a later one. */
 struct rev_edit {
 	uint64_t from_revision;
 	uint64_t to_revision;
-	char *text; /* NULL: too much differed */
+	char *text; /* as from pub_edit_text; NULL: unused */
 };
 
 struct rev {
 	uint64_t revision;
 	char *text;
-	bool object_per_line; /* its lines may be taken one by one */
+	bool object_per_line; /* each line is one whole object */
 	struct rev_edit edits[REV_EDITS];
-	size_t next_edit;	    /* to be overwritten */
-	unsigned long patched_sets; /* sets made from the one before */
+	size_t next_edit;	    /* slot for the next edit */
+	unsigned long patched_sets; /* sets built by patching */
 };
 
-static int rev_take(struct rev *rev, const struct cfg_set *base,
-		    const char *text, uint64_t revision, const char *known,
-		    struct cfg_set **set);
-static int rev_make(struct rev *rev, const struct cfg_set *base,
-		    const char *text, uint64_t revision, struct cfg_set **set,
-		    char **edit);
+static int rev_adopt(struct rev *rev, const struct cfg_set *base,
+		     const char *text, uint64_t revision, const char *known,
+		     struct cfg_set **set);
+static int rev_build_set(struct rev *rev, const struct cfg_set *base,
+			 const char *text, uint64_t revision,
+			 struct cfg_set **set, char **edit);
 static int rev_parse(const char *text, struct cfg_set **set);
-static void rev_keep(struct rev *rev, char *text, uint64_t revision,
-		     char *edit);
-static const struct rev_edit *rev_from(const struct rev *rev, uint64_t from);
+static void rev_replace_text(struct rev *rev, char *text, uint64_t revision,
+			     char *edit);
+static const struct rev_edit *rev_find_edit(const struct rev *rev,
+					    uint64_t from);
 
-/* Makes one that holds nothing; NULL if memory is short. */
+/* Returns a state without a revision, NULL if out of memory. */
 struct rev *rev_new(void)
 {
 	return calloc(1, sizeof(struct rev));
 }
 
-/* Frees it; NULL is allowed. */
+/* Frees a state; NULL is allowed. */
 void rev_free(struct rev *rev)
 {
 	size_t i;
@@ -54,21 +55,22 @@
 }
 
 /*
- * Takes the text of a new revision.  base is the set of the revision held
- * before, NULL for none.  On PUB_OK *set is the new set, to be freed by the
- * caller; else nothing changed: PUB_E_STALE for one that is no newer,
- * PUB_E_REJECTED for one that no site could have made or that has faults.
+ * Adopts the text of a new revision. base is the set of the revision held so
+ * far, NULL for none.  On PUB_OK *set is the new set, which the caller frees.
+ * On an error the state stays the same: PUB_E_STALE if the revision is not
+ * newer, PUB_E_REJECTED if its number is beyond the limits of
+ * pub_accepts_revision or the set is not valid.
  */
 int rev_offer(struct rev *rev, const struct cfg_set *base, const char *text,
 	      uint64_t revision, struct cfg_set **set)
 {
-	return rev_take(rev, base, text, revision, NULL, set);
+	return rev_adopt(rev, base, text, revision, NULL, set);
 }
 
-/* As rev_offer; the edit that leads to the text, if it is known. */
-static int rev_take(struct rev *rev, const struct cfg_set *base,
-		    const char *text, uint64_t revision, const char *known,
-		    struct cfg_set **set)
+/* As rev_offer; known is the edit that leads to the text, or NULL. */
+static int rev_adopt(struct rev *rev, const struct cfg_set *base,
+		     const char *text, uint64_t revision, const char *known,
+		     struct cfg_set **set)
 {
 	char *edit = known ? strdup(known) : NULL;
 	char *copy = NULL;
@@ -84,10 +86,10 @@
 	if (err == PUB_OK && !copy)
 		err = PUB_E_MEMORY;
 	if (err == PUB_OK)
-		err = rev_make(rev, base, copy, revision, set, &edit);
+		err = rev_build_set(rev, base, copy, revision, set, &edit);
 	if (err == PUB_OK) {
 		(*set)->revision = revision;
-		rev_keep(rev, copy, revision, edit);
+		rev_replace_text(rev, copy, revision, edit);
 	} else {
 		free(copy);
 		free(edit);
@@ -96,8 +98,8 @@
 }
 
 /*
- * Takes edits that a peer made from the revision held here.  As rev_offer;
- * PUB_E_BASE if another one is held by now.
+ * Applies edits from a peer that start at revision have.  Otherwise as
+ * rev_offer; PUB_E_BASE if the revision held is another one by now.
  */
 int rev_offer_edits(struct rev *rev, const struct cfg_set *base, uint64_t have,
 		    const char *edits, struct cfg_set **set)
@@ -128,8 +130,8 @@
 		edit = end ? end + 2 : NULL;
 	}
 	if (err == PUB_OK)
-		err = rev_take(rev, base, text, revision,
-			       strstr(edits, "\n\n") ? NULL : edits, set);
+		err = rev_adopt(rev, base, text, revision,
+				strstr(edits, "\n\n") ? NULL : edits, set);
 	free(text);
 	free(copy);
 	return err;
@@ -147,15 +149,15 @@
 	return rev->text;
 }
 
-/* Returns how many sets were made from the one before. */
+/* Returns how many sets were built by patching the previous one. */
 unsigned long rev_patched_sets(const struct rev *rev)
 {
 	return rev->patched_sets;
 }
 
 /*
- * Returns the edits that lead from a revision to the one held, to be freed by
- * the caller; NULL if they are not kept or would be long.
+ * Returns the edits from revision have to the one held; the caller frees them.
+ * NULL if an edit is not stored or if they exceed REV_EDITS_BYTES.
  */
 char *rev_edits(const struct rev *rev, uint64_t have)
 {
@@ -164,12 +166,12 @@
 	size_t len = 0;
 	FILE *out;
 
-	if (have >= rev->revision || !rev_from(rev, have))
+	if (have >= rev->revision || !rev_find_edit(rev, have))
 		return NULL;
 	out = open_memstream(&text, &len);
 	if (!out)
 		return NULL;
-	while (have < rev->revision && (edit = rev_from(rev, have))) {
+	while (have < rev->revision && (edit = rev_find_edit(rev, have))) {
 		fprintf(out, "%s%s", ftell(out) > 0 ? "\n" : "", edit->text);
 		have = edit->to_revision;
 	}
@@ -179,10 +181,10 @@
 	return NULL;
 }
 
-/* Makes the set in the short way, or from the whole text. */
-static int rev_make(struct rev *rev, const struct cfg_set *base,
-		    const char *text, uint64_t revision, struct cfg_set **set,
-		    char **edit)
+/* Builds the set by patching base, or else by parsing the whole text. */
+static int rev_build_set(struct rev *rev, const struct cfg_set *base,
+			 const char *text, uint64_t revision,
+			 struct cfg_set **set, char **edit)
 {
 	struct pub_edit lines = { 0 };
 	int err = PUB_E_SIZE;
@@ -215,16 +217,17 @@
 	return err == CFG_OK ? PUB_OK : PUB_E_REJECTED;
 }
 
-/* Puts a text in place of the one held, with what led to it if known. */
-static void rev_keep(struct rev *rev, char *text, uint64_t revision, char *edit)
+/* Replaces the text held and stores the edit that led to it, if any. */
+static void rev_replace_text(struct rev *rev, char *text, uint64_t revision,
+			     char *edit)
 {
-	struct rev_edit *kept = &rev->edits[rev->next_edit];
+	struct rev_edit *slot = &rev->edits[rev->next_edit];
 
 	if (edit) {
-		free(kept->text);
-		kept->text = edit;
-		kept->from_revision = rev->revision;
-		kept->to_revision = revision;
+		free(slot->text);
+		slot->text = edit;
+		slot->from_revision = rev->revision;
+		slot->to_revision = revision;
 		rev->next_edit = (rev->next_edit + 1) % REV_EDITS;
 	}
 	free(rev->text);
@@ -232,8 +235,9 @@
 	rev->revision = revision;
 }
 
-/* Finds the edit that leads on from a revision. */
-static const struct rev_edit *rev_from(const struct rev *rev, uint64_t from)
+/* Finds the stored edit that starts at a revision. */
+static const struct rev_edit *rev_find_edit(const struct rev *rev,
+					    uint64_t from)
 {
 	size_t i;
 
--- a/src/rev.h
+++ b/src/rev.h
@@ -2,10 +2,10 @@
 #define REV_H
 
 /*
- * The revision in force at one instance: its text, which peers may ask for,
- * and the edits that led to it.  A new set is made from the one before and
- * what differs; only when that can't be is the whole text read.  No lock: one
- * thread at a time.
+ * The revision in force at one instance: its text, which peers can fetch, and
+ * the edits that led to it.  A new set is built by patching the previous one
+ * with the lines that differ; the whole text is parsed only if that is not
+ * possible.  There is no locking; only one thread at a time may use it.
  */
 
 #include <stdint.h>
