--- a/src/ctl.h
+++ b/src/ctl.h
@@ -1,7 +1,7 @@
 #ifndef CTL_H
 #define CTL_H
 
-/* The operators' tool: what its commands share. */
+/* Declarations shared by the commands of magctl, the operator's tool. */
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -16,15 +16,15 @@
 
 #define CTL_ADDRESSES_MAX 1024
 
-/* Exit codes; magctl(1) lists them, and they stay as they are. */
+/* Exit codes; documented in magctl(1), must not change. */
 enum ctl_exit {
 	CTL_DONE = 0,
-	CTL_USAGE = 1,	  /* the command line is wrong */
-	CTL_FAULTS = 2,	  /* the set has faults; nothing was published */
-	CTL_CONFLICT = 3, /* another change came first, or no base was named */
+	CTL_USAGE = 1,	  /* invalid command line or input file */
+	CTL_FAULTS = 2,	  /* the set is not valid; nothing was published */
+	CTL_CONFLICT = 3, /* another change came first, or no base given */
 	CTL_DOWN = 4,	  /* the service or the instances don't answer */
 	CTL_UNKNOWN = 5,  /* the change may be in force */
-	CTL_REFUSED = 6,  /* damaged, stale, gone, too large */
+	CTL_REFUSED = 6,  /* damaged, stale, not stored, too large */
 	CTL_PENDING = 7,  /* not all instances hold the revision */
 	CTL_DIFFERS = 8,  /* diff found a difference */
 };
@@ -58,9 +58,9 @@
 	char list[CTL_ADDRESSES_MAX][MAG_ADDR_MAX];
 };
 
-/* What a command was asked for. */
+/* The parsed command line of a command. */
 struct ctl_args {
-	char *value[CTL_OPTION_COUNT]; /* NULL if it was not given */
+	char *value[CTL_OPTION_COUNT]; /* NULL if not given */
 	bool json;
 	struct ctl_addresses platform;
 	struct ctl_addresses admin;
@@ -70,11 +70,11 @@
 struct ctl_command {
 	const char *name;
 	const char *help;
-	uint32_t options; /* CTL_BIT of each that it takes */
+	uint32_t options; /* CTL_BIT of each option allowed */
 	enum ctl_exit (*run)(const struct ctl_args *args);
 };
 
-/* A connection to the platform's service, each call with its own timeout. */
+/* A client of the platform's service that limits the time of each call. */
 struct ctl_store {
 	struct pf *pf;
 	struct kv_backend backend;
@@ -82,7 +82,7 @@
 	int64_t deadline_us;
 };
 
-/* What one instance answered on its admin port. */
+/* The answer from the admin port of one instance. */
 struct ctl_answer {
 	const char *address;
 	json_t *body; /* NULL if it did not answer */
@@ -127,7 +127,7 @@
 enum ctl_exit ctl_bound(const struct ctl_args *args);
 enum ctl_exit ctl_explain(const struct ctl_args *args);
 
-/* ctl_fleet.c, for apply */
+/* ctl_fleet.c, used by apply */
 uint64_t ctl_highest_revision(const struct ctl_addresses *admin,
 			      int64_t deadline_us);
 size_t ctl_count_holders(const struct ctl_addresses *admin, uint64_t revision,
--- a/src/ctl_apply.c
+++ b/src/ctl_apply.c
@@ -9,25 +9,26 @@
 #include "ctl.h"
 
 #define CTL_ID_BYTES 16
-#define CTL_PAUSE_US (200 * MAG_US_PER_MS) /* between tries */
+#define CTL_RETRY_US (200 * MAG_US_PER_MS) /* pause between tries */
 #define CTL_POLL_US  (100 * MAG_US_PER_MS)
-#define CTL_FLOOR_US (1 * MAG_US_PER_S) /* longest wait for the revisions */
+#define CTL_FLOOR_US (1 * MAG_US_PER_S) /* longest query of instances */
 
-static bool ctl_make_request(const struct ctl_args *args, const char *text,
+static bool ctl_init_request(const struct ctl_args *args, const char *text,
 			     struct pub_request *request);
-static bool ctl_make_change(const struct ctl_args *args,
+static bool ctl_init_change(const struct ctl_args *args,
 			    struct pub_change *change);
-static uint64_t ctl_named_revision(const char *text);
+static uint64_t ctl_file_revision(const char *text);
 static int ctl_publish(const struct ctl_args *args, struct pub_request *request,
 		       struct pub_result *result);
 static void ctl_report(const struct pub_request *request, int err,
 		       const struct pub_result *result);
 static void ctl_report_json(const struct pub_request *request, int err,
 			    const struct pub_result *result, int64_t holders);
-static enum ctl_exit ctl_wait(const struct ctl_args *args, uint64_t revision,
-			      int64_t *holders);
+static enum ctl_exit ctl_wait_for_instances(const struct ctl_args *args,
+					    uint64_t revision,
+					    int64_t *holders);
 
-/* magctl apply: publishes a whole set, all or nothing. */
+/* magctl apply: publishes a whole set, completely or not at all. */
 enum ctl_exit ctl_apply(const struct ctl_args *args)
 {
 	char *text = ctl_read_file(args->value[CTL_OPT_FILE]);
@@ -39,7 +40,7 @@
 
 	if (!text)
 		return CTL_USAGE;
-	if (!ctl_make_request(args, text, &request)) {
+	if (!ctl_init_request(args, text, &request)) {
 		free(text);
 		return CTL_USAGE;
 	}
@@ -48,7 +49,7 @@
 	if (!args->json)
 		ctl_report(&request, err, &result);
 	if (err == PUB_OK && args->value[CTL_OPT_WAIT])
-		code = ctl_wait(args, result.revision, &holders);
+		code = ctl_wait_for_instances(args, result.revision, &holders);
 	if (args->json)
 		ctl_report_json(&request, err, &result, holders);
 	pub_result_clear(&result);
@@ -56,13 +57,13 @@
 	return code;
 }
 
-static bool ctl_make_request(const struct ctl_args *args, const char *text,
+static bool ctl_init_request(const struct ctl_args *args, const char *text,
 			     struct pub_request *request)
 {
 	memset(request, 0, sizeof(*request));
 	request->text = text;
 	request->len = strlen(text);
-	request->base = ctl_named_revision(text);
+	request->base = ctl_file_revision(text);
 	request->replace = args->value[CTL_OPT_REPLACE] != NULL;
 	request->merge = args->value[CTL_OPT_MERGE] != NULL;
 	request->resume = args->value[CTL_OPT_CHANGE_ID] != NULL;
@@ -70,14 +71,17 @@
 	if (!ctl_number(args, CTL_OPT_BASE, PUB_REVISION_MAX, &request->base) ||
 	    !ctl_number(args, CTL_OPT_FLOOR, PUB_REVISION_MAX, &request->floor))
 		return false;
-	/* A change below what instances hold would never come into force. */
+	/*
+	 * Instances ignore a revision that is not above the one they hold, so
+	 * the new one has to be above the highest of them.
+	 */
 	if (!args->value[CTL_OPT_FLOOR])
 		request->floor = ctl_highest_revision(
 			&args->admin, clk_now_us() + CTL_FLOOR_US);
-	return ctl_make_change(args, &request->change);
+	return ctl_init_change(args, &request->change);
 }
 
-static bool ctl_make_change(const struct ctl_args *args,
+static bool ctl_init_change(const struct ctl_args *args,
 			    struct pub_change *change)
 {
 	const char *id = args->value[CTL_OPT_CHANGE_ID];
@@ -109,8 +113,8 @@
 	return true;
 }
 
-/* A set that magctl get wrote names the revision that it was made from. */
-static uint64_t ctl_named_revision(const char *text)
+/* Returns the revision that magctl get wrote into a set, 0 if there is none. */
+static uint64_t ctl_file_revision(const char *text)
 {
 	json_t *doc = json_loads(text, 0, NULL);
 	json_int_t n = json_integer_value(json_object_get(doc, "revision"));
@@ -120,8 +124,9 @@
 }
 
 /*
- * Tries until the deadline.  Trying again is safe, as the change keeps its
- * id: a try whose answer was lost is found again and not made twice.
+ * Publishes, and repeats on failure until the deadline.  Repeating is safe
+ * because the change id stays the same: if a try took effect but its answer was
+ * lost, the next one finds it instead of publishing twice.
  */
 static int ctl_publish(const struct ctl_args *args, struct pub_request *request,
 		       struct pub_result *result)
@@ -139,10 +144,10 @@
 		request->resume |= unknown;
 		if (err != PUB_E_DOWN && err != PUB_E_UNKNOWN)
 			break;
-		if (clk_now_us() + CTL_PAUSE_US >= args->deadline_us)
+		if (clk_now_us() + CTL_RETRY_US >= args->deadline_us)
 			break;
 		pub_result_clear(result);
-		usleep(CTL_PAUSE_US);
+		usleep(CTL_RETRY_US);
 	}
 	ctl_store_close(&store);
 	return err == PUB_E_DOWN && unknown ? PUB_E_UNKNOWN : err;
@@ -173,7 +178,7 @@
 			request->change.id);
 }
 
-/* Writes all of it as one document; holders is -1 if none were asked. */
+/* Prints one JSON document; holders is -1 if instances were not asked. */
 static void ctl_report_json(const struct pub_request *request, int err,
 			    const struct pub_result *result, int64_t holders)
 {
@@ -199,23 +204,23 @@
 	ctl_print_json(doc);
 }
 
-/* Asks the instances until all hold the revision, or the deadline. */
-static enum ctl_exit ctl_wait(const struct ctl_args *args, uint64_t revision,
-			      int64_t *holders)
+/* Polls the instances until all hold the revision or the deadline passes. */
+static enum ctl_exit ctl_wait_for_instances(const struct ctl_args *args,
+					    uint64_t revision, int64_t *holders)
 {
-	size_t holding;
+	size_t count;
 
 	for (;;) {
-		holding = ctl_count_holders(&args->admin, revision,
-					    args->deadline_us);
-		if (holding == args->admin.count ||
+		count = ctl_count_holders(&args->admin, revision,
+					  args->deadline_us);
+		if (count == args->admin.count ||
 		    clk_now_us() + CTL_POLL_US >= args->deadline_us)
 			break;
 		usleep(CTL_POLL_US);
 	}
-	*holders = (int64_t)holding;
+	*holders = (int64_t)count;
 	if (!args->json)
-		printf("%zu of %zu instances hold revision %llu\n", holding,
+		printf("%zu of %zu instances hold revision %llu\n", count,
 		       args->admin.count, (unsigned long long)revision);
-	return holding == args->admin.count ? CTL_DONE : CTL_PENDING;
+	return count == args->admin.count ? CTL_DONE : CTL_PENDING;
 }
--- a/src/ctl_fleet.c
+++ b/src/ctl_fleet.c
@@ -6,32 +6,35 @@
 #include "clk.h"
 #include "ctl.h"
 
-#define CTL_ASK_US   (1 * MAG_US_PER_S) /* longest wait for all instances */
+#define CTL_QUERY_US (1 * MAG_US_PER_S) /* for all instances together */
 #define CTL_PATH_MAX 256
 
-/* What the instances and the service hold. */
+/* The revisions held by the instances and by the service. */
 struct ctl_fleet {
-	int reach; /* how reading the service's head ended */
+	int head_err; /* result of reading the service's head */
 	uint64_t revision;
 	size_t holders;
 	json_t *rows;
 };
 
-static int64_t ctl_ask_deadline(int64_t deadline_us);
+static int64_t ctl_query_deadline(int64_t deadline_us);
 static uint64_t ctl_revision_of(const json_t *status);
-static int ctl_head(const struct ctl_args *args, uint64_t *revision);
+static int ctl_read_head_revision(const struct ctl_args *args,
+				  uint64_t *revision);
 static json_t *ctl_status_row(const struct ctl_answer *answer);
 static void ctl_print_fleet(const struct ctl_args *args,
 			    const struct ctl_fleet *fleet);
-static enum ctl_exit ctl_show(const struct ctl_args *args, const char *path,
-			      const char *list, bool sum);
-static json_t *ctl_by_instance(const struct ctl_answer *answers, size_t count);
+static enum ctl_exit ctl_print_page(const struct ctl_args *args,
+				    const char *path, const char *list,
+				    bool sum);
+static json_t *ctl_bodies_by_instance(const struct ctl_answer *answers,
+				      size_t count);
 static void ctl_sum_rows(json_t *rows, const json_t *more);
 static bool ctl_same_row(const json_t *a, const json_t *b);
-static bool ctl_has_names(const json_t *row, const json_t *other);
+static bool ctl_has_strings(const json_t *row, const json_t *other);
 static void ctl_add_row(json_t *row, const json_t *more);
 
-/* Returns the highest revision that an instance holds, 0 if none answers. */
+/* Returns the highest revision of any instance, 0 if none answers. */
 uint64_t ctl_highest_revision(const struct ctl_addresses *admin,
 			      int64_t deadline_us)
 {
@@ -40,7 +43,7 @@
 	size_t i;
 
 	ctl_query_instances(admin, "/admin/status",
-			    ctl_ask_deadline(deadline_us), answers);
+			    ctl_query_deadline(deadline_us), answers);
 	for (i = 0; i < admin->count; i++) {
 		uint64_t revision = ctl_revision_of(answers[i].body);
 
@@ -60,14 +63,14 @@
 	size_t i;
 
 	ctl_query_instances(admin, "/admin/status",
-			    ctl_ask_deadline(deadline_us), answers);
+			    ctl_query_deadline(deadline_us), answers);
 	for (i = 0; i < admin->count; i++)
 		holders += ctl_revision_of(answers[i].body) >= revision;
 	ctl_answers_free(answers, admin->count);
 	return holders;
 }
 
-/* magctl status: what each instance holds, and the service's head. */
+/* magctl status: the revisions of each instance and of the service. */
 enum ctl_exit ctl_status(const struct ctl_args *args)
 {
 	struct ctl_answer answers[CTL_ADDRESSES_MAX];
@@ -75,11 +78,14 @@
 	struct ctl_fleet fleet = { .rows = json_array() };
 	size_t i;
 
-	fleet.reach = ctl_head(args, &fleet.revision);
+	fleet.head_err = ctl_read_head_revision(args, &fleet.revision);
 	ctl_query_instances(&args->admin, "/admin/status",
-			    ctl_ask_deadline(args->deadline_us), answers);
-	/* Without the service the newest that an instance holds counts. */
-	for (i = 0; i < count && fleet.reach != PUB_OK; i++) {
+			    ctl_query_deadline(args->deadline_us), answers);
+	/*
+	 * Without the service, compares with the newest revision that any
+	 * instance holds.
+	 */
+	for (i = 0; i < count && fleet.head_err != PUB_OK; i++) {
 		if (ctl_revision_of(answers[i].body) > fleet.revision)
 			fleet.revision = ctl_revision_of(answers[i].body);
 	}
@@ -98,16 +104,16 @@
 /* magctl shares: the load of each account, summed over the instances. */
 enum ctl_exit ctl_shares(const struct ctl_args *args)
 {
-	return ctl_show(args, "/admin/shares", "shares", true);
+	return ctl_print_page(args, "/admin/shares", "shares", true);
 }
 
-/* magctl bound: as the first instance that answers sees it. */
+/* magctl bound: the bounds that the first answering instance reports. */
 enum ctl_exit ctl_bound(const struct ctl_args *args)
 {
-	return ctl_show(args, "/admin/bound", "services", false);
+	return ctl_print_page(args, "/admin/bound", "services", false);
 }
 
-/* magctl explain: what the first instance that answers would choose from. */
+/* magctl explain: the endpoints the first answering instance can choose. */
 enum ctl_exit ctl_explain(const struct ctl_args *args)
 {
 	char path[CTL_PATH_MAX] = "/admin/explain";
@@ -120,14 +126,14 @@
 			 service ? service : "");
 		curl_free(service);
 	}
-	return ctl_show(args, path, "endpoints", false);
+	return ctl_print_page(args, path, "endpoints", false);
 }
 
-static int64_t ctl_ask_deadline(int64_t deadline_us)
+static int64_t ctl_query_deadline(int64_t deadline_us)
 {
-	int64_t soon_us = clk_now_us() + CTL_ASK_US;
+	int64_t query_us = clk_now_us() + CTL_QUERY_US;
 
-	return soon_us < deadline_us ? soon_us : deadline_us;
+	return query_us < deadline_us ? query_us : deadline_us;
 }
 
 static uint64_t ctl_revision_of(const json_t *status)
@@ -137,8 +143,9 @@
 	return n > 0 ? (uint64_t)n : 0;
 }
 
-/* Reads the revision that the service holds, if its address was given. */
-static int ctl_head(const struct ctl_args *args, uint64_t *revision)
+/* Reads the revision in the service; PUB_E_ABSENT without its address. */
+static int ctl_read_head_revision(const struct ctl_args *args,
+				  uint64_t *revision)
 {
 	struct ctl_store store;
 	struct pub_change change;
@@ -178,21 +185,22 @@
 		ctl_print_json(json_pack(
 			"{s:I, s:s, s:I, s:O}", "revision",
 			(json_int_t)fleet->revision, "platform",
-			pub_err_text((enum pub_err)fleet->reach), "holders",
+			pub_err_text((enum pub_err)fleet->head_err), "holders",
 			(json_int_t)fleet->holders, "instances", fleet->rows));
 		return;
 	}
 	ctl_print_table(fleet->rows);
 	printf("%zu of %zu instances hold revision %llu\n", fleet->holders,
 	       count, (unsigned long long)fleet->revision);
-	if (args->platform.count && fleet->reach != PUB_OK)
+	if (args->platform.count && fleet->head_err != PUB_OK)
 		printf("platform: %s\n",
-		       pub_err_text((enum pub_err)fleet->reach));
+		       pub_err_text((enum pub_err)fleet->head_err));
 }
 
-/* Writes what the instances give, as JSON or as a table of one list. */
-static enum ctl_exit ctl_show(const struct ctl_args *args, const char *path,
-			      const char *list, bool sum)
+/* Prints an admin page of the instances, as JSON or one list as a table. */
+static enum ctl_exit ctl_print_page(const struct ctl_args *args,
+				    const char *path, const char *list,
+				    bool sum)
 {
 	struct ctl_answer answers[CTL_ADDRESSES_MAX];
 	json_t *rows = json_array();
@@ -202,7 +210,7 @@
 	size_t i;
 
 	ctl_query_instances(&args->admin, path,
-			    ctl_ask_deadline(args->deadline_us), answers);
+			    ctl_query_deadline(args->deadline_us), answers);
 	for (i = 0; i < args->admin.count; i++) {
 		answered += answers[i].body != NULL;
 		if (!error)
@@ -213,7 +221,8 @@
 				     json_object_get(answers[i].body, list));
 	}
 	if (args->json || !list)
-		ctl_print_json(ctl_by_instance(answers, args->admin.count));
+		ctl_print_json(
+			ctl_bodies_by_instance(answers, args->admin.count));
 	else
 		ctl_print_table(rows);
 	if (answered < args->admin.count)
@@ -230,7 +239,8 @@
 	return result;
 }
 
-static json_t *ctl_by_instance(const struct ctl_answer *answers, size_t count)
+static json_t *ctl_bodies_by_instance(const struct ctl_answer *answers,
+				      size_t count)
 {
 	json_t *doc = json_object();
 	size_t i;
@@ -242,7 +252,7 @@
 	return doc;
 }
 
-/* Adds rows to those whose texts are the same; numbers are summed. */
+/* Merges rows into a list; numbers of rows with equal strings are summed. */
 static void ctl_sum_rows(json_t *rows, const json_t *more)
 {
 	size_t i;
@@ -264,11 +274,11 @@
 
 static bool ctl_same_row(const json_t *a, const json_t *b)
 {
-	return ctl_has_names(a, b) && ctl_has_names(b, a);
+	return ctl_has_strings(a, b) && ctl_has_strings(b, a);
 }
 
-/* Tells whether a row has every name that another one has. */
-static bool ctl_has_names(const json_t *row, const json_t *other)
+/* Returns true if a row contains every string member of another one. */
+static bool ctl_has_strings(const json_t *row, const json_t *other)
 {
 	const char *key;
 	json_t *value;
--- a/src/ctl_http.c
+++ b/src/ctl_http.c
@@ -11,25 +11,26 @@
 #define CTL_CONNECT_MS 500L
 #define CTL_POLL_MS    100
 
-/* One instance being asked. */
+/* One request to the admin port of an instance. */
 struct ctl_request {
 	CURL *curl;
 	char *text;
 	size_t len;
-	bool whole;
+	bool complete;
 };
 
-static void ctl_begin(struct ctl_request *request, CURLM *multi,
-		      const char *address, const char *path, long left_ms);
-static void ctl_run(CURLM *multi);
-static json_t *ctl_end(struct ctl_request *request, CURLM *multi);
+static void ctl_start_request(struct ctl_request *request, CURLM *multi,
+			      const char *address, const char *path,
+			      long left_ms);
+static void ctl_run_requests(CURLM *multi);
+static json_t *ctl_finish_request(struct ctl_request *request, CURLM *multi);
 static size_t ctl_on_body(char *data, size_t size, size_t count, void *ctx);
 
 /*
- * Asks the admin ports of all instances for a page, at once, and reads their
- * JSON.  Asked one after another, an instance that hangs would leave no time
- * for those behind it, and the whole fleet would look lost.  One that does
- * not answer in time has no body.
+ * Requests a page from the admin ports of all instances in parallel and parses
+ * the JSON answers.  With sequential requests one instance that hangs would use
+ * up the time of those after it, and the whole fleet would seem to be down.
+ * The body of an instance that does not answer in time is NULL.
  */
 void ctl_query_instances(const struct ctl_addresses *addresses,
 			 const char *path, int64_t deadline_us,
@@ -44,18 +45,18 @@
 		answers[i].address = addresses->list[i];
 		answers[i].body = NULL;
 		if (multi && left_ms > 0)
-			ctl_begin(&requests[i], multi, answers[i].address, path,
-				  left_ms);
+			ctl_start_request(&requests[i], multi,
+					  answers[i].address, path, left_ms);
 	}
 	if (!multi)
 		return;
-	ctl_run(multi);
+	ctl_run_requests(multi);
 	for (i = 0; i < addresses->count; i++)
-		answers[i].body = ctl_end(&requests[i], multi);
+		answers[i].body = ctl_finish_request(&requests[i], multi);
 	curl_multi_cleanup(multi);
 }
 
-/* Frees the bodies of answers. */
+/* Frees the bodies of answers, not the array. */
 void ctl_answers_free(struct ctl_answer *answers, size_t count)
 {
 	size_t i;
@@ -64,8 +65,9 @@
 		json_decref(answers[i].body);
 }
 
-static void ctl_begin(struct ctl_request *request, CURLM *multi,
-		      const char *address, const char *path, long left_ms)
+static void ctl_start_request(struct ctl_request *request, CURLM *multi,
+			      const char *address, const char *path,
+			      long left_ms)
 {
 	char url[CTL_URL_MAX];
 
@@ -85,35 +87,35 @@
 	curl_multi_add_handle(multi, request->curl);
 }
 
-/* Drives all requests until each has ended; each has its own timeout. */
-static void ctl_run(CURLM *multi)
+/* Runs all requests to their end; each has its own timeout. */
+static void ctl_run_requests(CURLM *multi)
 {
 	struct ctl_request *request;
 	CURLMsg *message;
 	int running = 1;
-	int waiting;
+	int queued;
 
 	while (running) {
 		if (curl_multi_perform(multi, &running) != CURLM_OK)
 			return;
-		while ((message = curl_multi_info_read(multi, &waiting))) {
+		while ((message = curl_multi_info_read(multi, &queued))) {
 			if (message->msg != CURLMSG_DONE)
 				continue;
 			curl_easy_getinfo(message->easy_handle,
 					  CURLINFO_PRIVATE, &request);
-			request->whole = message->data.result == CURLE_OK;
+			request->complete = message->data.result == CURLE_OK;
 		}
 		if (running)
 			curl_multi_poll(multi, NULL, 0, CTL_POLL_MS, NULL);
 	}
 }
 
-/* Reads the JSON of a whole answer and frees what was asked with. */
-static json_t *ctl_end(struct ctl_request *request, CURLM *multi)
+/* Parses the JSON of a complete answer and frees the request. */
+static json_t *ctl_finish_request(struct ctl_request *request, CURLM *multi)
 {
 	json_t *body = NULL;
 
-	if (request->whole && request->text)
+	if (request->complete && request->text)
 		body = json_loadb(request->text, request->len, 0, NULL);
 	if (request->curl) {
 		curl_multi_remove_handle(multi, request->curl);
--- a/src/ctl_option.c
+++ b/src/ctl_option.c
@@ -12,34 +12,35 @@
 #define CTL_TIMEOUT_MS	10000
 #define CTL_TIMEOUT_MAX 3600000
 
-/* One option; those without a datatype take no value. */
-struct ctl_entry {
+/* Description of one option; without a datatype it has no value. */
+struct ctl_option_info {
 	const char *name; /* NULL: positional */
 	const char *letter;
 	const char *datatype;
 	const char *help;
-	const char *variable; /* of the environment, taken if it is absent */
+	const char *variable; /* environment variable with the default */
 };
 
-struct ctl_table {
+struct ctl_arg_table {
 	void *args[CTL_OPTION_COUNT + 1];
 	enum ctl_option options[CTL_OPTION_COUNT];
 	size_t count;
 	struct arg_end *end;
 };
 
-static int ctl_table_make(struct ctl_table *table,
+static int ctl_table_make(struct ctl_arg_table *table,
 			  const struct ctl_command *command);
 static void *ctl_make_arg(enum ctl_option option);
-static void ctl_table_free(struct ctl_table *table);
-static int ctl_take(const struct ctl_table *table, struct ctl_args *args);
-static char *ctl_value(const struct ctl_table *table, size_t i);
+static void ctl_table_free(struct ctl_arg_table *table);
+static int ctl_copy_values(const struct ctl_arg_table *table,
+			   struct ctl_args *args);
+static char *ctl_value(const struct ctl_arg_table *table, size_t i);
 static int ctl_check_args(const struct ctl_command *command,
 			  struct ctl_args *args);
 static int ctl_read_addresses(const char *name, const char *text,
 			      struct ctl_addresses *addresses);
 
-static const struct ctl_entry entries[CTL_OPTION_COUNT] = {
+static const struct ctl_option_info option_info[CTL_OPTION_COUNT] = {
 	[CTL_OPT_FILE] = { NULL, NULL, "FILE",
 			   "set of objects; - or none reads "
 			   "standard input",
@@ -64,32 +65,36 @@
 	[CTL_OPT_REPLACE] = { "replace", NULL, NULL,
 			      "replace whatever is in force", NULL },
 	[CTL_OPT_MERGE] = { "merge", NULL, NULL,
-			    "go together with changes to other objects", NULL },
+			    "merge with changes to other objects", NULL },
 	[CTL_OPT_CHANGE_ID] = { "change-id", NULL, "ID",
-				"of an earlier try that got no answer", NULL },
+				"id of an earlier try that got no answer",
+				NULL },
 	[CTL_OPT_FLOOR] = { "floor", NULL, "N",
 			    "publish above this revision; absent: the highest "
 			    "that an instance holds",
 			    NULL },
-	[CTL_OPT_OPERATOR] = { "operator", NULL, "NAME", "who makes the change",
-			       "USER" },
-	[CTL_OPT_NOTE] = { "note", NULL, "TEXT", "why", NULL },
+	[CTL_OPT_OPERATOR] = { "operator", NULL, "NAME",
+			       "operator who makes the change", "USER" },
+	[CTL_OPT_NOTE] = { "note", NULL, "TEXT", "reason for the change",
+			   NULL },
 	[CTL_OPT_WAIT] = { "wait", "w", NULL,
-			   "until all instances hold the revision", NULL },
-	[CTL_OPT_COUNT] = { "count", "n", "N", "most changes to list", NULL },
-	[CTL_OPT_SERVICE] = { "service", "s", "NAME", "this service", NULL },
+			   "wait until all instances hold the revision", NULL },
+	[CTL_OPT_COUNT] = { "count", "n", "N",
+			    "maximum number of changes to list", NULL },
+	[CTL_OPT_SERVICE] = { "service", "s", "NAME", "service to explain",
+			      NULL },
 	[CTL_OPT_JSON] = { "json", "j", NULL, "write JSON", NULL },
 	[CTL_OPT_HELP] = { "help", "h", NULL, "write this text", NULL },
 };
 
 /*
- * Reads the command line of one command.  Returns 0, or -1 with what is wrong
- * written to standard error.
+ * Parses the command line of one command.  Returns 0, or -1 after a message on
+ * standard error.
  */
 int ctl_read_args(const struct ctl_command *command, int argc, char **argv,
 		  struct ctl_args *args)
 {
-	struct ctl_table table = { 0 };
+	struct ctl_arg_table table = { 0 };
 	int err = -1;
 
 	memset(args, 0, sizeof(*args));
@@ -98,7 +103,7 @@
 	if (arg_parse(argc, argv, table.args) > 0)
 		arg_print_errors(stderr, table.end, command->name);
 	else
-		err = ctl_take(&table, args);
+		err = ctl_copy_values(&table, args);
 	ctl_table_free(&table);
 	if (err == 0 && !args->value[CTL_OPT_HELP])
 		err = ctl_check_args(command, args);
@@ -107,7 +112,7 @@
 	return err;
 }
 
-/* Frees what a command line holds. */
+/* Frees a parsed command line. */
 void ctl_free_args(struct ctl_args *args)
 {
 	size_t i;
@@ -117,10 +122,10 @@
 	memset(args, 0, sizeof(*args));
 }
 
-/* Writes the options of a command. */
+/* Prints the usage of a command and its options. */
 void ctl_help(const struct ctl_command *command, FILE *out)
 {
-	struct ctl_table table = { 0 };
+	struct ctl_arg_table table = { 0 };
 
 	if (ctl_table_make(&table, command) < 0)
 		return;
@@ -132,8 +137,9 @@
 }
 
 /*
- * Reads the number of an option; an absent one leaves *number as it is.
- * Returns false, with a line on standard error, if it is none.
+ * Parses the numeric value of an option; without the option *number is
+ * unchanged.  Returns false, after a message on standard error, if the value is
+ * not a number or greater than max.
  */
 bool ctl_number(const struct ctl_args *args, enum ctl_option option,
 		uint64_t max, uint64_t *number)
@@ -148,14 +154,14 @@
 	n = strtoull(text, &end, 10);
 	if (errno || *end || text[0] < '0' || text[0] > '9' || n > max) {
 		fprintf(stderr, "magctl: --%s: not a number up to %llu\n",
-			entries[option].name, (unsigned long long)max);
+			option_info[option].name, (unsigned long long)max);
 		return false;
 	}
 	*number = n;
 	return true;
 }
 
-static int ctl_table_make(struct ctl_table *table,
+static int ctl_table_make(struct ctl_arg_table *table,
 			  const struct ctl_command *command)
 {
 	int option;
@@ -177,48 +183,49 @@
 
 static void *ctl_make_arg(enum ctl_option option)
 {
-	const struct ctl_entry *e = &entries[option];
+	const struct ctl_option_info *e = &option_info[option];
 
 	if (!e->datatype)
 		return arg_lit0(e->letter, e->name, e->help);
 	return arg_str0(e->letter, e->name, e->datatype, e->help);
 }
 
-static void ctl_table_free(struct ctl_table *table)
+static void ctl_table_free(struct ctl_arg_table *table)
 {
 	arg_freetable(table->args, table->count + 1);
 }
 
-static int ctl_take(const struct ctl_table *table, struct ctl_args *args)
+static int ctl_copy_values(const struct ctl_arg_table *table,
+			   struct ctl_args *args)
 {
 	size_t i;
 
 	for (i = 0; i < table->count; i++) {
 		enum ctl_option option = table->options[i];
-		const char *variable = entries[option].variable;
-		const char *set = variable ? getenv(variable) : NULL;
+		const char *variable = option_info[option].variable;
+		const char *fallback = variable ? getenv(variable) : NULL;
 		char *value = ctl_value(table, i);
 
-		if (!value && set)
-			value = strdup(set);
+		if (!value && fallback)
+			value = strdup(fallback);
 		args->value[option] = value;
 	}
 	args->json = args->value[CTL_OPT_JSON] != NULL;
 	return 0;
 }
 
-/* Returns a copy of what an option was given, NULL if it was not. */
-static char *ctl_value(const struct ctl_table *table, size_t i)
+/* Returns a copy of the value of an option, NULL if it was not given. */
+static char *ctl_value(const struct ctl_arg_table *table, size_t i)
 {
 	const struct arg_lit *lit = table->args[i];
 	const struct arg_str *str = table->args[i];
 
-	if (!entries[table->options[i]].datatype)
+	if (!option_info[table->options[i]].datatype)
 		return lit->count ? strdup("") : NULL;
 	return str->count ? strdup(str->sval[0]) : NULL;
 }
 
-/* Checks what several commands need. */
+/* Checks the options that several commands share, and fills in addresses. */
 static int ctl_check_args(const struct ctl_command *command,
 			  struct ctl_args *args)
 {
--- a/src/ctl_out.c
+++ b/src/ctl_out.c
@@ -14,8 +14,9 @@
 static size_t ctl_columns(const json_t *rows, const char **names);
 
 /*
- * Reads a whole file, or standard input for NULL and "-".  The caller frees
- * it; NULL, with a line on standard error, if it can't be read or is no text.
+ * Reads a whole file, or standard input for NULL and "-".  The caller frees it.
+ * Returns NULL after a message on standard error if it can't be read or
+ * contains a NUL byte.
  */
 char *ctl_read_file(const char *path)
 {
@@ -33,13 +34,13 @@
 		fclose(in);
 	if (!text || strlen(text) == len)
 		return text;
-	/* Only what stands before it would be checked and published. */
+	/* Otherwise only the text before the NUL byte would be published. */
 	fprintf(stderr, "magctl: %s: holds a NUL byte\n", name);
 	free(text);
 	return NULL;
 }
 
-/* Tells the operator why nothing came of a command; returns its exit code. */
+/* Prints the error that made a command fail and returns its exit code. */
 enum ctl_exit ctl_report_error(const struct ctl_args *args, enum ctl_exit code,
 			       const char *fmt, ...)
 {
@@ -57,7 +58,7 @@
 	return code;
 }
 
-/* Returns the exit code that stands for an error of publishing. */
+/* Returns the exit code for an enum pub_err. */
 enum ctl_exit ctl_exit_for_error(int err)
 {
 	switch (err) {
@@ -77,7 +78,7 @@
 	}
 }
 
-/* Writes a document on one line and drops it. */
+/* Prints a document on one line and releases it. */
 void ctl_print_json(json_t *doc)
 {
 	json_dumpf(doc, stdout, JSON_COMPACT | JSON_REAL_PRECISION(6));
@@ -85,7 +86,7 @@
 	json_decref(doc);
 }
 
-/* Writes a list of objects as a table, one a line, fields as columns. */
+/* Prints a list of objects as a table: objects as rows, fields as columns. */
 void ctl_print_table(const json_t *rows)
 {
 	const char *names[CTL_COLUMNS_MAX];
@@ -130,25 +131,25 @@
 	return list;
 }
 
-/* Reads to the end; NULL if that fails. */
+/* Reads a stream to its end; NULL on failure. */
 static char *ctl_read_all(FILE *in, size_t *len)
 {
 	char *text = NULL;
 	char block[CTL_BLOCK];
 	FILE *out = open_memstream(&text, len);
-	size_t got;
+	size_t count;
 
 	if (!out)
 		return NULL;
-	while ((got = fread(block, 1, sizeof(block), in)) > 0)
-		fwrite(block, 1, got, out);
+	while ((count = fread(block, 1, sizeof(block), in)) > 0)
+		fwrite(block, 1, count, out);
 	if (fclose(out) == 0 && !ferror(in))
 		return text;
 	free(text);
 	return NULL;
 }
 
-/* The last cell of a line is not filled up. */
+/* Pads the cell to the column's width, except for the last one. */
 static void ctl_print_cell(const char *text, size_t width, bool last)
 {
 	if (last)
@@ -173,7 +174,7 @@
 	return text;
 }
 
-/* Lists the fields of all rows, in the order in which they come up. */
+/* Lists the fields of all rows, in order of first occurrence. */
 static size_t ctl_columns(const json_t *rows, const char **names)
 {
 	size_t count = 0;
--- a/src/ctl_set.c
+++ b/src/ctl_set.c
@@ -15,7 +15,7 @@
 static void ctl_print_change(const struct pub_change *change);
 static json_t *ctl_change_json(const struct pub_change *change);
 
-/* magctl check: checks a set as a whole and lists every fault. */
+/* magctl check: validates a whole set and lists every fault. */
 enum ctl_exit ctl_check(const struct ctl_args *args)
 {
 	char *text = ctl_read_file(args->value[CTL_OPT_FILE]);
@@ -44,13 +44,13 @@
 	return err == CFG_OK ? CTL_DONE : CTL_FAULTS;
 }
 
-/* magctl diff: what applying a file would change. */
+/* magctl diff: prints what applying a file would change. */
 enum ctl_exit ctl_diff(const struct ctl_args *args)
 {
 	uint64_t revision = 0;
 	json_t *difference;
 	char *text;
-	char *now;
+	char *current;
 	int err;
 
 	if (!ctl_number(args, CTL_OPT_REVISION, PUB_REVISION_MAX, &revision))
@@ -58,13 +58,13 @@
 	text = ctl_read_file(args->value[CTL_OPT_FILE]);
 	if (!text)
 		return CTL_USAGE;
-	err = ctl_load(args, revision, &now, &revision);
+	err = ctl_load(args, revision, &current, &revision);
 	if (err == PUB_E_ABSENT) {
-		now = strdup("{\"objects\":[]}");
+		current = strdup("{\"objects\":[]}");
 		err = PUB_OK;
 	}
-	difference = err == PUB_OK ? pub_diff(now, text) : NULL;
-	free(now);
+	difference = err == PUB_OK ? pub_diff(current, text) : NULL;
+	free(current);
 	free(text);
 	if (err != PUB_OK)
 		return ctl_report_error(args, ctl_exit_for_error(err), "%s",
@@ -76,7 +76,7 @@
 	return ctl_print_diff(args, revision, difference);
 }
 
-/* magctl get: the set in force, as apply takes it. */
+/* magctl get: prints the set in force in the form that apply reads. */
 enum ctl_exit ctl_get(const struct ctl_args *args)
 {
 	uint64_t revision = 0;
@@ -98,22 +98,22 @@
 	return code;
 }
 
-/* magctl history: the changes that are kept, newest first. */
+/* magctl history: lists the stored changes, newest first. */
 enum ctl_exit ctl_history(const struct ctl_args *args)
 {
 	struct pub_change changes[PUB_RETAINED_REVISIONS];
-	uint64_t most = CTL_HISTORY_COUNT;
+	uint64_t max = CTL_HISTORY_COUNT;
 	struct ctl_store store;
 	json_t *list;
 	size_t count;
 	size_t i;
 	int err;
 
-	if (!ctl_number(args, CTL_OPT_COUNT, PUB_RETAINED_REVISIONS, &most))
+	if (!ctl_number(args, CTL_OPT_COUNT, PUB_RETAINED_REVISIONS, &max))
 		return CTL_USAGE;
 	if (!ctl_store_open(&store, args))
 		return CTL_DOWN;
-	err = pub_history(store.pub, args->deadline_us, changes, most, &count);
+	err = pub_history(store.pub, args->deadline_us, changes, max, &count);
 	ctl_store_close(&store);
 	if (err != PUB_OK)
 		return ctl_report_error(args, ctl_exit_for_error(err), "%s",
@@ -130,7 +130,7 @@
 	return CTL_DONE;
 }
 
-/* Reads the set of a revision, or the one in force for 0. */
+/* Reads the set of a revision, or the one in force if wanted is 0. */
 static int ctl_load(const struct ctl_args *args, uint64_t wanted, char **text,
 		    uint64_t *revision)
 {
@@ -145,7 +145,10 @@
 		err = pub_read(store.pub, args->deadline_us, text, revision);
 	free(*text);
 	*text = NULL;
-	/* People read it, so it is taken again sorted; the chunks are here. */
+	/*
+	 * Reads it again in sorted order, which is easier for people; the
+	 * chunks are in the cache by now.
+	 */
 	if (err == PUB_OK)
 		err = pub_read_past(store.pub, args->deadline_us, *revision,
 				    text);
--- a/src/ctl_store.c
+++ b/src/ctl_store.c
@@ -4,12 +4,12 @@
 #include "ctl.h"
 #include "pf.h"
 
-#define CTL_CALL_US (2 * MAG_US_PER_S) /* longest wait for one answer */
+#define CTL_CALL_US (2 * MAG_US_PER_S) /* timeout of one call */
 
 static void ctl_store_call(void *ctx, const struct kv_call *call,
 			   struct kv_reply *reply);
 
-/* Opens the platform's service; false without memory. */
+/* Opens a client of the platform's service; false if out of memory. */
 bool ctl_store_open(struct ctl_store *store, const struct ctl_args *args)
 {
 	const char *addresses[CTL_ADDRESSES_MAX];
@@ -31,7 +31,7 @@
 	return false;
 }
 
-/* Closes it. */
+/* Closes a client. */
 void ctl_store_close(struct ctl_store *store)
 {
 	pub_free(store->pub);
@@ -39,9 +39,9 @@
 }
 
 /*
- * Carries a call out with a deadline of its own.  Under the command's one, a
- * service that hangs on the first call would leave no time to find out what
- * became of it.
+ * Makes a call with a deadline of its own.  With only the deadline of the
+ * command, a service that hangs in the first call would leave no time to find
+ * out whether that call took effect.
  */
 static void ctl_store_call(void *ctx, const struct kv_call *call,
 			   struct kv_reply *reply)
--- a/src/magctl.c
+++ b/src/magctl.c
@@ -8,9 +8,9 @@
 #include "log.h"
 #include "set.h"
 
-#define OPT(name) CTL_BIT(CTL_OPT_##name)
-#define STORE	  (OPT(PLATFORM) | OPT(TIMEOUT) | OPT(JSON) | OPT(HELP))
-#define FLEET	  (OPT(ADMIN) | OPT(TIMEOUT) | OPT(JSON) | OPT(HELP))
+#define OPT(name)     CTL_BIT(CTL_OPT_##name)
+#define STORE_OPTIONS (OPT(PLATFORM) | OPT(TIMEOUT) | OPT(JSON) | OPT(HELP))
+#define FLEET_OPTIONS (OPT(ADMIN) | OPT(TIMEOUT) | OPT(JSON) | OPT(HELP))
 
 static void print_usage(FILE *out);
 static int run(const struct ctl_command *command, int argc, char **argv);
@@ -19,27 +19,27 @@
 	{ "check", "check a whole set of objects without publishing it",
 	  OPT(FILE) | OPT(JSON) | OPT(HELP), ctl_check },
 	{ "diff", "show what applying a set would change",
-	  OPT(FILE) | OPT(REVISION) | STORE, ctl_diff },
+	  OPT(FILE) | OPT(REVISION) | STORE_OPTIONS, ctl_diff },
 	{ "apply", "publish a whole set of objects",
 	  OPT(FILE) | OPT(ADMIN) | OPT(BASE) | OPT(REPLACE) | OPT(MERGE) |
 		  OPT(CHANGE_ID) | OPT(FLOOR) | OPT(OPERATOR) | OPT(NOTE) |
-		  OPT(WAIT) | STORE,
+		  OPT(WAIT) | STORE_OPTIONS,
 	  ctl_apply },
 	{ "get", "write the set in force, or one object of it",
-	  OPT(OBJECT) | OPT(REVISION) | STORE, ctl_get },
-	{ "history", "list the changes that are kept", OPT(COUNT) | STORE,
+	  OPT(OBJECT) | OPT(REVISION) | STORE_OPTIONS, ctl_get },
+	{ "history", "list the stored changes", OPT(COUNT) | STORE_OPTIONS,
 	  ctl_history },
 	{ "status", "show which revision each instance holds",
-	  OPT(PLATFORM) | FLEET, ctl_status },
-	{ "shares", "show each account's load by service and endpoint", FLEET,
-	  ctl_shares },
-	{ "bound", "show the most that each service can do, and the worst loss",
-	  FLEET, ctl_bound },
+	  OPT(PLATFORM) | FLEET_OPTIONS, ctl_status },
+	{ "shares", "show each account's load by service and endpoint",
+	  FLEET_OPTIONS, ctl_shares },
+	{ "bound", "show each service's throughput bound and the worst loss",
+	  FLEET_OPTIONS, ctl_bound },
 	{ "explain", "show how requests of a service are routed now",
-	  OPT(SERVICE) | FLEET, ctl_explain },
+	  OPT(SERVICE) | FLEET_OPTIONS, ctl_explain },
 };
 
-/* The operators' tool: one command a run. */
+/* The operator's tool: runs one command. */
 int main(int argc, char **argv)
 {
 	size_t i;
--- a/src/pub_read.c
+++ b/src/pub_read.c
@@ -20,12 +20,13 @@
 	[-PUB_E_UNKNOWN] = "no answer to the write; it may be in force",
 	[-PUB_E_CONFLICT] = "another change came first",
 	[-PUB_E_INVALID] = "the set has faults",
-	[-PUB_E_DAMAGED] = "the service holds what is no configuration",
+	[-PUB_E_DAMAGED] = "the stored configuration is damaged",
 	[-PUB_E_BASE] = "the set does not say which revision it was made from",
-	[-PUB_E_STALE] = "the service holds an older revision than was seen",
+	[-PUB_E_STALE] =
+		"the service holds an older revision than one read before",
 	[-PUB_E_SIZE] = "too large for the platform's service",
 	[-PUB_E_GONE] = "that revision is not kept",
-	[-PUB_E_REJECTED] = "the offer can't be what it says",
+	[-PUB_E_REJECTED] = "the offered configuration fails its checks",
 	[-PUB_E_MEMORY] = "out of memory",
 };
 
