--- a/regress/check_patch.c
+++ b/regress/check_patch.c
@@ -12,30 +12,32 @@
 #include "script.h"
 
 /*
- * Scripts of regress/patch.  "objects:" is followed by lines of objects up to
- * an empty one: each such block is the next revision.  "random SEED STEPS"
- * goes on from the last with changes drawn at random; "lined" shows whether a
- * text is made of lines.  For each revision the
- * set made from the one in force must be what the whole text makes.
+ * Driver of the scripts in regress/patch:
+ *	objects:		the lines up to an empty one are the objects of
+ *				the next revision
+ *	random SEED STEPS	makes random changes to the last revision
+ *	lined TEXT		prints whether TEXT has one object per line
+ * For each revision the set patched from the one in force must equal the set
+ * parsed from the whole text.
  */
 
 #define LINES_MAX 400
 
 struct state {
-	char *text; /* in force */
+	char *text; /* of the revision in force */
 	struct cfg_set *set;
 	char *lines[LINES_MAX];
 	size_t count;
 	uint64_t revision;
-	struct rev *rev;  /* of an instance that reads the texts */
-	struct rev *peer; /* of one that gets edits from it */
+	struct rev *rev;  /* of an instance that reads whole texts */
+	struct rev *peer; /* of an instance that gets edits from rev */
 	struct cfg_set *peer_set;
 	uint64_t random;
-	long tally[2][2]; /* whole: refused, ok; short: none, made */
+	long counts[2][2]; /* [text is valid][set was patched] */
 	FILE *out;
 };
 
-static uint32_t draw(struct state *s, uint32_t below)
+static uint32_t random_below(struct state *s, uint32_t below)
 {
 	s->random = s->random * UINT64_C(6364136223846793005) +
 		    UINT64_C(1442695040888963407);
@@ -66,8 +68,8 @@
 		fprintf(out, " \"%s\"", at);
 }
 
-/* Every field of every object, by the layouts of the parser itself. */
-static char *dump(struct cfg_set *set)
+/* Prints every field of every object, using the parser's own layouts. */
+static char *dump_set(struct cfg_set *set)
 {
 	char *text = NULL;
 	size_t len = 0;
@@ -94,7 +96,7 @@
 	return text;
 }
 
-static char *text_of(struct state *s, uint64_t revision)
+static char *set_text(struct state *s, uint64_t revision)
 {
 	char *text = NULL;
 	size_t len = 0;
@@ -110,9 +112,9 @@
 	return text;
 }
 
-/* Passes an edit on as peers do, whole and damaged in each of its bytes. */
-static void pass_on(struct state *s, const struct pub_edit *edit,
-		    const char *next)
+/* Applies an edit as a peer does: intact, and with single bytes damaged. */
+static void check_edit(struct state *s, const struct pub_edit *edit,
+		       const char *next)
 {
 	char *text = pub_edit_text(edit, s->revision + 1, next);
 	size_t len = strlen(text);
@@ -137,29 +139,30 @@
 	free(text);
 }
 
-/* Damaged edits change nothing; after them the right ones are still taken. */
-static void damage(struct state *s, uint64_t have, const char *edits)
+/* Offers damaged edits, which must not change the state of the peer. */
+static void offer_damaged(struct state *s, uint64_t held, const char *edits)
 {
 	char *copy = strdup(edits);
 	struct cfg_set *set;
-	size_t i = draw(s, (uint32_t)strlen(copy));
+	size_t i = random_below(s, (uint32_t)strlen(copy));
 
 	copy[i] = (char)(copy[i] == '0' ? '1' : '0');
 	assert_int_not_equal(
-		rev_offer_edits(s->peer, s->peer_set, have, copy, &set),
+		rev_offer_edits(s->peer, s->peer_set, held, copy, &set),
 		PUB_OK);
 	assert_null(set);
-	assert_int_equal(rev_revision(s->peer), have);
+	assert_int_equal(rev_revision(s->peer), held);
 	assert_int_equal(
-		rev_offer_edits(s->peer, s->peer_set, have - 1, edits, &set),
+		rev_offer_edits(s->peer, s->peer_set, held - 1, edits, &set),
 		PUB_E_BASE);
 	free(copy);
 }
 
-/* Lets the peer follow, now and then over several revisions at once. */
-static void follow(struct state *s, struct cfg_set *whole, const char *text)
+/* Updates the peer, sometimes over several revisions at once. */
+static void update_peer(struct state *s, struct cfg_set *whole,
+			const char *text)
 {
-	uint64_t have = rev_revision(s->peer);
+	uint64_t held = rev_revision(s->peer);
 	struct cfg_set *set;
 	char *edits;
 	char *a;
@@ -170,12 +173,12 @@
 	cfg_free(set);
 	assert_int_equal(rev_offer(s->rev, s->set, text, s->revision + 1, &set),
 			 PUB_E_STALE);
-	if (have > 0 && draw(s, 3) == 0)
+	if (held > 0 && random_below(s, 3) == 0)
 		return;
-	edits = rev_edits(s->rev, have);
+	edits = rev_edits(s->rev, held);
 	if (edits) {
-		damage(s, have, edits);
-		assert_int_equal(rev_offer_edits(s->peer, s->peer_set, have,
+		offer_damaged(s, held, edits);
+		assert_int_equal(rev_offer_edits(s->peer, s->peer_set, held,
 						 edits, &set),
 				 PUB_OK);
 	} else {
@@ -187,56 +190,56 @@
 	cfg_free(s->peer_set);
 	s->peer_set = set;
 	whole->revision = s->revision + 1;
-	a = dump(whole);
-	b = dump(set);
+	a = dump_set(whole);
+	b = dump_set(set);
 	assert_string_equal(a, b);
 	assert_string_equal(rev_text(s->peer), text);
 	free(a);
 	free(b);
 }
 
-/* Makes the next set in both ways; returns whether it is valid. */
-static bool step(struct state *s, bool show)
+/* Patches and parses the next set and compares; false if it is not valid. */
+static bool check_revision(struct state *s, bool show)
 {
-	char *next = text_of(s, s->revision + 1);
+	char *next = set_text(s, s->revision + 1);
 	struct cfg_faults *faults = NULL;
 	struct cfg_set *whole = NULL;
-	struct cfg_set *made = NULL;
+	struct cfg_set *patched = NULL;
 	struct pub_edit edit = { 0 };
 	int err = cfg_parse(next, strlen(next), &whole, &faults);
 	bool lined = whole && pub_is_object_per_line(next);
 
 	if (s->set && pub_edit_make(s->text, next, &edit) == PUB_OK &&
 	    cfg_patch(s->set, edit.removed, edit.removed_count, edit.added,
-		      edit.added_count, &made) == CFG_OK) {
+		      edit.added_count, &patched) == CFG_OK) {
 		char *a = NULL;
-		char *b = dump(made);
+		char *b = dump_set(patched);
 
 		assert_int_equal(err, CFG_OK);
-		made->revision = s->revision + 1;
+		patched->revision = s->revision + 1;
 		free(b);
-		a = dump(whole);
-		b = dump(made);
+		a = dump_set(whole);
+		b = dump_set(patched);
 		assert_string_equal(a, b);
 		free(a);
 		free(b);
-		pass_on(s, &edit, next);
+		check_edit(s, &edit, next);
 	}
-	s->tally[err == CFG_OK][made != NULL]++;
+	s->counts[err == CFG_OK][patched != NULL]++;
 	if (show)
 		fprintf(s->out, "%s, %s, %zu out, %zu in\n",
 			err == CFG_OK ? "valid" : cfg_fault_text(faults, 0),
-			made ? "short way" : "whole", edit.removed_count,
+			patched ? "short way" : "whole", edit.removed_count,
 			edit.added_count);
 	pub_edit_free(&edit);
-	cfg_free(made);
+	cfg_free(patched);
 	cfg_faults_free(faults);
 	if (!lined) {
 		cfg_free(whole);
 		free(next);
 		return false;
 	}
-	follow(s, whole, next);
+	update_peer(s, whole, next);
 	cfg_free(s->set);
 	free(s->text);
 	s->set = whole;
@@ -245,14 +248,14 @@
 	return true;
 }
 
-static void take(struct state *s, size_t at, char *line)
+static void insert_line(struct state *s, size_t at, char *line)
 {
 	memmove(&s->lines[at + 1], &s->lines[at],
 		(s->count++ - at) * sizeof(s->lines[0]));
 	s->lines[at] = line;
 }
 
-static char *leave(struct state *s, size_t at)
+static char *remove_line(struct state *s, size_t at)
 {
 	char *line = s->lines[at];
 
@@ -261,100 +264,100 @@
 	return line;
 }
 
-/* Changes a digit or a letter, or puts in a field of another object. */
-static char *mutate(struct state *s, const char *line)
+/* Returns a copy of a line with one digit or letter changed. */
+static char *mutate_line(struct state *s, const char *line)
 {
 	char *copy = strdup(line ? line : "");
 	size_t len = strlen(copy);
-	size_t i = draw(s, (uint32_t)len);
+	size_t i = random_below(s, (uint32_t)len);
 	size_t k;
 
 	for (k = 0; k < len; k++) {
 		char *c = &copy[(i + k) % len];
 
 		if (*c >= '0' && *c <= '9') {
-			*c = (char)('0' + draw(s, 10));
+			*c = (char)('0' + random_below(s, 10));
 			break;
 		}
-		if (draw(s, 40) == 0 && *c >= 'a' && *c <= 'z') {
-			*c = (char)('a' + draw(s, 26));
+		if (random_below(s, 40) == 0 && *c >= 'a' && *c <= 'z') {
+			*c = (char)('a' + random_below(s, 26));
 			break;
 		}
 	}
 	return copy;
 }
 
-static void change(struct state *s)
+static void random_change(struct state *s)
 {
-	size_t at = draw(s, (uint32_t)s->count);
-	uint32_t what = draw(s, 10);
+	size_t at = random_below(s, (uint32_t)s->count);
+	uint32_t what = random_below(s, 10);
 	char *line;
 
 	if (what < 6) {
-		line = mutate(s, s->lines[at]);
+		line = mutate_line(s, s->lines[at]);
 		free(s->lines[at]);
 		s->lines[at] = line;
 	} else if (what < 8 && s->count < LINES_MAX - 1) {
-		line = mutate(s, s->lines[at]);
-		if (draw(s, 2)) {
-			char *again = mutate(s, line);
+		line = mutate_line(s, s->lines[at]);
+		if (random_below(s, 2)) {
+			char *twice = mutate_line(s, line);
 
 			free(line);
-			line = again;
+			line = twice;
 		}
-		take(s, draw(s, (uint32_t)s->count), line);
+		insert_line(s, random_below(s, (uint32_t)s->count), line);
 	} else if (what == 8 && s->count > 20) {
-		free(leave(s, at));
+		free(remove_line(s, at));
 	} else {
-		line = leave(s, at);
-		take(s, draw(s, (uint32_t)s->count), line);
+		line = remove_line(s, at);
+		insert_line(s, random_below(s, (uint32_t)s->count), line);
 	}
 }
 
-static void clear(struct state *s)
+static void clear_lines(struct state *s)
 {
 	while (s->count)
-		free(leave(s, s->count - 1));
+		free(remove_line(s, s->count - 1));
 }
 
-/* Goes back to the lines of the set in force after one that failed. */
-static void restore(struct state *s, char **kept, size_t count)
+/* Restores the lines of the set in force after an invalid change. */
+static void restore_lines(struct state *s, char **saved, size_t count)
 {
-	clear(s);
+	clear_lines(s);
 	while (s->count < count) {
-		s->lines[s->count] = strdup(kept[s->count]);
+		s->lines[s->count] = strdup(saved[s->count]);
 		s->count++;
 	}
 }
 
 static void random_steps(struct state *s, unsigned long seed, long steps)
 {
-	char *kept[LINES_MAX];
+	char *saved[LINES_MAX];
 	size_t i;
 
 	s->random = seed;
-	memset(s->tally, 0, sizeof(s->tally));
+	memset(s->counts, 0, sizeof(s->counts));
 	while (steps-- > 0) {
 		size_t count = s->count;
-		uint32_t changes = 1 + draw(s, 3);
+		uint32_t changes = 1 + random_below(s, 3);
 
 		for (i = 0; i < count; i++)
-			kept[i] = strdup(s->lines[i]);
+			saved[i] = strdup(s->lines[i]);
 		while (changes-- > 0)
-			change(s);
-		if (!step(s, false))
-			restore(s, kept, count);
+			random_change(s);
+		if (!check_revision(s, false))
+			restore_lines(s, saved, count);
 		for (i = 0; i < count; i++)
-			free(kept[i]);
+			free(saved[i]);
 	}
 	fprintf(s->out,
 		"valid: %ld short way, %ld whole; with faults: %ld whole\n",
-		s->tally[1][1], s->tally[1][0], s->tally[0][0]);
-	assert_int_equal(s->tally[0][1], 0);
+		s->counts[1][1], s->counts[1][0], s->counts[0][0]);
+	assert_int_equal(s->counts[0][1], 0);
 }
 
-/* Tells whether a text may be taken line by line; '|' ends a line. */
-static void show_lined(struct state *s, char *text)
+/* Prints whether a text has one object per line; '|' means a newline. */
+static void print_lined(struct state *s, char *text)
 {
 	char *at;
 
@@ -368,32 +371,32 @@
 {
 	struct state s = { .out = out };
 	char *line = NULL;
-	size_t room = 0;
+	size_t capacity = 0;
 	ssize_t len;
 	bool objects = false;
 
 	s.rev = rev_new();
 	s.peer = rev_new();
-	while ((len = getline(&line, &room, in)) > 0) {
+	while ((len = getline(&line, &capacity, in)) > 0) {
 		unsigned long seed;
 		long steps;
 
 		line[len - 1] = '\0';
 		if (objects && line[0] == '{') {
-			take(&s, s.count, strdup(line));
+			insert_line(&s, s.count, strdup(line));
 		} else if (strcmp(line, "objects:") == 0) {
 			objects = true;
-			clear(&s);
+			clear_lines(&s);
 		} else if (objects && line[0] == '\0') {
 			objects = false;
-			step(&s, true);
+			check_revision(&s, true);
 		} else if (strncmp(line, "lined ", 6) == 0) {
-			show_lined(&s, line + 6);
+			print_lined(&s, line + 6);
 		} else if (sscanf(line, "random %lu %ld", &seed, &steps) == 2) {
 			random_steps(&s, seed, steps);
 		}
 	}
-	clear(&s);
+	clear_lines(&s);
 	free(line);
 	free(s.text);
 	cfg_free(s.set);
--- a/regress/check_pub.c
+++ b/regress/check_pub.c
@@ -13,24 +13,26 @@
 #include "script.h"
 
 /*
- * Scripts of operators A, B, .. who publish through a service in memory:
- *	A first		its document is regress/cfg/base.json
- *	A get [N]	its document is what is in force (or was at N)
- *	A read | A watch	as an instance does
- *	A add.. | A change.. | A drop..	edits its document
+ * Driver of the scripts in regress/pub.  Operators A, B, .. publish through a
+ * key-value service in memory; each has a document, the set that it edits:
+ *	A first		loads regress/cfg/base.json as the document
+ *	A get [N]	loads the set in force (or revision N) as the document
+ *	A read | A watch	reads or watches the head as an instance does
+ *	A add.. | A change.. | A drop..	edits the document
  *	A apply ID [base=N] [replace] [merge] [resume] [floor=N]
  *	A history | A delta B	(from A's document to B's)
- * and the service:
- *	fault PREFIX KIND N [SCRIPT LINE]	for the next N calls that write,
- *		or with "any-" before the kind all calls, to keys that start so:
- *		after	the write lands and its answer is lost
+ * Commands for the service:
+ *	fault PREFIX KIND N [SCRIPT LINE]	fails the next N writes to keys
+ *		that start with PREFIX, or, if KIND starts with "any-", the next
+ *		N calls of any type:
+ *		after	the write takes effect and its answer is lost
  *		never	the write is lost
- *		late	the write lands only at "land"
- *		unsent | limited
- *		first	SCRIPT LINE runs before the write
+ *		late	the write takes effect only at "land"
+ *		unsent | limited	the call ends with that status
+ *		first	SCRIPT LINE is run before the write
  *	land | save | restore (all keys) | damage PREFIX TEXT | remove PREFIX
- *	put KEY TEXT | keys | head | gets (answered since the last time)
- * and the rules between instances:
+ *	put KEY TEXT | keys | head | gets (reads since the last "gets")
+ * Checks between instances:
  *	accept NOW OFFERED | offer NOW OFFERED A [DIGEST] | patch A DELTA
  */
 
@@ -55,33 +57,33 @@
 };
 
 static struct {
-	struct table now;
+	struct table current;
 	struct table saved;
 	struct kv_call late;
 	char prefix[KV_KEY_MAX];
 	char kind[16];
-	int left;
-	char line[512]; /* of the fault "first" */
+	int remaining;
+	char line[512]; /* script line of the fault "first" */
 	int gets;
 	struct operator operators[OPERATORS];
 	FILE *out;
 } w;
 
-static void do_line(char *line);
+static void run_line(char *line);
 
-static struct entry *find(const char *key)
+static struct entry *find_entry(const char *key)
 {
 	size_t i;
 
-	for (i = 0; i < w.now.count; i++) {
-		if (strcmp(w.now.entries[i].key, key) == 0)
-			return &w.now.entries[i];
+	for (i = 0; i < w.current.count; i++) {
+		if (strcmp(w.current.entries[i].key, key) == 0)
+			return &w.current.entries[i];
 	}
 	return NULL;
 }
 
-static void answer(struct kv_reply *reply, enum kv_status status,
-		   const struct entry *e)
+static void set_reply(struct kv_reply *reply, enum kv_status status,
+		      const struct entry *e)
 {
 	reply->status = status;
 	reply->version = e ? e->version : 0;
@@ -91,23 +93,23 @@
 	}
 }
 
-static void land(const struct kv_call *call, struct kv_reply *reply)
+static void apply_write(const struct kv_call *call, struct kv_reply *reply)
 {
-	struct entry *e = find(call->key);
+	struct entry *e = find_entry(call->key);
 
 	if ((e ? e->version : 0) != call->version) {
-		answer(reply, KV_CONFLICT, e);
+		set_reply(reply, KV_CONFLICT, e);
 		return;
 	}
 	if (e && call->op == KV_DELETE) {
 		free(e->value);
-		*e = w.now.entries[--w.now.count];
+		*e = w.current.entries[--w.current.count];
 		reply->status = KV_OK;
 		return;
 	}
 	if (!e) {
-		assert_true(w.now.count < KEYS_MAX);
-		e = &w.now.entries[w.now.count++];
+		assert_true(w.current.count < KEYS_MAX);
+		e = &w.current.entries[w.current.count++];
 		memset(e, 0, sizeof(*e));
 		mag_copy_name(e->key, sizeof(e->key), call->key);
 	}
@@ -118,25 +120,26 @@
 	reply->version = e->version;
 }
 
-static bool faulty(const struct kv_call *call, struct kv_reply *reply)
+static bool inject_fault(const struct kv_call *call, struct kv_reply *reply)
 {
 	bool any = strncmp(w.kind, "any-", 4) == 0;
 	const char *kind = any ? w.kind + 4 : w.kind;
 	char line[512];
 
-	if (w.left == 0 || strncmp(call->key, w.prefix, strlen(w.prefix)) != 0)
+	if (w.remaining == 0 ||
+	    strncmp(call->key, w.prefix, strlen(w.prefix)) != 0)
 		return false;
 	if (!any && call->op != KV_CAS)
 		return false;
-	w.left--;
+	w.remaining--;
 	reply->status = KV_LOST;
 	if (strcmp(kind, "first") == 0) {
 		snprintf(line, sizeof(line), "%s", w.line);
-		do_line(line);
+		run_line(line);
 		return false;
 	}
 	if (strcmp(kind, "after") == 0)
-		land(call, &(struct kv_reply){ 0 });
+		apply_write(call, &(struct kv_reply){ 0 });
 	else if (strcmp(kind, "late") == 0) {
 		free(w.late.value);
 		w.late = *call;
@@ -157,14 +160,14 @@
 	(void)ctx;
 	memset(reply, 0, sizeof(*reply));
 	reply->id = call->id;
-	if (faulty(call, reply))
+	if (inject_fault(call, reply))
 		return;
-	e = find(call->key);
+	e = find_entry(call->key);
 	w.gets += call->op == KV_GET;
 	if (call->op == KV_GET || call->op == KV_WATCH)
-		answer(reply, e ? KV_OK : KV_ABSENT, e);
+		set_reply(reply, e ? KV_OK : KV_ABSENT, e);
 	else
-		land(call, reply);
+		apply_write(call, reply);
 }
 
 static void copy_table(struct table *to, const struct table *from)
@@ -246,12 +249,12 @@
 static void get(struct operator* o, const char *revision)
 {
 	char *text;
-	uint64_t now = strtoull(revision, NULL, 10);
-	int err = now ? pub_read_past(o->pub, 0, now, &text)
-		      : pub_read(o->pub, 0, &text, &now);
+	uint64_t current = strtoull(revision, NULL, 10);
+	int err = current ? pub_read_past(o->pub, 0, current, &text)
+			  : pub_read(o->pub, 0, &text, &current);
 
 	fprintf(w.out, "%s: revision %llu\n", pub_err_text((enum pub_err)err),
-		(unsigned long long)now);
+		(unsigned long long)current);
 	if (err == PUB_OK)
 		set_doc(o, text);
 	free(text);
@@ -302,7 +305,7 @@
 
 static void offer(char *rest)
 {
-	uint64_t now = strtoull(strtok(rest, " "), NULL, 10);
+	uint64_t current = strtoull(strtok(rest, " "), NULL, 10);
 	uint64_t offered = strtoull(strtok(NULL, " "), NULL, 10);
 	char *text = doc_text(operator_of(strtok(NULL, " ")));
 	const char *given = strtok(NULL, " ");
@@ -312,7 +315,7 @@
 	pub_digest(text, strlen(text), digest);
 	fprintf(w.out, "%s",
 		pub_err_text((enum pub_err)pub_check_offer(
-			now, offered, given ? given : digest, text,
+			current, offered, given ? given : digest, text,
 			strlen(text), &set)));
 	if (set)
 		fprintf(w.out, ": revision %llu",
@@ -322,7 +325,7 @@
 	free(text);
 }
 
-static void do_operator(struct operator* o, char *command)
+static void run_operator(struct operator* o, char *command)
 {
 	char *rest = strchr(command, ' ');
 	int err;
@@ -356,18 +359,20 @@
 	size_t counts[3] = { 0 };
 	size_t i;
 
-	for (i = 0; i < w.now.count; i++)
-		counts[strncmp(w.now.entries[i].key, "config/chunk", 12) == 0
+	for (i = 0; i < w.current.count; i++)
+		counts[strncmp(w.current.entries[i].key, "config/chunk", 12) ==
+				       0
 			       ? 0
-		       : strncmp(w.now.entries[i].key, "config/past", 11) == 0
+		       : strncmp(w.current.entries[i].key, "config/past", 11) ==
+				       0
 			       ? 1
 			       : 2]++;
 	fprintf(w.out, "%zu chunks, %zu past heads, %zu others\n", counts[0],
 		counts[1], counts[2]);
 }
 
-/* Flips a bit of the values that hold a text, or removes the keys. */
-static void spoil(char *prefix, bool removed)
+/* Flips a bit in the values that contain a text, or removes the keys. */
+static void damage_keys(char *prefix, bool removed)
 {
 	char *text = strchr(prefix, ' ');
 	char *found;
@@ -376,14 +381,14 @@
 	if (text)
 		*text++ = '\0';
 
-	for (i = 0; i < w.now.count; i++) {
-		struct entry *e = &w.now.entries[i];
+	for (i = 0; i < w.current.count; i++) {
+		struct entry *e = &w.current.entries[i];
 
 		if (strncmp(e->key, prefix, strlen(prefix)) != 0)
 			continue;
 		if (removed) {
 			free(e->value);
-			*e = w.now.entries[--w.now.count];
+			*e = w.current.entries[--w.current.count];
 			i--;
 		} else {
 			found = text ? strstr(e->value, text) : NULL;
@@ -393,40 +398,40 @@
 	}
 }
 
-static void do_fault(char *rest)
+static void set_fault(char *rest)
 {
 	int used = 0;
 
 	w.line[0] = '\0';
-	assert_true(sscanf(rest, "%127s %15s %d %n", w.prefix, w.kind, &w.left,
-			   &used) == 3);
+	assert_true(sscanf(rest, "%127s %15s %d %n", w.prefix, w.kind,
+			   &w.remaining, &used) == 3);
 	snprintf(w.line, sizeof(w.line), "%s", rest + used);
 }
 
-static void do_put(char *rest)
+static void put_key(char *rest)
 {
 	char *text = strchr(rest, ' ');
 	struct kv_call call = { .op = KV_CAS };
 	struct entry *e;
 
 	*text++ = '\0';
-	e = find(rest);
+	e = find_entry(rest);
 	call.version = e ? e->version : 0;
 	mag_copy_name(call.key, sizeof(call.key), rest);
 	call.value = text;
 	call.len = strlen(text);
-	land(&call, &(struct kv_reply){ 0 });
+	apply_write(&call, &(struct kv_reply){ 0 });
 }
 
-static void do_rule(const char *command, char *rest)
+static void run_check(const char *command, char *rest)
 {
-	unsigned long long now;
+	unsigned long long current;
 	unsigned long long offered;
 
 	if (strcmp(command, "accept") == 0) {
-		sscanf(rest, "%llu %llu", &now, &offered);
+		sscanf(rest, "%llu %llu", &current, &offered);
 		fprintf(w.out, "%s\n",
-			pub_accepts_revision(now, offered) ? "yes" : "no");
+			pub_accepts_revision(current, offered) ? "yes" : "no");
 	} else if (strcmp(command, "offer") == 0) {
 		offer(rest);
 	} else if (strcmp(command, "patch") == 0) {
@@ -436,40 +441,40 @@
 	}
 }
 
-static void do_line(char *line)
+static void run_line(char *line)
 {
 	struct kv_reply reply = { 0 };
 	char *rest = strchr(line, ' ');
 
 	rest = rest ? (*rest = '\0', rest + 1) : line + strlen(line);
 	if (strlen(line) == 1) {
-		do_operator(operator_of(line), rest);
+		run_operator(operator_of(line), rest);
 	} else if (strcmp(line, "fault") == 0) {
-		do_fault(rest);
+		set_fault(rest);
 	} else if (strcmp(line, "land") == 0) {
-		land(&w.late, &reply);
+		apply_write(&w.late, &reply);
 		free(w.late.value);
 		free(reply.value);
 		w.late.value = NULL;
 		fprintf(w.out, "late write: %s\n",
 			reply.status == KV_OK ? "landed" : "conflict");
 	} else if (strcmp(line, "save") == 0) {
-		copy_table(&w.saved, &w.now);
+		copy_table(&w.saved, &w.current);
 	} else if (strcmp(line, "restore") == 0) {
-		copy_table(&w.now, &w.saved);
+		copy_table(&w.current, &w.saved);
 	} else if (strcmp(line, "damage") == 0 || strcmp(line, "remove") == 0) {
-		spoil(rest, line[0] == 'r');
+		damage_keys(rest, line[0] == 'r');
 	} else if (strcmp(line, "put") == 0) {
-		do_put(rest);
+		put_key(rest);
 	} else if (strcmp(line, "keys") == 0) {
 		print_keys();
 	} else if (strcmp(line, "gets") == 0) {
 		fprintf(w.out, "%d gets\n", w.gets);
 		w.gets = 0;
 	} else if (strcmp(line, "head") == 0) {
-		fprintf(w.out, "%s\n", find("config/head")->value);
+		fprintf(w.out, "%s\n", find_entry("config/head")->value);
 	} else {
-		do_rule(line, rest);
+		run_check(line, rest);
 	}
 }
 
@@ -480,21 +485,21 @@
 	fprintf(w.out, "log %s\n", line);
 }
 
-static void driver(FILE *in, FILE *out)
+static void run_script(FILE *in, FILE *out)
 {
 	static const struct table empty;
 	char *line = NULL;
-	size_t room = 0;
+	size_t capacity = 0;
 	size_t i;
 
 	w.out = out;
 	log_set_sink(log_line, NULL);
-	w.left = 0;
+	w.remaining = 0;
 	w.gets = 0;
-	while (getline(&line, &room, in) > 0) {
+	while (getline(&line, &capacity, in) > 0) {
 		line[strcspn(line, "\n")] = '\0';
 		if (line[0] && line[0] != '#')
-			do_line(line);
+			run_line(line);
 	}
 	free(line);
 	for (i = 0; i < OPERATORS; i++) {
@@ -502,11 +507,11 @@
 		json_decref(w.operators[i].doc);
 		w.operators[i] = (struct operator){ 0 };
 	}
-	copy_table(&w.now, &empty);
+	copy_table(&w.current, &empty);
 	copy_table(&w.saved, &empty);
 }
 
 int main(void)
 {
-	return script_main("regress/pub", driver);
+	return script_main("regress/pub", run_script);
 }
