--- a/src/pub_edit.c
+++ b/src/pub_edit.c
@@ -56,7 +56,7 @@
 }
 
 /*
- * Finds the lines that differ. pub_is_object_per_line must be true for the old
+ * Finds the lines that differ.  pub_is_object_per_line must be true for the old
  * text.  The lines of the edit point into both texts.  Returns PUB_OK,
  * PUB_E_SIZE if too many lines differ, or PUB_E_DAMAGED if the new text does
  * not have one object per line.  The caller frees the edit with pub_edit_free
--- a/src/rev.c
+++ b/src/rev.c
@@ -55,7 +55,7 @@
 }
 
 /*
- * Adopts the text of a new revision. base is the set of the revision held so
+ * Adopts the text of a new revision.  base is the set of the revision held so
  * far, NULL for none.  On PUB_OK *set is the new set, which the caller frees.
  * On an error the state stays the same: PUB_E_STALE if the revision is not
  * newer, PUB_E_REJECTED if its number is beyond the limits of
