--- a/src/rev.c
+++ b/src/rev.c
@@ -4,43 +4,44 @@
 #include "pub.h"
 #include "rev.h"
 
-#define REV_EDITS	32    /* that are kept for peers */
-#define REV_EDITS_BYTES 65536 /* of them together, in one answer */
+#define REV_EDITS	32    /* edits stored for peers */
+#define REV_EDITS_BYTES 65536 /* most in one answer to a peer */
 
-/* What led from one revision to a later one. */
+/* The edit from one revision to a later one. */
 struct rev_edit {
-	uint64_t from;
-	uint64_t to;
-	char *text; /* NULL: too much differed */
+	uint64_t from_revision;
+	uint64_t to_revision;
+	char *text; /* as from pub_edit_text; NULL: unused */
 };
 
 struct rev {
 	uint64_t revision;
 	char *text;
-	bool lined; /* its lines may be taken one by one */
+	bool object_per_line; /* each line is one whole object */
 	struct rev_edit edits[REV_EDITS];
-	size_t next;	    /* to be overwritten */
-	unsigned long made; /* sets made from the one before */
+	size_t next_edit;	    /* slot for the next edit */
+	unsigned long patched_sets; /* sets built by patching */
 };
 
-static int rev_take(struct rev *rev, const struct cfg_set *base,
-		    const char *text, uint64_t revision, const char *known,
-		    struct cfg_set **set);
-static int rev_make(struct rev *rev, const struct cfg_set *base,
-		    const char *text, uint64_t revision, struct cfg_set **set,
-		    char **edit);
+static int rev_adopt(struct rev *rev, const struct cfg_set *base,
+		     const char *text, uint64_t revision, const char *known,
+		     struct cfg_set **set);
+static int rev_build_set(struct rev *rev, const struct cfg_set *base,
+			 const char *text, uint64_t revision,
+			 struct cfg_set **set, char **edit);
 static int rev_parse(const char *text, struct cfg_set **set);
-static void rev_keep(struct rev *rev, char *text, uint64_t revision,
-		     char *edit);
-static const struct rev_edit *rev_from(const struct rev *rev, uint64_t from);
+static void rev_replace_text(struct rev *rev, char *text, uint64_t revision,
+			     char *edit);
+static const struct rev_edit *rev_find_edit(const struct rev *rev,
+					    uint64_t from);
 
-/* Makes one that holds nothing; NULL if memory is short. */
+/* Returns a state without a revision, NULL if out of memory. */
 struct rev *rev_new(void)
 {
 	return calloc(1, sizeof(struct rev));
 }
 
-/* Frees it; NULL is allowed. */
+/* Frees a state; NULL is allowed. */
 void rev_free(struct rev *rev)
 {
 	size_t i;
@@ -54,21 +55,22 @@
 }
 
 /*
- * Takes the text of a new revision.  base is the set of the revision held
- * before, NULL for none.  On PUB_OK *set is the new set, to be freed by the
- * caller; else nothing changed: PUB_E_STALE for one that is no newer,
- * PUB_E_HOSTILE for one that no site could have made or that has faults.
+ * Adopts the text of a new revision.  base is the set of the revision held so
+ * far, NULL for none.  On PUB_OK *set is the new set, which the caller frees.
+ * On an error the state stays the same: PUB_E_STALE if the revision is not
+ * newer, PUB_E_REJECTED if its number is beyond the limits of
+ * pub_accepts_revision or the set is not valid.
  */
 int rev_offer(struct rev *rev, const struct cfg_set *base, const char *text,
 	      uint64_t revision, struct cfg_set **set)
 {
-	return rev_take(rev, base, text, revision, NULL, set);
+	return rev_adopt(rev, base, text, revision, NULL, set);
 }
 
-/* As rev_offer; the edit that leads to the text, if it is known. */
-static int rev_take(struct rev *rev, const struct cfg_set *base,
-		    const char *text, uint64_t revision, const char *known,
-		    struct cfg_set **set)
+/* As rev_offer; known is the edit that leads to the text, or NULL. */
+static int rev_adopt(struct rev *rev, const struct cfg_set *base,
+		     const char *text, uint64_t revision, const char *known,
+		     struct cfg_set **set)
 {
 	char *edit = known ? strdup(known) : NULL;
 	char *copy = NULL;
@@ -77,17 +79,17 @@
 	*set = NULL;
 	if (revision <= rev->revision)
 		err = PUB_E_STALE;
-	else if (!pub_accept(rev->revision, revision))
-		err = PUB_E_HOSTILE;
+	else if (!pub_accepts_revision(rev->revision, revision))
+		err = PUB_E_REJECTED;
 	if (err == PUB_OK)
 		copy = strdup(text);
 	if (err == PUB_OK && !copy)
 		err = PUB_E_MEMORY;
 	if (err == PUB_OK)
-		err = rev_make(rev, base, copy, revision, set, &edit);
+		err = rev_build_set(rev, base, copy, revision, set, &edit);
 	if (err == PUB_OK) {
 		(*set)->revision = revision;
-		rev_keep(rev, copy, revision, edit);
+		rev_replace_text(rev, copy, revision, edit);
 	} else {
 		free(copy);
 		free(edit);
@@ -96,8 +98,8 @@
 }
 
 /*
- * Takes edits that a peer made from the revision held here.  As rev_offer;
- * PUB_E_BASE if another one is held by now.
+ * Applies edits from a peer that start at revision have.  Otherwise as
+ * rev_offer; PUB_E_BASE if the revision held is another one by now.
  */
 int rev_offer_edits(struct rev *rev, const struct cfg_set *base, uint64_t have,
 		    const char *edits, struct cfg_set **set)
@@ -121,15 +123,15 @@
 		err = pub_edit_apply(text ? text : rev->text, edit, &revision,
 				     &next);
 		if (err == PUB_OK && revision <= last)
-			err = PUB_E_HOSTILE;
+			err = PUB_E_REJECTED;
 		free(text);
 		text = next;
 		last = revision;
 		edit = end ? end + 2 : NULL;
 	}
 	if (err == PUB_OK)
-		err = rev_take(rev, base, text, revision,
-			       strstr(edits, "\n\n") ? NULL : edits, set);
+		err = rev_adopt(rev, base, text, revision,
+				strstr(edits, "\n\n") ? NULL : edits, set);
 	free(text);
 	free(copy);
 	return err;
@@ -147,15 +149,15 @@
 	return rev->text;
 }
 
-/* Returns how many sets were made from the one before. */
-unsigned long rev_made(const struct rev *rev)
+/* Returns how many sets were built by patching the previous one. */
+unsigned long rev_patched_sets(const struct rev *rev)
 {
-	return rev->made;
+	return rev->patched_sets;
 }
 
 /*
- * Returns the edits that lead from a revision to the one held, to be freed by
- * the caller; NULL if they are not kept or would be long.
+ * Returns the edits from revision have to the one held; the caller frees them.
+ * NULL if an edit is not stored or if they exceed REV_EDITS_BYTES.
  */
 char *rev_edits(const struct rev *rev, uint64_t have)
 {
@@ -164,14 +166,14 @@
 	size_t len = 0;
 	FILE *out;
 
-	if (have >= rev->revision || !rev_from(rev, have))
+	if (have >= rev->revision || !rev_find_edit(rev, have))
 		return NULL;
 	out = open_memstream(&text, &len);
 	if (!out)
 		return NULL;
-	while (have < rev->revision && (edit = rev_from(rev, have))) {
+	while (have < rev->revision && (edit = rev_find_edit(rev, have))) {
 		fprintf(out, "%s%s", ftell(out) > 0 ? "\n" : "", edit->text);
-		have = edit->to;
+		have = edit->to_revision;
 	}
 	if (fclose(out) == 0 && have == rev->revision && len <= REV_EDITS_BYTES)
 		return text;
@@ -179,25 +181,26 @@
 	return NULL;
 }
 
-/* Makes the set in the short way, or from the whole text. */
-static int rev_make(struct rev *rev, const struct cfg_set *base,
-		    const char *text, uint64_t revision, struct cfg_set **set,
-		    char **edit)
+/* Builds the set by patching base, or else by parsing the whole text. */
+static int rev_build_set(struct rev *rev, const struct cfg_set *base,
+			 const char *text, uint64_t revision,
+			 struct cfg_set **set, char **edit)
 {
 	struct pub_edit lines = { 0 };
 	int err = PUB_E_SIZE;
 
-	if (base && rev->lined)
+	if (base && rev->object_per_line)
 		err = pub_edit_make(rev->text, text, &lines);
 	if (err == PUB_OK && !*edit)
 		*edit = pub_edit_text(&lines, revision, text);
-	if (err == PUB_OK && cfg_patch(base, lines.drop, lines.drops, lines.put,
-				       lines.puts, set) == CFG_OK) {
-		rev->made++;
+	if (err == PUB_OK &&
+	    cfg_patch(base, lines.removed, lines.removed_count, lines.added,
+		      lines.added_count, set) == CFG_OK) {
+		rev->patched_sets++;
 	} else {
 		err = rev_parse(text, set);
 		if (err == PUB_OK)
-			rev->lined = pub_is_lined(text);
+			rev->object_per_line = pub_is_object_per_line(text);
 	}
 	pub_edit_free(&lines);
 	return err;
@@ -211,33 +214,35 @@
 	cfg_faults_free(faults);
 	if (err == CFG_E_MEMORY)
 		return PUB_E_MEMORY;
-	return err == CFG_OK ? PUB_OK : PUB_E_HOSTILE;
+	return err == CFG_OK ? PUB_OK : PUB_E_REJECTED;
 }
 
-/* Puts a text in place of the one held, with what led to it if known. */
-static void rev_keep(struct rev *rev, char *text, uint64_t revision, char *edit)
+/* Replaces the text held and stores the edit that led to it, if any. */
+static void rev_replace_text(struct rev *rev, char *text, uint64_t revision,
+			     char *edit)
 {
-	struct rev_edit *kept = &rev->edits[rev->next];
+	struct rev_edit *slot = &rev->edits[rev->next_edit];
 
 	if (edit) {
-		free(kept->text);
-		kept->text = edit;
-		kept->from = rev->revision;
-		kept->to = revision;
-		rev->next = (rev->next + 1) % REV_EDITS;
+		free(slot->text);
+		slot->text = edit;
+		slot->from_revision = rev->revision;
+		slot->to_revision = revision;
+		rev->next_edit = (rev->next_edit + 1) % REV_EDITS;
 	}
 	free(rev->text);
 	rev->text = text;
 	rev->revision = revision;
 }
 
-/* Finds the edit that leads on from a revision. */
-static const struct rev_edit *rev_from(const struct rev *rev, uint64_t from)
+/* Finds the stored edit that starts at a revision. */
+static const struct rev_edit *rev_find_edit(const struct rev *rev,
+					    uint64_t from)
 {
 	size_t i;
 
 	for (i = 0; i < REV_EDITS; i++) {
-		if (rev->edits[i].text && rev->edits[i].from == from)
+		if (rev->edits[i].text && rev->edits[i].from_revision == from)
 			return &rev->edits[i];
 	}
 	return NULL;
