--- a/regress/check_cfg.c
+++ b/regress/check_cfg.c
@@ -87,7 +87,7 @@
 		return;
 	sscanf(rest, "%127s %127s %127s", a, b, c);
 	if (strcmp(what, "key") == 0) {
-		i = cfg_find_account(run->set, a);
+		i = cfg_find_account_by_key(run->set, a);
 		fprintf(run->out, "%s\n",
 			i < 0 ? "none" : run->set->accounts[i].name);
 	} else if (strcmp(what, "find") == 0) {
--- a/regress/check_patch.c
+++ b/regress/check_patch.c
@@ -48,7 +48,7 @@
 	size_t i;
 
 	at = f->type == CFG_T_SPLITS ? at - f->offset : at;
-	if (f->type == CFG_T_U32 || f->type == CFG_T_WORD ||
+	if (f->type == CFG_T_U32 || f->type == CFG_T_ENUM ||
 	    f->type == CFG_T_REFERENCE)
 		fprintf(out, " %d", *(const int *)(const void *)at);
 	else if (f->type == CFG_T_U64)
--- a/regress/fuzz_cfg.c
+++ b/regress/fuzz_cfg.c
@@ -51,7 +51,8 @@
 			abort();
 	}
 	for (i = 0; i < set->account_count; i++) {
-		if (cfg_find_account(set, set->accounts[i].key_hash) != (int)i)
+		if (cfg_find_account_by_key(set, set->accounts[i].key_hash) !=
+		    (int)i)
 			abort();
 	}
 	for (i = 0; i < set->route_count; i++) {
--- a/src/cfg.h
+++ b/src/cfg.h
@@ -32,7 +32,7 @@
 };
 
 /* What an endpoint does with the key that the router derives for it. */
-enum cfg_downstream {
+enum cfg_downstream_key {
 	CFG_DOWN_NONE,	 /* nothing: a lost answer stays unknown */
 	CFG_DOWN_LOOKUP, /* tells whether the key ran */
 	CFG_DOWN_RESEND, /* runs a key once, however often it is sent */
@@ -44,7 +44,7 @@
 	CFG_KEY_TIMED, /* required, and it must be a UUIDv7 */
 };
 
-enum cfg_drain {
+enum cfg_endpoint_state {
 	CFG_ACTIVE,
 	CFG_DRAIN, /* gets no new work */
 };
@@ -108,8 +108,8 @@
 	uint64_t link_bytes_per_s;
 	uint32_t concurrency; /* most requests at once */
 	bool checks_fencing;
-	enum cfg_downstream downstream_key;
-	enum cfg_drain state;
+	enum cfg_downstream_key downstream_key;
+	enum cfg_endpoint_state state;
 };
 
 struct cfg_set {
@@ -131,11 +131,11 @@
 	CFG_E_SYNTAX = -1,  /* not JSON, or not a set of objects */
 	CFG_E_INVALID = -2, /* at least one object is at fault */
 	CFG_E_MEMORY = -3,
-	CFG_E_UNUSUAL = -4, /* cfg_patch: read the whole text instead */
+	CFG_E_NOT_PATCHABLE = -4, /* cfg_patch: read the whole text instead */
 };
 
 /* One object as JSON, without the comma after it. */
-struct cfg_line {
+struct cfg_object_text {
 	const char *text;
 	size_t len;
 };
@@ -144,8 +144,8 @@
 
 int cfg_parse(const char *text, size_t len, struct cfg_set **set,
 	      struct cfg_faults **faults);
-int cfg_patch(const struct cfg_set *old, const struct cfg_line *drop,
-	      size_t drops, const struct cfg_line *put, size_t puts,
+int cfg_patch(const struct cfg_set *old, const struct cfg_object_text *drop,
+	      size_t drops, const struct cfg_object_text *put, size_t puts,
 	      struct cfg_set **set);
 int cfg_copy(const struct cfg_set *set, struct cfg_set **copy);
 void cfg_free(struct cfg_set *set);
@@ -153,7 +153,7 @@
 const char *cfg_fault_text(const struct cfg_faults *faults, size_t i);
 void cfg_faults_free(struct cfg_faults *faults);
 
-int cfg_find_account(const struct cfg_set *set, const char *key_hash);
+int cfg_find_account_by_key(const struct cfg_set *set, const char *key_hash);
 int cfg_find_service(const struct cfg_set *set, const char *name);
 int cfg_find_endpoint(const struct cfg_set *set, const char *name);
 bool cfg_same_endpoint(const struct cfg_endpoint *a,
--- a/src/cfg_check.c
+++ b/src/cfg_check.c
@@ -42,7 +42,7 @@
 static const struct cfg_unique uniques[] = {
 	{ CFG_ACCOUNT, cfg_cmp_hash, "key_hash", CFG_M_HASH_TWICE },
 	{ CFG_ROUTE, cfg_cmp_route, "path", CFG_M_ROUTE_OVERLAP },
-	{ CFG_LIMIT, cfg_cmp_pair, "service", CFG_M_LIMIT_PAIR },
+	{ CFG_LIMIT, cfg_cmp_pair, "service", CFG_M_LIMIT_TWICE },
 	{ CFG_ENDPOINT, cfg_cmp_address, "address", CFG_M_ADDRESS_TWICE },
 };
 
@@ -68,7 +68,8 @@
 }
 
 /* Tells whether another object of a kind takes what only one may have. */
-bool cfg_clashes(const struct cfg_build *build, enum cfg_kind kind, size_t i)
+bool cfg_has_duplicate(const struct cfg_build *build, enum cfg_kind kind,
+		       size_t i)
 {
 	size_t size = cfg_layout(kind)->size;
 	size_t *count;
@@ -95,8 +96,8 @@
  * limits of the former set fit: of the same kind, and with layers that no
  * endpoint passes.
  */
-bool cfg_check_kept(struct cfg_build *build, const struct cfg_service *old,
-		    size_t service)
+bool cfg_service_is_compatible(struct cfg_build *build,
+			       const struct cfg_service *old, size_t service)
 {
 	const struct cfg_set *set = build->set;
 	const struct cfg_service *s = &set->services[service];
@@ -144,7 +145,8 @@
 			  s->default_deadline_ms, s->max_deadline_ms);
 	if ((uint64_t)s->key_window_s * 1000 < s->max_deadline_ms)
 		cfg_fault(build->faults, "service", s->name, "key_window_s",
-			  CFG_M_WINDOW, s->key_window_s, s->max_deadline_ms);
+			  CFG_M_KEY_WINDOW, s->key_window_s,
+			  s->max_deadline_ms);
 }
 
 static void cfg_check_limit(struct cfg_build *build, size_t i)
@@ -152,7 +154,7 @@
 	const struct cfg_limit *l = &build->set->limits[i];
 	const struct cfg_service *s = NULL;
 
-	if (l->service >= 0 && cfg_readable(build, CFG_SERVICE, l->service))
+	if (l->service >= 0 && cfg_fields_valid(build, CFG_SERVICE, l->service))
 		s = &build->set->services[l->service];
 	if (!l->requests_per_s && !l->tokens_per_s && !l->concurrent)
 		cfg_fault(build->faults, "limit", l->name, "requests_per_s",
@@ -174,7 +176,7 @@
 	bool first = json_object_get(object, "first_layer") != NULL;
 	bool last = json_object_get(object, "last_layer") != NULL;
 
-	if (!cfg_readable(build, CFG_SERVICE, e->service))
+	if (!cfg_fields_valid(build, CFG_SERVICE, e->service))
 		return;
 	if (s->kind == CFG_PLAIN) {
 		if (first)
@@ -235,7 +237,7 @@
 	size_t i;
 
 	if (!refs) {
-		cfg_faults_lose(build->faults);
+		cfg_faults_mark_incomplete(build->faults);
 		return;
 	}
 	for (i = 0; i < count; i++) {
@@ -265,18 +267,18 @@
 		if (broad->requests_per_s &&
 		    limit->requests_per_s > broad->requests_per_s)
 			cfg_fault(build->faults, "limit", limit->name,
-				  "requests_per_s", CFG_M_LIMIT_ABOVE,
+				  "requests_per_s", CFG_M_LIMIT_UNREACHABLE,
 				  limit->requests_per_s, broad->name,
 				  broad->requests_per_s);
 		if (broad->tokens_per_s &&
 		    limit->tokens_per_s > broad->tokens_per_s)
 			cfg_fault(build->faults, "limit", limit->name,
-				  "tokens_per_s", CFG_M_LIMIT_ABOVE,
+				  "tokens_per_s", CFG_M_LIMIT_UNREACHABLE,
 				  limit->tokens_per_s, broad->name,
 				  broad->tokens_per_s);
 		if (broad->concurrent && limit->concurrent > broad->concurrent)
 			cfg_fault(build->faults, "limit", limit->name,
-				  "concurrent", CFG_M_LIMIT_ABOVE,
+				  "concurrent", CFG_M_LIMIT_UNREACHABLE,
 				  limit->concurrent, broad->name,
 				  broad->concurrent);
 	}
--- a/src/cfg_cover.c
+++ b/src/cfg_cover.c
@@ -43,7 +43,7 @@
  * endpoints that hold all layers in a chain that is not too long.  With a
  * list of the services that are touched, by index, only those are checked.
  */
-void cfg_check_cover(struct cfg_build *build, const bool *touched)
+void cfg_check_coverage(struct cfg_build *build, const bool *touched)
 {
 	const struct cfg_set *set = build->set;
 	size_t i;
@@ -77,7 +77,7 @@
 {
 	struct cfg_cover cover = { .group = group };
 
-	if (service < 0 || !cfg_readable(build, CFG_SERVICE, service))
+	if (service < 0 || !cfg_fields_valid(build, CFG_SERVICE, service))
 		return;
 	cover.service = &build->set->services[service];
 	if (!cfg_cover_fill(build, &cover))
@@ -100,7 +100,7 @@
 	cover->reach =
 		calloc(cover->service->layers + 1, sizeof(*cover->reach));
 	if (!cover->reach) {
-		cfg_faults_lose(build->faults);
+		cfg_faults_mark_incomplete(build->faults);
 		return false;
 	}
 	for (i = 0; i < set->endpoint_count; i++) {
--- a/src/cfg_field.c
+++ b/src/cfg_field.c
@@ -47,7 +47,7 @@
 	[CFG_T_U32] = cfg_read_number,
 	[CFG_T_U64] = cfg_read_number,
 	[CFG_T_BOOL] = cfg_read_bool,
-	[CFG_T_WORD] = cfg_read_word,
+	[CFG_T_ENUM] = cfg_read_word,
 	[CFG_T_REFERENCE] = cfg_read_reference,
 	[CFG_T_STATUSES] = cfg_read_statuses,
 	[CFG_T_SPLITS] = cfg_read_splits,
@@ -123,7 +123,7 @@
 	case CFG_T_U64:
 		*(uint64_t *)dst = (uint64_t)r->field->fallback;
 		break;
-	case CFG_T_WORD:
+	case CFG_T_ENUM:
 	case CFG_T_REFERENCE:
 		*(int *)dst = (int)r->field->fallback;
 		break;
@@ -269,7 +269,7 @@
 					 "%s%s", i ? ", " : "",
 					 r->field->words[i]);
 	}
-	READ_FAULT(r, CFG_M_WORD, s, list);
+	READ_FAULT(r, CFG_M_ENUM, s, list);
 }
 
 static void cfg_read_reference(struct cfg_reader *r)
@@ -281,7 +281,7 @@
 		READ_FAULT(r, CFG_M_TYPE, "a string");
 		return;
 	}
-	index = cfg_index(r->build, r->field->target, s);
+	index = cfg_item_index(r->build, r->field->target, s);
 	if (index < 0)
 		READ_FAULT(r, CFG_M_REFERENCE,
 			   cfg_layout(r->field->target)->kind, s);
@@ -349,7 +349,7 @@
 	}
 	route->splits = calloc(count ? count : 1, sizeof(*route->splits));
 	if (!route->splits) {
-		cfg_faults_lose(r->build->faults);
+		cfg_faults_mark_incomplete(r->build->faults);
 		return;
 	}
 	for (i = 0; i < count; i++) {
@@ -383,7 +383,7 @@
 		READ_FAULT(r, CFG_M_NAME);
 		return false;
 	}
-	split->account = cfg_index(r->build, CFG_ACCOUNT, account);
+	split->account = cfg_item_index(r->build, CFG_ACCOUNT, account);
 	if (split->account < 0) {
 		READ_FAULT(r, CFG_M_REFERENCE, "account", account);
 		return false;
--- a/src/cfg_find.c
+++ b/src/cfg_find.c
@@ -11,7 +11,7 @@
 static bool cfg_path_matches(const char *route, const char *path, size_t len);
 
 /* Finds the account whose key has this hash.  Returns its index, or -1. */
-int cfg_find_account(const struct cfg_set *set, const char *key_hash)
+int cfg_find_account_by_key(const struct cfg_set *set, const char *key_hash)
 {
 	size_t i;
 
--- a/src/cfg_int.h
+++ b/src/cfg_int.h
@@ -30,7 +30,7 @@
 	CFG_MSG(CFG_M_TYPE, 22, "not %s") \
 	CFG_MSG(CFG_M_RANGE, 23, "%lld is not between %llu and %llu") \
 	CFG_MSG(CFG_M_ZERO, 24, "zero would give it no work at all") \
-	CFG_MSG(CFG_M_WORD, 25, "\"%.40s\" is not one of %s") \
+	CFG_MSG(CFG_M_ENUM, 25, "\"%.40s\" is not one of %s") \
 	CFG_MSG(CFG_M_LENGTH, 26, "longer than %zu bytes") \
 	CFG_MSG(CFG_M_HASH, 27, "not 64 hexadecimal digits in lower case") \
 	CFG_MSG(CFG_M_ADDRESS, 28, "\"%.60s\" is not " CHK_ADDRESS_RULE) \
@@ -43,7 +43,7 @@
 	/* 40: one object */ \
 	CFG_MSG(CFG_M_MODEL_ONLY, 40, "only a service of kind model has layers") \
 	CFG_MSG(CFG_M_DEADLINES, 41, "default_deadline_ms %u is above max_deadline_ms %u") \
-	CFG_MSG(CFG_M_WINDOW, 42, "a key would be forgotten after %u s while its request may run for %u ms") \
+	CFG_MSG(CFG_M_KEY_WINDOW, 42, "a key would be forgotten after %u s while its request may run for %u ms") \
 	CFG_MSG(CFG_M_LAYER_ORDER, 44, "first_layer %u lies after last_layer %u") \
 	CFG_MSG(CFG_M_LIMIT_EMPTY, 45, "limits nothing: requests_per_s, tokens_per_s and concurrent are all zero") \
 	CFG_MSG(CFG_M_LIMIT_TOKENS, 46, "%u is below the %u tokens of one request that names no max_tokens, so none would ever start") \
@@ -56,9 +56,9 @@
 	CFG_MSG(CFG_M_GROUP_EMPTY, 64, "no active endpoint of service/%s is in group %s") \
 	CFG_MSG(CFG_M_CHAIN_LONG, 65, "the shortest chain takes %u stages; at most %u are taken") \
 	CFG_MSG(CFG_M_ROUTE_OVERLAP, 66, "takes the same host and path as route/%s") \
-	CFG_MSG(CFG_M_LIMIT_PAIR, 67, "the same account and service as limit/%s") \
+	CFG_MSG(CFG_M_LIMIT_TWICE, 67, "the same account and service as limit/%s") \
 	CFG_MSG(CFG_M_LIMIT_PLAIN, 68, "service/%s is plain and makes no tokens") \
-	CFG_MSG(CFG_M_LIMIT_ABOVE, 69, "%u could never be reached: limit/%s, which holds for the same requests, allows %u") \
+	CFG_MSG(CFG_M_LIMIT_UNREACHABLE, 69, "%u could never be reached: limit/%s, which holds for the same requests, allows %u") \
 	CFG_MSG(CFG_M_HASH_TWICE, 70, "the same key as account/%s, so that a caller could not be told from another") \
 	CFG_MSG(CFG_M_ADDRESS_TWICE, 71, "the same address as endpoint/%s of this service")
 /* clang-format on */
@@ -71,8 +71,8 @@
 
 #define CFG_OBJECTS_MAX 100000
 
-#define CFG_DEADLINE_MAX_MS 3600000
-#define CFG_WINDOW_MAX_S    2592000
+#define CFG_DEADLINE_MAX_MS  3600000
+#define CFG_KEY_WINDOW_MAX_S 2592000
 
 /* One entry of the document, before and while its fields are read. */
 struct cfg_item {
@@ -100,14 +100,14 @@
 	CFG_T_U32,
 	CFG_T_U64,
 	CFG_T_BOOL,
-	CFG_T_WORD,
+	CFG_T_ENUM,
 	CFG_T_REFERENCE,
 	CFG_T_STATUSES,
 	CFG_T_SPLITS,
 	CFG_TYPE_COUNT
 };
 
-enum cfg_need {
+enum cfg_requirement {
 	CFG_OPTIONAL,
 	CFG_REQUIRED,
 	CFG_POSITIVE, /* required, and zero is a fault of its own */
@@ -117,7 +117,7 @@
 struct cfg_field {
 	const char *name;
 	enum cfg_type type;
-	enum cfg_need need;
+	enum cfg_requirement need;
 	size_t offset;
 	size_t size; /* of a string */
 	uint64_t min;
@@ -137,24 +137,26 @@
 const struct cfg_layout *cfg_layout(enum cfg_kind kind);
 void cfg_read_item(struct cfg_build *build, struct cfg_item *item, void *dst);
 void cfg_check_set(struct cfg_build *build);
-void cfg_check_cover(struct cfg_build *build, const bool *touched);
+void cfg_check_coverage(struct cfg_build *build, const bool *touched);
 void cfg_check_item(struct cfg_build *build, size_t i);
 void cfg_check_limits(struct cfg_build *build);
-bool cfg_clashes(const struct cfg_build *build, enum cfg_kind kind, size_t i);
-bool cfg_check_kept(struct cfg_build *build, const struct cfg_service *old,
-		    size_t service);
-bool cfg_identify(struct cfg_build *build, json_t *object, size_t i,
-		  struct cfg_item *item);
+bool cfg_has_duplicate(const struct cfg_build *build, enum cfg_kind kind,
+		       size_t i);
+bool cfg_service_is_compatible(struct cfg_build *build,
+			       const struct cfg_service *old, size_t service);
+bool cfg_read_identity(struct cfg_build *build, json_t *object, size_t i,
+		       struct cfg_item *item);
 int cfg_item_cmp(const void *a, const void *b);
 void **cfg_table(struct cfg_set *set, enum cfg_kind kind, size_t **count);
 void *cfg_copy_table(const void *table, size_t count, size_t size);
-int cfg_index(const struct cfg_build *build, enum cfg_kind kind,
-	      const char *name);
-bool cfg_readable(const struct cfg_build *build, enum cfg_kind kind, int index);
+int cfg_item_index(const struct cfg_build *build, enum cfg_kind kind,
+		   const char *name);
+bool cfg_fields_valid(const struct cfg_build *build, enum cfg_kind kind,
+		      int index);
 
 struct cfg_faults *cfg_faults_new(void);
-void cfg_faults_lose(struct cfg_faults *faults);
-bool cfg_faults_lost(const struct cfg_faults *faults);
+void cfg_faults_mark_incomplete(struct cfg_faults *faults);
+bool cfg_faults_incomplete(const struct cfg_faults *faults);
 void cfg_fault(struct cfg_faults *faults, const char *kind, const char *name,
 	       const char *field, enum cfg_msg msg, ...);
 size_t cfg_msg_list(int *numbers, size_t max);
--- a/src/cfg_layout.c
+++ b/src/cfg_layout.c
@@ -12,7 +12,7 @@
 	.offset = AT(object, field), .min = (low), .max = (high),              \
 	.fallback = (absent)
 #define WORD(object, field, want, list, absent)                                \
-	.name = #field, .type = CFG_T_WORD, .need = (want),                    \
+	.name = #field, .type = CFG_T_ENUM, .need = (want),                    \
 	.offset = AT(object, field), .words = (list), .fallback = (absent)
 #define REF(object, field, want, kind)                                         \
 	.name = #field, .type = CFG_T_REFERENCE, .need = (want),               \
@@ -27,7 +27,7 @@
 /* The object's own kind is the field "kind", so this one is "type". */
 static const struct cfg_field service_fields[] = {
 	{ .name = "type",
-	  .type = CFG_T_WORD,
+	  .type = CFG_T_ENUM,
 	  .need = CFG_REQUIRED,
 	  .offset = AT(service, kind),
 	  .words = service_kinds },
@@ -39,7 +39,7 @@
 	      120000) },
 	{ NUM(service, queue_max, CFG_OPTIONAL, 0, 1000000, 256) },
 	{ NUM(service, retry_percent, CFG_OPTIONAL, 0, 100, 10) },
-	{ NUM(service, key_window_s, CFG_OPTIONAL, 1, CFG_WINDOW_MAX_S,
+	{ NUM(service, key_window_s, CFG_OPTIONAL, 1, CFG_KEY_WINDOW_MAX_S,
 	      86400) },
 	{ .name = "not_begun_status",
 	  .type = CFG_T_STATUSES,
--- a/src/cfg_msg.c
+++ b/src/cfg_msg.c
@@ -46,13 +46,13 @@
 }
 
 /* Notes that memory ran out, so that the set can't be judged. */
-void cfg_faults_lose(struct cfg_faults *faults)
+void cfg_faults_mark_incomplete(struct cfg_faults *faults)
 {
 	flt_lose(faults->list);
 }
 
 /* Tells whether memory ran out while the set was judged. */
-bool cfg_faults_lost(const struct cfg_faults *faults)
+bool cfg_faults_incomplete(const struct cfg_faults *faults)
 {
 	return flt_lost(faults->list);
 }
--- a/src/cfg_parse.c
+++ b/src/cfg_parse.c
@@ -45,7 +45,7 @@
 	} else {
 		err = CFG_E_SYNTAX;
 	}
-	if (cfg_faults_lost(build.faults))
+	if (cfg_faults_incomplete(build.faults))
 		err = CFG_E_MEMORY;
 	if (err == CFG_OK) {
 		*set = build.set;
@@ -78,8 +78,8 @@
  * Finds an object of the set in the making by its name.  Returns its index in
  * the table of its kind, or -1.
  */
-int cfg_index(const struct cfg_build *build, enum cfg_kind kind,
-	      const char *name)
+int cfg_item_index(const struct cfg_build *build, enum cfg_kind kind,
+		   const char *name)
 {
 	struct cfg_item wanted = { .kind = kind, .name = name };
 	struct cfg_item *found;
@@ -92,7 +92,8 @@
 }
 
 /* Tells whether all fields of an object could be read. */
-bool cfg_readable(const struct cfg_build *build, enum cfg_kind kind, int index)
+bool cfg_fields_valid(const struct cfg_build *build, enum cfg_kind kind,
+		      int index)
 {
 	return build->items[build->first[kind] + (size_t)index].faults == 0;
 }
@@ -143,16 +144,16 @@
 	if (!build->items)
 		return;
 	for (i = 0; i < count; i++) {
-		if (cfg_identify(build, json_array_get(list, i), i,
-				 &build->items[build->count]))
+		if (cfg_read_identity(build, json_array_get(list, i), i,
+				      &build->items[build->count]))
 			build->count++;
 	}
 	cfg_sort(build);
 }
 
 /* Reads kind and name of one entry; false, with a fault, if it lacks them. */
-bool cfg_identify(struct cfg_build *build, json_t *object, size_t i,
-		  struct cfg_item *item)
+bool cfg_read_identity(struct cfg_build *build, json_t *object, size_t i,
+		       struct cfg_item *item)
 {
 	const char *kind = json_string_value(json_object_get(object, "kind"));
 	const char *name = json_string_value(json_object_get(object, "name"));
@@ -242,7 +243,7 @@
 				      (char *)*table + i * size);
 	}
 	cfg_check_set(build);
-	cfg_check_cover(build, NULL);
+	cfg_check_coverage(build, NULL);
 	return cfg_fault_count(build->faults) ? CFG_E_INVALID : CFG_OK;
 }
 
--- a/src/cfg_patch.c
+++ b/src/cfg_patch.c
@@ -7,7 +7,7 @@
 /*
  * The next set made from the one in force and the objects that differ.  It
  * takes only what it can be sure of: the result is what cfg_parse makes of the
- * whole text, or CFG_E_UNUSUAL, and then cfg_parse has to say.
+ * whole text, or CFG_E_NOT_PATCHABLE, and then cfg_parse has to say.
  */
 
 /* Objects that go or come, sorted by kind and name. */
@@ -37,7 +37,7 @@
 
 static int cfg_patch_make(struct cfg_patch *p);
 static int cfg_read_lines(struct cfg_patch *p, struct cfg_changes *changes,
-			  const struct cfg_line *lines, size_t count);
+			  const struct cfg_object_text *lines, size_t count);
 static void cfg_changes_free(struct cfg_changes *changes);
 static bool cfg_has(const struct cfg_changes *changes, enum cfg_kind kind,
 		    const char *name);
@@ -60,11 +60,11 @@
  * Makes the set that follows an older one when the objects of some lines go
  * and those of others come; an object that changed is in both lists.  Each
  * line is one object as JSON.  The new set has the old one's revision.
- * Returns CFG_OK, CFG_E_MEMORY, or CFG_E_UNUSUAL, which says nothing of
+ * Returns CFG_OK, CFG_E_MEMORY, or CFG_E_NOT_PATCHABLE, which says nothing of
  * whether the set is valid.  *set is NULL then.
  */
-int cfg_patch(const struct cfg_set *old, const struct cfg_line *drop,
-	      size_t drops, const struct cfg_line *put, size_t puts,
+int cfg_patch(const struct cfg_set *old, const struct cfg_object_text *drop,
+	      size_t drops, const struct cfg_object_text *put, size_t puts,
 	      struct cfg_set **set)
 {
 	struct cfg_patch p = { .old = old };
@@ -81,10 +81,10 @@
 		err = cfg_read_lines(&p, &p.put, put, puts);
 	if (err == CFG_OK)
 		err = cfg_patch_make(&p);
-	if (err == CFG_OK && cfg_faults_lost(p.build.faults))
+	if (err == CFG_OK && cfg_faults_incomplete(p.build.faults))
 		err = CFG_E_MEMORY;
 	if (err == CFG_OK && cfg_fault_count(p.build.faults))
-		err = CFG_E_UNUSUAL;
+		err = CFG_E_NOT_PATCHABLE;
 	if (err == CFG_OK) {
 		p.build.set->revision = old->revision;
 		*set = p.build.set;
@@ -110,7 +110,7 @@
 	int kind;
 
 	if (!cfg_lists_fit(p) || total - p->drop.count > CFG_OBJECTS_MAX)
-		return CFG_E_UNUSUAL;
+		return CFG_E_NOT_PATCHABLE;
 	p->build.items = calloc(total + 1, sizeof(*p->build.items));
 	if (!p->build.items)
 		return CFG_E_MEMORY;
@@ -122,15 +122,15 @@
 		return err;
 	if (cfg_fault_count(p->build.faults) || !cfg_remap_accounts(p) ||
 	    !cfg_check_puts(p))
-		return CFG_E_UNUSUAL;
+		return CFG_E_NOT_PATCHABLE;
 	cfg_touch(p);
-	cfg_check_cover(&p->build, p->touched);
+	cfg_check_coverage(&p->build, p->touched);
 	return CFG_OK;
 }
 
 /* Reads each line as one object that has a kind and a name. */
 static int cfg_read_lines(struct cfg_patch *p, struct cfg_changes *changes,
-			  const struct cfg_line *lines, size_t count)
+			  const struct cfg_object_text *lines, size_t count)
 {
 	json_error_t error;
 	size_t i;
@@ -145,8 +145,8 @@
 		changes->docs[i] = doc;
 		changes->count++;
 		if (!doc ||
-		    !cfg_identify(&p->build, doc, i, &changes->items[i]))
-			return CFG_E_UNUSUAL;
+		    !cfg_read_identity(&p->build, doc, i, &changes->items[i]))
+			return CFG_E_NOT_PATCHABLE;
 	}
 	if (count > 0)
 		qsort(changes->items, count, sizeof(*changes->items),
@@ -154,7 +154,7 @@
 	for (i = 1; i < count; i++) {
 		if (cfg_item_cmp(&changes->items[i - 1], &changes->items[i]) ==
 		    0)
-			return CFG_E_UNUSUAL;
+			return CFG_E_NOT_PATCHABLE;
 	}
 	return CFG_OK;
 }
@@ -206,8 +206,8 @@
 
 /*
  * Makes the table of one kind: the old one without what goes, and room for
- * what comes, in the order of names.  CFG_E_UNUSUAL if an object to go isn't
- * there, or one to come already is.
+ * what comes, in the order of names.  CFG_E_NOT_PATCHABLE if an object to go
+ * isn't there, or one to come already is.
  */
 static int cfg_splice(struct cfg_patch *p, enum cfg_kind kind)
 {
@@ -237,7 +237,7 @@
 	*count = m.at;
 	p->build.first[kind + 1] = p->build.count;
 	if (err == CFG_OK && m.dropped != wanted)
-		err = CFG_E_UNUSUAL;
+		err = CFG_E_NOT_PATCHABLE;
 	return err;
 }
 
@@ -252,7 +252,7 @@
 	if (m->kind == CFG_ACCOUNT)
 		p->accounts[i] = gone && !back ? -1 : (int)m->at;
 	if (!gone)
-		return back ? CFG_E_UNUSUAL : cfg_splice_one(p, m, name);
+		return back ? CFG_E_NOT_PATCHABLE : cfg_splice_one(p, m, name);
 	m->dropped++;
 	return CFG_OK;
 }
@@ -302,7 +302,7 @@
 				&p->build, item,
 				(char *)cfg_row(p->build.set, item->kind, at));
 	}
-	return cfg_faults_lost(p->build.faults) ? CFG_E_MEMORY : CFG_OK;
+	return cfg_faults_incomplete(p->build.faults) ? CFG_E_MEMORY : CFG_OK;
 }
 
 /* Moves what objects of the old set say of accounts to the new indices. */
@@ -351,11 +351,12 @@
 		if (!item->object)
 			continue;
 		cfg_check_item(&p->build, i);
-		if (cfg_clashes(&p->build, item->kind, at))
+		if (cfg_has_duplicate(&p->build, item->kind, at))
 			return false;
 		limits = limits || item->kind == CFG_LIMIT;
 		if (item->kind == CFG_SERVICE &&
-		    !cfg_check_kept(&p->build, &p->old->services[at], at))
+		    !cfg_service_is_compatible(&p->build, &p->old->services[at],
+					       at))
 			return false;
 	}
 	if (limits)
--- a/src/pub.h
+++ b/src/pub.h
@@ -86,9 +86,9 @@
 struct pub_edit {
 	struct pub_hunk *hunks;
 	size_t hunk_count;
-	struct cfg_line *drop;
+	struct cfg_object_text *drop;
 	size_t drops;
-	struct cfg_line *put;
+	struct cfg_object_text *put;
 	size_t puts;
 };
 
--- a/src/pub_edit.c
+++ b/src/pub_edit.c
@@ -17,14 +17,15 @@
 
 /* The lines of a text; each without its comma. */
 struct pub_lines {
-	struct cfg_line *list;
+	struct cfg_object_text *list;
 	size_t count;
 };
 
 static int pub_split(struct pub_lines *lines, const char *text);
 static const char *pub_opened(const char *text);
-static bool pub_balanced(const struct cfg_line *line);
-static bool pub_same(const struct cfg_line *a, const struct cfg_line *b);
+static bool pub_balanced(const struct cfg_object_text *line);
+static bool pub_same(const struct cfg_object_text *a,
+		     const struct cfg_object_text *b);
 static bool pub_resync(const struct pub_lines *old, const struct pub_lines *new,
 		       size_t a, size_t b, struct pub_hunk *hunk);
 static int pub_add_hunk(struct pub_edit *edit, const struct pub_lines *old,
@@ -35,7 +36,8 @@
 static const char *pub_read_hunk(const char *at, struct pub_hunk *hunk);
 static const char *pub_put_lines(FILE *out, size_t *count, const char *at,
 				 size_t puts);
-static void pub_put_line(FILE *out, size_t *count, const struct cfg_line *line);
+static void pub_put_line(FILE *out, size_t *count,
+			 const struct cfg_object_text *line);
 
 /*
  * Tells whether every line of a valid set's text is one whole object, so that
@@ -190,7 +192,7 @@
 		if (len < 2 || (at[len - 1] == ',') == last)
 			return PUB_E_DAMAGED;
 		lines->list[lines->count++] =
-			(struct cfg_line){ at, last ? len : len - 1 };
+			(struct cfg_object_text){ at, last ? len : len - 1 };
 		if (last)
 			return PUB_OK;
 	}
@@ -220,7 +222,7 @@
 }
 
 /* Tells whether a line opens with a brace that its last byte closes. */
-static bool pub_balanced(const struct cfg_line *line)
+static bool pub_balanced(const struct cfg_object_text *line)
 {
 	bool quoted = false;
 	int depth = 0;
@@ -243,7 +245,8 @@
 	return line->text[0] == '{' && !quoted && i == line->len - 1;
 }
 
-static bool pub_same(const struct cfg_line *a, const struct cfg_line *b)
+static bool pub_same(const struct cfg_object_text *a,
+		     const struct cfg_object_text *b)
 {
 	return a->len == b->len && memcmp(a->text, b->text, a->len) == 0;
 }
@@ -358,7 +361,8 @@
 {
 	while (puts-- > 0 && at) {
 		const char *end = strchr(at, '\n');
-		struct cfg_line line = { at, end ? (size_t)(end - at) : 0 };
+		struct cfg_object_text line = { at,
+						end ? (size_t)(end - at) : 0 };
 
 		if (line.len > 0)
 			pub_put_line(out, count, &line);
@@ -367,7 +371,8 @@
 	return at;
 }
 
-static void pub_put_line(FILE *out, size_t *count, const struct cfg_line *line)
+static void pub_put_line(FILE *out, size_t *count,
+			 const struct cfg_object_text *line)
 {
 	fputs((*count)++ ? ",\n" : "\n", out);
 	fwrite(line->text, 1, line->len, out);
--- a/src/req_arrive.c
+++ b/src/req_arrive.c
@@ -128,7 +128,8 @@
 {
 	const struct cfg_route *object;
 
-	*account = cfg_find_account(core->set, arrival->account_key_hash);
+	*account =
+		cfg_find_account_by_key(core->set, arrival->account_key_hash);
 	if (*account < 0) {
 		req_refuse_arrival(core, arrival, 401, "no such account key");
 		return false;
