--- a/regress/fuzz_set.c
+++ b/regress/fuzz_set.c
@@ -17,7 +17,7 @@
 	const char *text;
 	size_t i;
 
-	set_fallbacks(&settings);
+	set_defaults(&settings);
 	if (set_parse(&build, (const char *)data, size))
 		set_check(&build);
 	if (flt_count(build.faults) == 0 &&
--- a/src/set.c
+++ b/src/set.c
@@ -70,7 +70,7 @@
 		for (k = 0; k < i; k++) {
 			if (addresses[i][0] &&
 			    strcmp(addresses[i], addresses[k]) == 0)
-				set_fault(build, names[i], SET_M_SAME,
+				set_fault(build, names[i], SET_M_SAME_ADDRESS,
 					  names[k]);
 		}
 	}
--- a/src/set_field.c
+++ b/src/set_field.c
@@ -141,7 +141,7 @@
 #undef SET_MSG
 
 /* Gives every setting the value that holds when it is not named. */
-void set_fallbacks(struct set_settings *settings)
+void set_defaults(struct set_settings *settings)
 {
 	size_t i;
 
@@ -323,5 +323,5 @@
 			return;
 		}
 	}
-	set_fault(build, field->name, SET_M_WORD, s, field->help);
+	set_fault(build, field->name, SET_M_ENUM, s, field->help);
 }
--- a/src/set_int.h
+++ b/src/set_int.h
@@ -20,12 +20,12 @@
 	SET_MSG(SET_M_MISSING, 107, "missing; it has no default") \
 	SET_MSG(SET_M_TYPE, 108, "not %s") \
 	SET_MSG(SET_M_RANGE, 109, "%lld is not between %llu and %llu") \
-	SET_MSG(SET_M_WORD, 110, "\"%.40s\" is not one of %s") \
+	SET_MSG(SET_M_ENUM, 110, "\"%.40s\" is not one of %s") \
 	SET_MSG(SET_M_NAME, 111, "\"%.64s\" is not " CHK_NAME_RULE) \
 	SET_MSG(SET_M_ADDRESS, 112, "\"%.60s\" is not " CHK_ADDRESS_RULE) \
 	SET_MSG(SET_M_COUNT, 113, "%zu addresses; 1 to %zu are taken") \
 	SET_MSG(SET_M_TWICE, 114, "%s is listed twice") \
-	SET_MSG(SET_M_SAME, 115, "the same address as %s")
+	SET_MSG(SET_M_SAME_ADDRESS, 115, "the same address as %s")
 /* clang-format on */
 
 #define SET_MSG(id, number, format) id = number,
@@ -71,7 +71,7 @@
 extern const struct set_field set_fields[];
 extern const size_t set_field_count;
 
-void set_fallbacks(struct set_settings *settings);
+void set_defaults(struct set_settings *settings);
 void set_read(struct set_build *build, size_t field, json_t *value);
 bool set_parse(struct set_build *build, const char *text, size_t len);
 void set_check(struct set_build *build);
--- a/src/set_option.c
+++ b/src/set_option.c
@@ -49,7 +49,7 @@
 	struct set_build build = { .settings = settings, .source = "option/-" };
 	int errors;
 
-	set_fallbacks(settings);
+	set_defaults(settings);
 	*faults = NULL;
 	build.faults = flt_new();
 	if (!build.faults || set_table_make(&table) < 0) {
