--- a/src/cfg.h
+++ b/src/cfg.h
@@ -2,9 +2,10 @@
 #define CFG_H
 
 /*
- * The operators' objects, checked as a whole set.  A set is immutable once
- * parsed: every module reads it and none changes it.  Units stand in the
- * field names; docs and magnolia.conf(5) name each field.
+ * The configuration: the objects that operators edit, validated together as
+ * one set.  A set is immutable after parsing: every module may read it and
+ * none may change it.  Field names include their units; docs/ and
+ * magnolia.conf(5) describe each field.
  */
 
 #include <stdbool.h>
@@ -13,9 +14,9 @@
 
 #include "mag.h"
 
-#define CFG_NOT_BEGUN_MAX  4  /* statuses that prove a refusal */
-#define CFG_SPLIT_MAX	   64 /* accounts that a route sends elsewhere */
-#define CFG_DEFAULT_TOKENS 64 /* max_tokens of a request that names none */
+#define CFG_NOT_BEGUN_MAX  4  /* statuses that prove nothing ran */
+#define CFG_SPLIT_MAX	   64 /* accounts with their own group, per route */
+#define CFG_DEFAULT_TOKENS 64 /* max_tokens if a request sets none */
 
 enum cfg_kind {
 	CFG_SERVICE,
@@ -28,20 +29,20 @@
 
 enum cfg_service_kind {
 	CFG_MODEL, /* a pipeline of engines, each with a range of layers */
-	CFG_PLAIN, /* one HTTP service, one endpoint a request */
+	CFG_PLAIN, /* an HTTP service; one endpoint per request */
 };
 
-/* What an endpoint does with the key that the router derives for it. */
+/* What an endpoint does with the downstream key that the router derives. */
 enum cfg_downstream_key {
-	CFG_DOWN_NONE,	 /* nothing: a lost answer stays unknown */
-	CFG_DOWN_LOOKUP, /* tells whether the key ran */
-	CFG_DOWN_RESEND, /* runs a key once, however often it is sent */
+	CFG_DOWN_NONE,	 /* ignores it: a lost answer stays unknown */
+	CFG_DOWN_LOOKUP, /* can report whether the key ran */
+	CFG_DOWN_RESEND, /* runs a key once, even if it is resent */
 };
 
 enum cfg_key_rule {
 	CFG_KEY_REQUIRED, /* a request without a key is refused */
 	CFG_KEY_OPTIONAL,
-	CFG_KEY_TIMED, /* required, and it must be a UUIDv7 */
+	CFG_KEY_TIMED, /* required, and must be a UUIDv7 */
 };
 
 enum cfg_endpoint_state {
@@ -53,13 +54,13 @@
 	char name[MAG_NAME_MAX];
 	enum cfg_service_kind kind;
 	uint32_t layers;	   /* model: layers 0 .. layers - 1 */
-	uint32_t activation_bytes; /* model: bytes a token sends over a link */
+	uint32_t activation_bytes; /* model: sent over a link per token */
 	uint32_t default_deadline_ms;
 	uint32_t max_deadline_ms;
-	uint32_t queue_max;	/* requests that may wait */
-	uint32_t retry_percent; /* retries, in 100 first attempts */
-	uint32_t key_window_s;	/* how long a key is remembered */
-	int not_begun_status[CFG_NOT_BEGUN_MAX]; /* 0 ends the list */
+	uint32_t queue_max;	/* most requests that may wait */
+	uint32_t retry_percent; /* retries per 100 first attempts */
+	uint32_t key_window_s;	/* how long a key is stored */
+	int not_begun_status[CFG_NOT_BEGUN_MAX]; /* 0 ends a shorter list */
 };
 
 struct cfg_account {
@@ -76,10 +77,10 @@
 
 struct cfg_route {
 	char name[MAG_NAME_MAX];
-	char host[MAG_NAME_MAX];  /* "" takes any host */
+	char host[MAG_NAME_MAX];  /* "" matches any host */
 	char path[128];		  /* prefix */
 	int service;		  /* index into services */
-	char group[MAG_NAME_MAX]; /* of endpoints; "" takes any */
+	char group[MAG_NAME_MAX]; /* of endpoints; "" allows any */
 	bool idempotent;
 	enum cfg_key_rule key;
 	struct cfg_split *splits;
@@ -88,9 +89,9 @@
 
 struct cfg_limit {
 	char name[MAG_NAME_MAX];
-	int account;		 /* index, or -1 for the sum of all accounts */
-	int service;		 /* index, or -1 for the sum of all services */
-	uint32_t requests_per_s; /* 0: no such limit, here and below */
+	int account;		 /* index; -1: all accounts together */
+	int service;		 /* index; -1: all services together */
+	uint32_t requests_per_s; /* 0: unlimited, here and below */
 	uint32_t tokens_per_s;
 	uint32_t concurrent;
 };
@@ -104,9 +105,9 @@
 	char accelerator[MAG_NAME_MAX];
 	uint32_t first_layer;
 	uint32_t last_layer;   /* inclusive */
-	uint32_t tokens_per_s; /* rated, of the declared range */
+	uint32_t tokens_per_s; /* rated speed for this range of layers */
 	uint64_t link_bytes_per_s;
-	uint32_t concurrency; /* most requests at once */
+	uint32_t concurrency; /* most concurrent requests */
 	bool checks_fencing;
 	enum cfg_downstream_key downstream_key;
 	enum cfg_endpoint_state state;
@@ -129,24 +130,24 @@
 enum cfg_err {
 	CFG_OK = 0,
 	CFG_E_SYNTAX = -1,  /* not JSON, or not a set of objects */
-	CFG_E_INVALID = -2, /* at least one object is at fault */
+	CFG_E_INVALID = -2, /* at least one object is invalid */
 	CFG_E_MEMORY = -3,
-	CFG_E_NOT_PATCHABLE = -4, /* cfg_patch: read the whole text instead */
+	CFG_E_NOT_PATCHABLE = -4, /* cfg_patch: use cfg_parse instead */
 };
 
-/* One object as JSON, without the comma after it. */
+/* The JSON text of one object, without the comma that follows it. */
 struct cfg_object_text {
 	const char *text;
 	size_t len;
 };
 
-struct cfg_faults; /* list of what is wrong, each kind/name: field: text */
+struct cfg_faults; /* list of faults, each "kind/name: field: text" */
 
 int cfg_parse(const char *text, size_t len, struct cfg_set **set,
 	      struct cfg_faults **faults);
-int cfg_patch(const struct cfg_set *old, const struct cfg_object_text *drop,
-	      size_t drops, const struct cfg_object_text *put, size_t puts,
-	      struct cfg_set **set);
+int cfg_patch(const struct cfg_set *old, const struct cfg_object_text *removed,
+	      size_t removed_count, const struct cfg_object_text *added,
+	      size_t added_count, struct cfg_set **set);
 int cfg_copy(const struct cfg_set *set, struct cfg_set **copy);
 void cfg_free(struct cfg_set *set);
 size_t cfg_fault_count(const struct cfg_faults *faults);
--- a/src/cfg_check.c
+++ b/src/cfg_check.c
@@ -3,12 +3,15 @@
 
 #include "cfg_int.h"
 
-/* Checks on one object and between objects; cfg_cover.c holds the layers. */
+/*
+ * Checks of single objects and between objects.  cfg_cover.c checks which
+ * layers the endpoints hold.
+ */
 
 typedef int (*cfg_cmp_fn)(const void *a, const void *b);
 
-/* No two objects of a kind may be equal by this comparison. */
-struct cfg_unique {
+/* A comparison by which no two objects of a kind may be equal. */
+struct cfg_unique_rule {
 	enum cfg_kind kind;
 	cfg_cmp_fn cmp; /* of pointers to objects */
 	const char *field;
@@ -19,16 +22,16 @@
 static void cfg_check_limit(struct cfg_build *build, size_t i);
 static void cfg_check_endpoint(struct cfg_build *build, size_t i);
 static void cfg_check_range(struct cfg_build *build,
-			    const struct cfg_endpoint *e, bool named);
+			    const struct cfg_endpoint *e, bool complete);
 static void cfg_check_unique(struct cfg_build *build,
-			     const struct cfg_unique *unique);
-static void cfg_check_above(struct cfg_build *build,
-			    const struct cfg_limit *limit);
-static bool cfg_limit_holds(const struct cfg_limit *broad,
-			    const struct cfg_limit *limit);
+			     const struct cfg_unique_rule *rule);
+static void cfg_check_limit_reachable(struct cfg_build *build,
+				      const struct cfg_limit *limit);
+static bool cfg_limit_includes(const struct cfg_limit *broader,
+			       const struct cfg_limit *limit);
 static int cfg_cmp_hash(const void *a, const void *b);
 static int cfg_cmp_route(const void *a, const void *b);
-static int cfg_cmp_pair(const void *a, const void *b);
+static int cfg_cmp_limit_scope(const void *a, const void *b);
 static int cfg_cmp_address(const void *a, const void *b);
 
 typedef void (*cfg_check_fn)(struct cfg_build *build, size_t i);
@@ -39,35 +42,35 @@
 	[CFG_ENDPOINT] = cfg_check_endpoint,
 };
 
-static const struct cfg_unique uniques[] = {
+static const struct cfg_unique_rule unique_rules[] = {
 	{ CFG_ACCOUNT, cfg_cmp_hash, "key_hash", CFG_M_HASH_TWICE },
 	{ CFG_ROUTE, cfg_cmp_route, "path", CFG_M_ROUTE_OVERLAP },
-	{ CFG_LIMIT, cfg_cmp_pair, "service", CFG_M_LIMIT_TWICE },
+	{ CFG_LIMIT, cfg_cmp_limit_scope, "service", CFG_M_LIMIT_TWICE },
 	{ CFG_ENDPOINT, cfg_cmp_address, "address", CFG_M_ADDRESS_TWICE },
 };
 
-/* Checks all that does not concern which layers are held where. */
+/* Runs all checks except the coverage of layers. */
 void cfg_check_set(struct cfg_build *build)
 {
 	size_t i;
 
 	for (i = 0; i < build->count; i++)
 		cfg_check_item(build, i);
-	for (i = 0; i < MAG_ARRAY_SIZE(uniques); i++)
-		cfg_check_unique(build, &uniques[i]);
+	for (i = 0; i < MAG_ARRAY_SIZE(unique_rules); i++)
+		cfg_check_unique(build, &unique_rules[i]);
 	cfg_check_limits(build);
 }
 
-/* Checks the limits against each other. */
+/* Checks that no limit makes another one unreachable. */
 void cfg_check_limits(struct cfg_build *build)
 {
 	size_t i;
 
 	for (i = 0; i < build->set->limit_count; i++)
-		cfg_check_above(build, &build->set->limits[i]);
+		cfg_check_limit_reachable(build, &build->set->limits[i]);
 }
 
-/* Tells whether another object of a kind takes what only one may have. */
+/* Returns true if another object of the kind has the same unique value. */
 bool cfg_has_duplicate(const struct cfg_build *build, enum cfg_kind kind,
 		       size_t i)
 {
@@ -78,13 +81,13 @@
 	size_t u;
 	size_t k;
 
-	for (u = 0; u < MAG_ARRAY_SIZE(uniques); u++) {
-		if (uniques[u].kind != kind)
+	for (u = 0; u < MAG_ARRAY_SIZE(unique_rules); u++) {
+		if (unique_rules[u].kind != kind)
 			continue;
 		for (k = 0; k < *count; k++) {
 			const char *other = table + k * size;
 
-			if (k != i && uniques[u].cmp(&object, &other) == 0)
+			if (k != i && unique_rules[u].cmp(&object, &other) == 0)
 				return true;
 		}
 	}
@@ -92,9 +95,9 @@
 }
 
 /*
- * Tells whether a service that changed is still one that the endpoints and
- * limits of the former set fit: of the same kind, and with layers that no
- * endpoint passes.
+ * Returns true if the endpoints and limits of the old set are still valid for
+ * a service that changed: it has the same kind, and no endpoint has a layer
+ * beyond its last one.
  */
 bool cfg_service_is_compatible(struct cfg_build *build,
 			       const struct cfg_service *old, size_t service)
@@ -114,14 +117,14 @@
 }
 
 /*
- * Checks an object by itself.  One whose fields could not be read is left
- * out, as what its fallback values would bring up is not the operator's.
+ * Checks a single object.  An object with invalid fields is skipped: faults
+ * caused by the default values that replace them would mislead the operator.
  */
 void cfg_check_item(struct cfg_build *build, size_t i)
 {
 	const struct cfg_item *item = &build->items[i];
 
-	if (item->faults == 0 && check_fns[item->kind])
+	if (item->fault_count == 0 && check_fns[item->kind])
 		check_fns[item->kind](build, i - build->first[item->kind]);
 }
 
@@ -199,13 +202,13 @@
 	cfg_check_range(build, e, first && last);
 }
 
-/* Checks the range of a model's endpoint, if both its ends are named. */
+/* Checks the layer range of a model's endpoint if it is complete. */
 static void cfg_check_range(struct cfg_build *build,
-			    const struct cfg_endpoint *e, bool named)
+			    const struct cfg_endpoint *e, bool complete)
 {
 	const struct cfg_service *s = &build->set->services[e->service];
 
-	if (!named)
+	if (!complete)
 		return;
 	if (e->first_layer > e->last_layer)
 		cfg_fault(build->faults, "endpoint", e->name, "first_layer",
@@ -217,85 +220,88 @@
 }
 
 /*
- * Sorts pointers to the readable objects of a kind and reports neighbours
- * that are equal.  The name stands first in every structure.
+ * Sorts pointers to the valid objects of a kind and reports neighbours that
+ * are equal.  A pointer to an object also points to its name, which is the
+ * first member of every structure.
  */
 static void cfg_check_unique(struct cfg_build *build,
-			     const struct cfg_unique *unique)
+			     const struct cfg_unique_rule *rule)
 {
-	const struct cfg_layout *layout = cfg_layout(unique->kind);
-	size_t first = build->first[unique->kind];
-	size_t count = build->first[unique->kind + 1] - first;
+	const struct cfg_layout *layout = cfg_layout(rule->kind);
+	size_t first = build->first[rule->kind];
+	size_t count = build->first[rule->kind + 1] - first;
 	const char *tables[CFG_KIND_COUNT] = {
 		[CFG_ACCOUNT] = (char *)build->set->accounts,
 		[CFG_ROUTE] = (char *)build->set->routes,
 		[CFG_LIMIT] = (char *)build->set->limits,
 		[CFG_ENDPOINT] = (char *)build->set->endpoints,
 	};
-	const char **refs = calloc(count ? count : 1, sizeof(*refs));
-	size_t used = 0;
+	const char **objects = calloc(count ? count : 1, sizeof(*objects));
+	size_t object_count = 0;
 	size_t i;
 
-	if (!refs) {
+	if (!objects) {
 		cfg_faults_mark_incomplete(build->faults);
 		return;
 	}
 	for (i = 0; i < count; i++) {
-		if (build->items[first + i].faults == 0)
-			refs[used++] = tables[unique->kind] + i * layout->size;
+		if (build->items[first + i].fault_count == 0)
+			objects[object_count++] =
+				tables[rule->kind] + i * layout->size;
 	}
-	qsort(refs, used, sizeof(*refs), unique->cmp);
-	for (i = 1; i < used; i++) {
-		if (unique->cmp(&refs[i - 1], &refs[i]) == 0)
-			cfg_fault(build->faults, layout->kind, refs[i],
-				  unique->field, unique->msg, refs[i - 1]);
+	qsort(objects, object_count, sizeof(*objects), rule->cmp);
+	for (i = 1; i < object_count; i++) {
+		if (rule->cmp(&objects[i - 1], &objects[i]) == 0)
+			cfg_fault(build->faults, layout->kind, objects[i],
+				  rule->field, rule->msg, objects[i - 1]);
 	}
-	free(refs);
+	free(objects);
 }
 
-/* Reports a limit that lies above one that holds for the same requests. */
-static void cfg_check_above(struct cfg_build *build,
-			    const struct cfg_limit *limit)
+/* Reports a limit that exceeds a broader one for the same requests. */
+static void cfg_check_limit_reachable(struct cfg_build *build,
+				      const struct cfg_limit *limit)
 {
 	size_t i;
 
 	for (i = 0; i < build->set->limit_count; i++) {
-		const struct cfg_limit *broad = &build->set->limits[i];
+		const struct cfg_limit *broader = &build->set->limits[i];
 
-		if (!cfg_limit_holds(broad, limit))
+		if (!cfg_limit_includes(broader, limit))
 			continue;
-		if (broad->requests_per_s &&
-		    limit->requests_per_s > broad->requests_per_s)
+		if (broader->requests_per_s &&
+		    limit->requests_per_s > broader->requests_per_s)
 			cfg_fault(build->faults, "limit", limit->name,
 				  "requests_per_s", CFG_M_LIMIT_UNREACHABLE,
-				  limit->requests_per_s, broad->name,
-				  broad->requests_per_s);
-		if (broad->tokens_per_s &&
-		    limit->tokens_per_s > broad->tokens_per_s)
+				  limit->requests_per_s, broader->name,
+				  broader->requests_per_s);
+		if (broader->tokens_per_s &&
+		    limit->tokens_per_s > broader->tokens_per_s)
 			cfg_fault(build->faults, "limit", limit->name,
 				  "tokens_per_s", CFG_M_LIMIT_UNREACHABLE,
-				  limit->tokens_per_s, broad->name,
-				  broad->tokens_per_s);
-		if (broad->concurrent && limit->concurrent > broad->concurrent)
+				  limit->tokens_per_s, broader->name,
+				  broader->tokens_per_s);
+		if (broader->concurrent &&
+		    limit->concurrent > broader->concurrent)
 			cfg_fault(build->faults, "limit", limit->name,
 				  "concurrent", CFG_M_LIMIT_UNREACHABLE,
-				  limit->concurrent, broad->name,
-				  broad->concurrent);
+				  limit->concurrent, broader->name,
+				  broader->concurrent);
 	}
 }
 
-/* Tells whether a broader limit holds for every request of another one. */
-static bool cfg_limit_holds(const struct cfg_limit *broad,
-			    const struct cfg_limit *limit)
+/* Returns true if a broader limit applies to all requests of another one. */
+static bool cfg_limit_includes(const struct cfg_limit *broader,
+			       const struct cfg_limit *limit)
 {
-	if (broad->account >= 0 && broad->service >= 0)
+	if (broader->account >= 0 && broader->service >= 0)
 		return false;
-	if (broad->account >= 0 && broad->account != limit->account)
+	if (broader->account >= 0 && broader->account != limit->account)
 		return false;
-	if (broad->service >= 0 && broad->service != limit->service)
+	if (broader->service >= 0 && broader->service != limit->service)
 		return false;
-	return broad->account != limit->account ||
-	       broad->service != limit->service;
+	return broader->account != limit->account ||
+	       broader->service != limit->service;
 }
 
 static int cfg_cmp_hash(const void *a, const void *b)
@@ -315,7 +321,7 @@
 	return cmp ? cmp : strcmp(x->path, y->path);
 }
 
-static int cfg_cmp_pair(const void *a, const void *b)
+static int cfg_cmp_limit_scope(const void *a, const void *b)
 {
 	const struct cfg_limit *x = *(const struct cfg_limit *const *)a;
 	const struct cfg_limit *y = *(const struct cfg_limit *const *)b;
--- a/src/cfg_copy.c
+++ b/src/cfg_copy.c
@@ -6,8 +6,8 @@
 static int cfg_copy_splits(struct cfg_set *copy);
 
 /*
- * Copies a set, for another owner: far cheaper than reading its
- * text again.  The caller frees the copy with cfg_free.
+ * Copies a set for another owner, which is far cheaper than parsing its text
+ * again.  The caller frees the copy with cfg_free.
  */
 int cfg_copy(const struct cfg_set *set, struct cfg_set **copy)
 {
@@ -38,7 +38,7 @@
 	return CFG_OK;
 }
 
-/* Copies a table; one of no objects is not NULL either. */
+/* Copies a table.  Returns NULL only without memory, not if it is empty. */
 void *cfg_copy_table(const void *table, size_t count, size_t size)
 {
 	void *copy = calloc(count ? count : 1, size);
@@ -48,7 +48,7 @@
 	return copy;
 }
 
-/* Gives each route of a copy splits of its own in place of the first set's. */
+/* Replaces the splits that a copy shares with its original by copies. */
 static int cfg_copy_splits(struct cfg_set *copy)
 {
 	int err = CFG_OK;
@@ -66,7 +66,7 @@
 	return err;
 }
 
-/* Tells whether two endpoints agree in all fields. */
+/* Returns true if two endpoints are equal in all fields. */
 bool cfg_same_endpoint(const struct cfg_endpoint *a,
 		       const struct cfg_endpoint *b)
 {
--- a/src/cfg_cover.c
+++ b/src/cfg_cover.c
@@ -4,102 +4,112 @@
 #include "cfg_int.h"
 
 /*
- * Which layers of a service the active endpoints hold, all of them or those
- * of one group.  A drained endpoint gets no new work, so it covers nothing.
+ * The layers of a service that its active endpoints hold: all endpoints, or
+ * those of one group.  A draining endpoint gets no new work and is not counted.
  */
-struct cfg_cover {
+struct cfg_coverage {
 	const struct cfg_service *service;
-	const char *group; /* "" takes any */
-	uint32_t *reach;   /* by first layer: the layer after the last held */
-	size_t endpoints;
+	const char *group;   /* "" means all */
+	uint32_t *end_layer; /* by first layer: one past the last layer */
+	size_t endpoint_total;
 };
 
-/* Where a gap is reported: the service itself, or a route with a group. */
-struct cfg_cover_at {
+/* The object that faults name: the service, or a route that uses a group. */
+struct cfg_fault_location {
 	const char *kind;
 	const char *name;
 	const char *field;
 };
 
-static void cfg_cover_service(struct cfg_build *build, int service,
-			      const char *group, const struct cfg_cover_at *at);
-static bool cfg_cover_fill(struct cfg_build *build, struct cfg_cover *cover);
-static void cfg_cover_gaps(struct cfg_build *build,
-			   const struct cfg_cover *cover,
-			   const struct cfg_cover_at *at);
-static void cfg_cover_chain(struct cfg_build *build,
-			    const struct cfg_cover *cover,
-			    const struct cfg_cover_at *at);
-static void cfg_cover_gap(struct cfg_build *build,
-			  const struct cfg_cover *cover,
-			  const struct cfg_cover_at *at, uint32_t first,
-			  uint32_t last);
-static void cfg_cover_none(struct cfg_build *build,
-			   const struct cfg_cover *cover,
-			   const struct cfg_cover_at *at);
+static void
+cfg_check_service_coverage(struct cfg_build *build, int service,
+			   const char *group,
+			   const struct cfg_fault_location *location);
+static bool cfg_coverage_fill(struct cfg_build *build,
+			      struct cfg_coverage *coverage);
+static void cfg_check_gaps(struct cfg_build *build,
+			   const struct cfg_coverage *coverage,
+			   const struct cfg_fault_location *location);
+static void cfg_check_chain_length(struct cfg_build *build,
+				   const struct cfg_coverage *coverage,
+				   const struct cfg_fault_location *location);
+static void cfg_report_gap(struct cfg_build *build,
+			   const struct cfg_coverage *coverage,
+			   const struct cfg_fault_location *location,
+			   uint32_t first, uint32_t last);
+static void cfg_report_no_endpoint(struct cfg_build *build,
+				   const struct cfg_coverage *coverage,
+				   const struct cfg_fault_location *location);
 
 /*
- * Checks that every service, and every group that a route names, has active
- * endpoints that hold all layers in a chain that is not too long.  With a
- * list of the services that are touched, by index, only those are checked.
+ * Checks that each service, and each group that a route uses, has active
+ * endpoints that hold all layers and form a chain that is not too long.  If
+ * affected is not NULL, only services whose entry in it is true are checked.
  */
-void cfg_check_coverage(struct cfg_build *build, const bool *touched)
+void cfg_check_coverage(struct cfg_build *build, const bool *affected)
 {
 	const struct cfg_set *set = build->set;
 	size_t i;
 	size_t k;
 
 	for (i = 0; i < set->service_count; i++) {
-		struct cfg_cover_at at = { "service", set->services[i].name,
-					   "layers" };
+		struct cfg_fault_location location = { "service",
+						       set->services[i].name,
+						       "layers" };
 
-		if (!touched || touched[i])
-			cfg_cover_service(build, (int)i, "", &at);
+		if (!affected || affected[i])
+			cfg_check_service_coverage(build, (int)i, "",
+						   &location);
 	}
 	for (i = 0; i < set->route_count; i++) {
 		const struct cfg_route *route = &set->routes[i];
-		struct cfg_cover_at at = { "route", route->name, "group" };
+		struct cfg_fault_location location = { "route", route->name,
+						       "group" };
 
-		if (touched && !touched[route->service])
+		if (affected && !affected[route->service])
 			continue;
 		if (route->group[0])
-			cfg_cover_service(build, route->service, route->group,
-					  &at);
-		at.field = "splits";
+			cfg_check_service_coverage(build, route->service,
+						   route->group, &location);
+		location.field = "splits";
 		for (k = 0; k < route->split_count; k++)
-			cfg_cover_service(build, route->service,
-					  route->splits[k].group, &at);
+			cfg_check_service_coverage(build, route->service,
+						   route->splits[k].group,
+						   &location);
 	}
 }
 
-static void cfg_cover_service(struct cfg_build *build, int service,
-			      const char *group, const struct cfg_cover_at *at)
+static void
+cfg_check_service_coverage(struct cfg_build *build, int service,
+			   const char *group,
+			   const struct cfg_fault_location *location)
 {
-	struct cfg_cover cover = { .group = group };
+	struct cfg_coverage coverage = { .group = group };
 
 	if (service < 0 || !cfg_fields_valid(build, CFG_SERVICE, service))
 		return;
-	cover.service = &build->set->services[service];
-	if (!cfg_cover_fill(build, &cover))
+	coverage.service = &build->set->services[service];
+	if (!cfg_coverage_fill(build, &coverage))
 		return;
-	if (cover.endpoints == 0) {
-		cfg_cover_none(build, &cover, at);
-	} else if (cover.service->kind == CFG_MODEL) {
-		cfg_cover_gaps(build, &cover, at);
-		cfg_cover_chain(build, &cover, at);
+	if (coverage.endpoint_total == 0) {
+		cfg_report_no_endpoint(build, &coverage, location);
+	} else if (coverage.service->kind == CFG_MODEL) {
+		cfg_check_gaps(build, &coverage, location);
+		cfg_check_chain_length(build, &coverage, location);
 	}
-	free(cover.reach);
+	free(coverage.end_layer);
 }
 
-/* Notes for each layer how far the endpoints that start there reach. */
-static bool cfg_cover_fill(struct cfg_build *build, struct cfg_cover *cover)
+/* Stores for each first layer the farthest end of its endpoints' ranges. */
+static bool cfg_coverage_fill(struct cfg_build *build,
+			      struct cfg_coverage *coverage)
 {
 	const struct cfg_set *set = build->set;
 	size_t i;
 
-	cover->reach =
-		calloc(cover->service->layers + 1, sizeof(*cover->reach));
-	if (!cover->reach) {
+	coverage->end_layer = calloc(coverage->service->layers + 1,
+				     sizeof(*coverage->end_layer));
+	if (!coverage->end_layer) {
 		cfg_faults_mark_incomplete(build->faults);
 		return false;
 	}
@@ -107,89 +117,95 @@
 		const struct cfg_endpoint *e = &set->endpoints[i];
 
 		if (e->service < 0 ||
-		    &set->services[e->service] != cover->service ||
+		    &set->services[e->service] != coverage->service ||
 		    e->state != CFG_ACTIVE)
 			continue;
-		if (cover->group[0] && strcmp(cover->group, e->group) != 0)
+		if (coverage->group[0] &&
+		    strcmp(coverage->group, e->group) != 0)
 			continue;
-		cover->endpoints++;
-		if (e->first_layer < cover->service->layers &&
-		    e->last_layer + 1 > cover->reach[e->first_layer])
-			cover->reach[e->first_layer] = e->last_layer + 1;
+		coverage->endpoint_total++;
+		if (e->first_layer < coverage->service->layers &&
+		    e->last_layer + 1 > coverage->end_layer[e->first_layer])
+			coverage->end_layer[e->first_layer] = e->last_layer + 1;
 	}
 	return true;
 }
 
-/* Reports each run of layers that nothing holds. */
-static void cfg_cover_gaps(struct cfg_build *build,
-			   const struct cfg_cover *cover,
-			   const struct cfg_cover_at *at)
+/* Reports each range of layers that no endpoint holds. */
+static void cfg_check_gaps(struct cfg_build *build,
+			   const struct cfg_coverage *coverage,
+			   const struct cfg_fault_location *location)
 {
-	uint32_t layers = cover->service->layers;
-	uint32_t held = 0; /* layers below it are held or reported */
+	uint32_t layers = coverage->service->layers;
+	uint32_t covered = 0; /* lower layers are held or reported */
 	uint32_t i;
 
 	for (i = 0; i < layers; i++) {
-		if (cover->reach[i] == 0)
+		if (coverage->end_layer[i] == 0)
 			continue;
-		if (i > held)
-			cfg_cover_gap(build, cover, at, held, i - 1);
-		if (cover->reach[i] > held)
-			held = cover->reach[i];
+		if (i > covered)
+			cfg_report_gap(build, coverage, location, covered,
+				       i - 1);
+		if (coverage->end_layer[i] > covered)
+			covered = coverage->end_layer[i];
 	}
-	if (held < layers)
-		cfg_cover_gap(build, cover, at, held, layers - 1);
+	if (covered < layers)
+		cfg_report_gap(build, coverage, location, covered, layers - 1);
 }
 
-/* Reports a service whose shortest chain has more stages than are taken. */
-static void cfg_cover_chain(struct cfg_build *build,
-			    const struct cfg_cover *cover,
-			    const struct cfg_cover_at *at)
+/*
+ * Reports a service whose shortest chain has more than MAG_CHAIN_MAX stages.
+ * Extending the chain as far as possible at each stage gives the shortest one.
+ */
+static void cfg_check_chain_length(struct cfg_build *build,
+				   const struct cfg_coverage *coverage,
+				   const struct cfg_fault_location *location)
 {
-	uint32_t layers = cover->service->layers;
-	uint32_t best = 0;
-	uint32_t held = 0;
+	uint32_t layers = coverage->service->layers;
+	uint32_t max_end = 0;
+	uint32_t covered = 0;
 	uint32_t stages = 0;
 	uint32_t i = 0;
 
-	while (held < layers) {
-		for (; i <= held; i++) {
-			if (cover->reach[i] > best)
-				best = cover->reach[i];
+	while (covered < layers) {
+		for (; i <= covered; i++) {
+			if (coverage->end_layer[i] > max_end)
+				max_end = coverage->end_layer[i];
 		}
-		if (best <= held)
-			return; /* a gap, reported elsewhere */
-		held = best;
+		if (max_end <= covered)
+			return; /* cfg_check_gaps reports the gap */
+		covered = max_end;
 		stages++;
 	}
 	if (stages > MAG_CHAIN_MAX)
-		cfg_fault(build->faults, at->kind, at->name, at->field,
-			  CFG_M_CHAIN_LONG, stages, MAG_CHAIN_MAX);
+		cfg_fault(build->faults, location->kind, location->name,
+			  location->field, CFG_M_CHAIN_LONG, stages,
+			  MAG_CHAIN_MAX);
 }
 
-static void cfg_cover_gap(struct cfg_build *build,
-			  const struct cfg_cover *cover,
-			  const struct cfg_cover_at *at, uint32_t first,
-			  uint32_t last)
+static void cfg_report_gap(struct cfg_build *build,
+			   const struct cfg_coverage *coverage,
+			   const struct cfg_fault_location *location,
+			   uint32_t first, uint32_t last)
 {
-	if (cover->group[0])
-		cfg_fault(build->faults, at->kind, at->name, at->field,
-			  CFG_M_GROUP_GAP, cover->group, first, last,
-			  cover->service->name);
+	if (coverage->group[0])
+		cfg_fault(build->faults, location->kind, location->name,
+			  location->field, CFG_M_GROUP_GAP, coverage->group,
+			  first, last, coverage->service->name);
 	else
-		cfg_fault(build->faults, at->kind, at->name, at->field,
-			  CFG_M_GAP, first, last);
+		cfg_fault(build->faults, location->kind, location->name,
+			  location->field, CFG_M_GAP, first, last);
 }
 
-static void cfg_cover_none(struct cfg_build *build,
-			   const struct cfg_cover *cover,
-			   const struct cfg_cover_at *at)
+static void cfg_report_no_endpoint(struct cfg_build *build,
+				   const struct cfg_coverage *coverage,
+				   const struct cfg_fault_location *location)
 {
-	if (cover->group[0])
-		cfg_fault(build->faults, at->kind, at->name, at->field,
-			  CFG_M_GROUP_EMPTY, cover->service->name,
-			  cover->group);
+	if (coverage->group[0])
+		cfg_fault(build->faults, location->kind, location->name,
+			  location->field, CFG_M_GROUP_EMPTY,
+			  coverage->service->name, coverage->group);
 	else
-		cfg_fault(build->faults, at->kind, at->name, "name",
+		cfg_fault(build->faults, location->kind, location->name, "name",
 			  CFG_M_NO_ENDPOINT);
 }
--- a/src/cfg_field.c
+++ b/src/cfg_field.c
@@ -6,7 +6,7 @@
 #include "cfg_int.h"
 #include "chk.h"
 
-/* One field being read. */
+/* State for reading one field. */
 struct cfg_reader {
 	struct cfg_build *build;
 	const struct cfg_item *item;
@@ -19,8 +19,8 @@
 
 static void cfg_read_field(struct cfg_reader *r);
 static void cfg_check_unknown(struct cfg_build *build, struct cfg_item *item);
-static void cfg_set_absent(struct cfg_reader *r);
-static const char *cfg_string(struct cfg_reader *r);
+static void cfg_set_default(struct cfg_reader *r);
+static const char *cfg_get_string(struct cfg_reader *r);
 static void cfg_read_name(struct cfg_reader *r);
 static void cfg_read_host(struct cfg_reader *r);
 static void cfg_read_path(struct cfg_reader *r);
@@ -28,7 +28,7 @@
 static void cfg_read_address(struct cfg_reader *r);
 static void cfg_read_number(struct cfg_reader *r);
 static void cfg_read_bool(struct cfg_reader *r);
-static void cfg_read_word(struct cfg_reader *r);
+static void cfg_read_enum(struct cfg_reader *r);
 static void cfg_read_reference(struct cfg_reader *r);
 static void cfg_read_statuses(struct cfg_reader *r);
 static void cfg_read_splits(struct cfg_reader *r);
@@ -47,7 +47,7 @@
 	[CFG_T_U32] = cfg_read_number,
 	[CFG_T_U64] = cfg_read_number,
 	[CFG_T_BOOL] = cfg_read_bool,
-	[CFG_T_ENUM] = cfg_read_word,
+	[CFG_T_ENUM] = cfg_read_enum,
 	[CFG_T_REFERENCE] = cfg_read_reference,
 	[CFG_T_STATUSES] = cfg_read_statuses,
 	[CFG_T_SPLITS] = cfg_read_splits,
@@ -58,8 +58,8 @@
 		  (r)->item->name, (r)->field->name, (msg), ##__VA_ARGS__)
 
 /*
- * Reads all fields of one object into its structure and lists what is wrong
- * with them.  The name stands first in every structure.
+ * Reads all fields of one object into its structure and adds their faults to
+ * the list.  The name is the first member of every structure.
  */
 void cfg_read_item(struct cfg_build *build, struct cfg_item *item, void *dst)
 {
@@ -78,19 +78,19 @@
 		cfg_read_field(&r);
 	}
 	cfg_check_unknown(build, item);
-	item->faults = cfg_fault_count(build->faults) - before;
+	item->fault_count = cfg_fault_count(build->faults) - before;
 }
 
 static void cfg_read_field(struct cfg_reader *r)
 {
-	cfg_set_absent(r);
+	cfg_set_default(r);
 	if (r->value)
 		read_fns[r->field->type](r);
-	else if (r->field->need != CFG_OPTIONAL)
+	else if (r->field->requirement != CFG_OPTIONAL)
 		READ_FAULT(r, CFG_M_MISSING);
 }
 
-/* Refuses what no field descriptor names: a misspelt field would be lost. */
+/* Refuses unknown fields: a misspelt one would otherwise be ignored. */
 static void cfg_check_unknown(struct cfg_build *build, struct cfg_item *item)
 {
 	const struct cfg_layout *layout = cfg_layout(item->kind);
@@ -111,29 +111,29 @@
 	}
 }
 
-/* Gives a field the value that holds when the object does not name it. */
-static void cfg_set_absent(struct cfg_reader *r)
+/* Sets a field to the value that it has when it is absent. */
+static void cfg_set_default(struct cfg_reader *r)
 {
 	void *dst = r->dst + r->field->offset;
 
 	switch (r->field->type) {
 	case CFG_T_U32:
-		*(uint32_t *)dst = (uint32_t)r->field->fallback;
+		*(uint32_t *)dst = (uint32_t)r->field->default_value;
 		break;
 	case CFG_T_U64:
-		*(uint64_t *)dst = (uint64_t)r->field->fallback;
+		*(uint64_t *)dst = (uint64_t)r->field->default_value;
 		break;
 	case CFG_T_ENUM:
 	case CFG_T_REFERENCE:
-		*(int *)dst = (int)r->field->fallback;
+		*(int *)dst = (int)r->field->default_value;
 		break;
 	default:
 		break;
 	}
 }
 
-/* Returns the value as a string that fits, or NULL with a fault. */
-static const char *cfg_string(struct cfg_reader *r)
+/* Returns the value if it is a string that fits; else adds a fault. */
+static const char *cfg_get_string(struct cfg_reader *r)
 {
 	const char *s = json_string_value(r->value);
 
@@ -148,14 +148,14 @@
 	return s;
 }
 
-/* Names of groups, data centres and accelerators: "" is as good as absent. */
+/* Reads a group, data centre or accelerator; "" is the same as absent. */
 static void cfg_read_name(struct cfg_reader *r)
 {
-	const char *s = cfg_string(r);
+	const char *s = cfg_get_string(r);
 
 	if (!s)
 		return;
-	if (s[0] == '\0' && r->field->need == CFG_OPTIONAL)
+	if (s[0] == '\0' && r->field->requirement == CFG_OPTIONAL)
 		return;
 	if (chk_name(s))
 		mag_copy_name(r->dst + r->field->offset, r->field->size, s);
@@ -165,7 +165,7 @@
 
 static void cfg_read_host(struct cfg_reader *r)
 {
-	const char *s = cfg_string(r);
+	const char *s = cfg_get_string(r);
 
 	if (s && cfg_host_ok(s))
 		mag_copy_name(r->dst + r->field->offset, r->field->size, s);
@@ -173,11 +173,11 @@
 		READ_FAULT(r, CFG_M_HOST, s);
 }
 
-/* Keeps a path without its last slash, so that "/a" and "/a/" are one. */
+/* Removes a trailing slash, so that "/a" and "/a/" are the same path. */
 static void cfg_read_path(struct cfg_reader *r)
 {
 	char *path = r->dst + r->field->offset;
-	const char *s = cfg_string(r);
+	const char *s = cfg_get_string(r);
 	size_t len;
 
 	if (!s)
@@ -194,7 +194,7 @@
 
 static void cfg_read_hash(struct cfg_reader *r)
 {
-	const char *s = cfg_string(r);
+	const char *s = cfg_get_string(r);
 
 	if (!s)
 		return;
@@ -207,7 +207,7 @@
 
 static void cfg_read_address(struct cfg_reader *r)
 {
-	const char *s = cfg_string(r);
+	const char *s = cfg_get_string(r);
 
 	if (s && chk_address(s))
 		mag_copy_name(r->dst + r->field->offset, r->field->size, s);
@@ -224,7 +224,7 @@
 		READ_FAULT(r, CFG_M_TYPE, "a whole number");
 		return;
 	}
-	if (n == 0 && r->field->need == CFG_POSITIVE) {
+	if (n == 0 && r->field->requirement == CFG_POSITIVE) {
 		READ_FAULT(r, CFG_M_ZERO);
 		return;
 	}
@@ -249,7 +249,7 @@
 		READ_FAULT(r, CFG_M_TYPE, "true or false");
 }
 
-static void cfg_read_word(struct cfg_reader *r)
+static void cfg_read_enum(struct cfg_reader *r)
 {
 	const char *s = json_string_value(r->value);
 	char list[128] = "";
@@ -260,14 +260,14 @@
 		READ_FAULT(r, CFG_M_TYPE, "a string");
 		return;
 	}
-	for (i = 0; r->field->words[i]; i++) {
-		if (strcmp(r->field->words[i], s) == 0) {
+	for (i = 0; r->field->values[i]; i++) {
+		if (strcmp(r->field->values[i], s) == 0) {
 			*(int *)(r->dst + r->field->offset) = i;
 			return;
 		}
 		used += (size_t)snprintf(list + used, sizeof(list) - used,
 					 "%s%s", i ? ", " : "",
-					 r->field->words[i]);
+					 r->field->values[i]);
 	}
 	READ_FAULT(r, CFG_M_ENUM, s, list);
 }
@@ -288,7 +288,7 @@
 	*(int *)(r->dst + r->field->offset) = index;
 }
 
-/* The statuses by which a service proves that it began nothing. */
+/* Reads the statuses by which a service proves that it started nothing. */
 static void cfg_read_statuses(struct cfg_reader *r)
 {
 	int *list = (int *)(r->dst + r->field->offset);
@@ -331,7 +331,7 @@
 	}
 }
 
-/* The accounts that a route sends to another group of endpoints. */
+/* Reads the accounts that a route sends to another group of endpoints. */
 static void cfg_read_splits(struct cfg_reader *r)
 {
 	struct cfg_route *route = (struct cfg_route *)r->dst;
@@ -423,8 +423,8 @@
 }
 
 /*
- * A path that holds an empty part, "." or ".." is rewritten before a route is
- * looked for, so that such a route would never be taken.
+ * A request's path is normalised before the route lookup, so that a route with
+ * an empty segment, "." or ".." would never match.
  */
 static bool cfg_segment_ok(const char *segment)
 {
--- a/src/cfg_find.c
+++ b/src/cfg_find.c
@@ -4,13 +4,13 @@
 
 #include "cfg.h"
 
-static int cfg_search(const void *table, size_t count, size_t size,
-		      const char *name);
+static int cfg_find_by_name(const void *table, size_t count, size_t size,
+			    const char *name);
 static int cfg_name_cmp(const void *name, const void *object);
 static bool cfg_host_matches(const char *route, const char *host);
 static bool cfg_path_matches(const char *route, const char *path, size_t len);
 
-/* Finds the account whose key has this hash.  Returns its index, or -1. */
+/* Finds an account by the hash of its key.  Returns its index, or -1. */
 int cfg_find_account_by_key(const struct cfg_set *set, const char *key_hash)
 {
 	size_t i;
@@ -25,23 +25,23 @@
 /* Finds a service by name.  Returns its index, or -1. */
 int cfg_find_service(const struct cfg_set *set, const char *name)
 {
-	return cfg_search(set->services, set->service_count,
-			  sizeof(*set->services), name);
+	return cfg_find_by_name(set->services, set->service_count,
+				sizeof(*set->services), name);
 }
 
 /* Finds an endpoint by name.  Returns its index, or -1. */
 int cfg_find_endpoint(const struct cfg_set *set, const char *name)
 {
-	return cfg_search(set->endpoints, set->endpoint_count,
-			  sizeof(*set->endpoints), name);
+	return cfg_find_by_name(set->endpoints, set->endpoint_count,
+				sizeof(*set->endpoints), name);
 }
 
 /*
- * Finds the route of a request by the Host header and the path, with or
- * without a port and a query.  A route that names the host goes before one
- * for any host; among these the longest path wins, and a path takes whole
- * segments: "/book" takes "/book/1" and not "/books".  Returns its index, or
- * -1 if none takes the request.
+ * Finds the route of a request by the Host header, which may include a port,
+ * and the path, which may include a query.  Routes with a host take precedence
+ * over routes for any host; among equals the longest path wins.  A path matches
+ * whole segments: "/book" matches "/book/1" but not "/books".  Returns the
+ * index of the route, or -1 if none matches.
  */
 int cfg_find_route(const struct cfg_set *set, const char *host,
 		   const char *path)
@@ -69,8 +69,8 @@
 }
 
 /*
- * Returns the group of endpoints that serves an account on a route: that of
- * its split, else the route's; "" takes any.
+ * Returns the group of endpoints that serves an account on a route: the group
+ * of the account's split, else the route's; "" allows any endpoint.
  */
 const char *cfg_route_group(const struct cfg_set *set, int route, int account)
 {
@@ -84,9 +84,9 @@
 	return r->group;
 }
 
-/* The tables are sorted by name, which stands first in each structure. */
-static int cfg_search(const void *table, size_t count, size_t size,
-		      const char *name)
+/* The tables are sorted by name, the first member of each structure. */
+static int cfg_find_by_name(const void *table, size_t count, size_t size,
+			    const char *name)
 {
 	const char *found;
 
--- a/src/cfg_layout.c
+++ b/src/cfg_layout.c
@@ -1,36 +1,37 @@
 #include "cfg_int.h"
 
-/* The fields of each kind of object, their units and what they may hold. */
+/* The fields of each kind of object, with their ranges and defaults. */
 
 #define AT(object, field) offsetof(struct cfg_##object, field)
-#define STR(object, field, kind, want)                                         \
-	.name = #field, .type = (kind), .need = (want),                        \
+#define STR(object, field, kind, req)                                          \
+	.name = #field, .type = (kind), .requirement = (req),                  \
 	.offset = AT(object, field),                                           \
 	.size = sizeof(((struct cfg_##object *)NULL)->field)
-#define NUM(object, field, want, low, high, absent)                            \
-	.name = #field, .type = CFG_T_U32, .need = (want),                     \
+#define NUM(object, field, req, low, high, dflt)                               \
+	.name = #field, .type = CFG_T_U32, .requirement = (req),               \
 	.offset = AT(object, field), .min = (low), .max = (high),              \
-	.fallback = (absent)
-#define WORD(object, field, want, list, absent)                                \
-	.name = #field, .type = CFG_T_ENUM, .need = (want),                    \
-	.offset = AT(object, field), .words = (list), .fallback = (absent)
-#define REF(object, field, want, kind)                                         \
-	.name = #field, .type = CFG_T_REFERENCE, .need = (want),               \
-	.offset = AT(object, field), .target = (kind), .fallback = -1
+	.default_value = (dflt)
+#define WORD(object, field, req, list, dflt)                                   \
+	.name = #field, .type = CFG_T_ENUM, .requirement = (req),              \
+	.offset = AT(object, field), .values = (list), .default_value = (dflt)
+#define REF(object, field, req, kind)                                          \
+	.name = #field, .type = CFG_T_REFERENCE, .requirement = (req),         \
+	.offset = AT(object, field), .target = (kind), .default_value = -1
 
 static const char *const service_kinds[] = { "model", "plain", NULL };
 static const char *const key_rules[] = { "required", "optional", "timed",
 					 NULL };
-static const char *const downstreams[] = { "none", "lookup", "resend", NULL };
-static const char *const drains[] = { "active", "drain", NULL };
+static const char *const downstream_keys[] = { "none", "lookup", "resend",
+					       NULL };
+static const char *const endpoint_states[] = { "active", "drain", NULL };
 
-/* The object's own kind is the field "kind", so this one is "type". */
+/* In the text, "kind" is the kind of object, so a service's kind is "type". */
 static const struct cfg_field service_fields[] = {
 	{ .name = "type",
 	  .type = CFG_T_ENUM,
-	  .need = CFG_REQUIRED,
+	  .requirement = CFG_REQUIRED,
 	  .offset = AT(service, kind),
-	  .words = service_kinds },
+	  .values = service_kinds },
 	{ NUM(service, layers, CFG_OPTIONAL, 1, 4096, 0) },
 	{ NUM(service, activation_bytes, CFG_OPTIONAL, 1, 1U << 30, 16384) },
 	{ NUM(service, default_deadline_ms, CFG_OPTIONAL, 1,
@@ -61,7 +62,7 @@
 	{ STR(route, group, CFG_T_NAME, CFG_OPTIONAL) },
 	{ .name = "idempotent",
 	  .type = CFG_T_BOOL,
-	  .need = CFG_REQUIRED,
+	  .requirement = CFG_REQUIRED,
 	  .offset = AT(route, idempotent) },
 	{ WORD(route, key, CFG_REQUIRED, key_rules, CFG_KEY_REQUIRED) },
 	{ .name = "splits", .type = CFG_T_SPLITS, .offset = AT(route, splits) },
@@ -89,14 +90,14 @@
 	  .offset = AT(endpoint, link_bytes_per_s),
 	  .min = 1,
 	  .max = UINT64_C(1000000000000000),
-	  .fallback = 125000000 },
+	  .default_value = 125000000 },
 	{ NUM(endpoint, concurrency, CFG_POSITIVE, 1, 100000, 1) },
 	{ .name = "checks_fencing",
 	  .type = CFG_T_BOOL,
 	  .offset = AT(endpoint, checks_fencing) },
-	{ WORD(endpoint, downstream_key, CFG_OPTIONAL, downstreams,
+	{ WORD(endpoint, downstream_key, CFG_OPTIONAL, downstream_keys,
 	       CFG_DOWN_NONE) },
-	{ WORD(endpoint, state, CFG_OPTIONAL, drains, CFG_ACTIVE) },
+	{ WORD(endpoint, state, CFG_OPTIONAL, endpoint_states, CFG_ACTIVE) },
 };
 
 #define LAYOUT(object)                                                         \
--- a/src/cfg_msg.c
+++ b/src/cfg_msg.c
@@ -22,7 +22,7 @@
 static const struct cfg_msg_entry cfg_msgs[] = { CFG_MSGS };
 #undef CFG_MSG
 
-/* Returns an empty list of faults, or NULL without memory. */
+/* Returns an empty list of faults, or NULL if memory runs out. */
 struct cfg_faults *cfg_faults_new(void)
 {
 	struct cfg_faults *faults = calloc(1, sizeof(*faults));
@@ -36,7 +36,7 @@
 	return NULL;
 }
 
-/* Frees a list of faults; NULL is taken. */
+/* Frees a list of faults; it may be NULL. */
 void cfg_faults_free(struct cfg_faults *faults)
 {
 	if (!faults)
@@ -45,27 +45,27 @@
 	free(faults);
 }
 
-/* Notes that memory ran out, so that the set can't be judged. */
+/* Records that memory ran out, so that the set cannot be validated. */
 void cfg_faults_mark_incomplete(struct cfg_faults *faults)
 {
 	flt_lose(faults->list);
 }
 
-/* Tells whether memory ran out while the set was judged. */
+/* Returns true if memory ran out during validation. */
 bool cfg_faults_incomplete(const struct cfg_faults *faults)
 {
 	return flt_lost(faults->list);
 }
 
-/* Returns how many faults were found; a NULL list holds none. */
+/* Returns the number of faults; a NULL list has none. */
 size_t cfg_fault_count(const struct cfg_faults *faults)
 {
 	return faults ? flt_count(faults->list) : 0;
 }
 
 /*
- * Returns the text of one fault, `kind/name: field: what is wrong (number)`.
- * It lives as long as the list.
+ * Returns the text of one fault, `kind/name: field: message (number)`.  It is
+ * valid until the list is freed.
  */
 const char *cfg_fault_text(const struct cfg_faults *faults, size_t i)
 {
@@ -73,25 +73,24 @@
 }
 
 /*
- * Adds a fault.  The arguments after the message are those of its format in
- * CFG_MSGS.
+ * Adds a fault.  The arguments after msg must match its format in CFG_MSGS.
  */
 void cfg_fault(struct cfg_faults *faults, const char *kind, const char *name,
 	       const char *field, enum cfg_msg msg, ...)
 {
-	char what[CFG_TEXT_MAX];
+	char detail[CFG_TEXT_MAX];
 	va_list ap;
 
 	va_start(ap, msg);
-	vsnprintf(what, sizeof(what), cfg_msg_format(msg), ap);
+	vsnprintf(detail, sizeof(detail), cfg_msg_format(msg), ap);
 	va_end(ap);
 	flt_add(faults->list, "%s/%.64s: %.64s: %s (%d)", kind, name, field,
-		what, (int)msg);
+		detail, (int)msg);
 }
 
 /*
- * Writes the numbers of all messages, at most max, and returns how many there
- * are: a test compares them with the bad sets that it holds.
+ * Stores the numbers of all messages, at most max, and returns how many exist.
+ * A test uses them to check that some invalid set triggers each message.
  */
 size_t cfg_msg_list(int *numbers, size_t max)
 {
--- a/src/cfg_parse.c
+++ b/src/cfg_parse.c
@@ -4,19 +4,18 @@
 #include "cfg_int.h"
 #include "chk.h"
 
-static json_t *cfg_load(const char *text, size_t len,
-			struct cfg_faults *faults);
+static json_t *cfg_load_document(const char *text, size_t len,
+				 struct cfg_faults *faults);
 static bool cfg_document_ok(const json_t *doc);
-static void cfg_collect(struct cfg_build *build, json_t *list);
-static void cfg_sort(struct cfg_build *build);
-static int cfg_fill(struct cfg_build *build);
+static void cfg_collect_items(struct cfg_build *build, json_t *list);
+static void cfg_sort_items(struct cfg_build *build);
+static int cfg_read_objects(struct cfg_build *build);
 
 /*
- * Reads a whole set of objects and checks it.  The set's revision is the one
- * that the text names, or 0.  On CFG_OK *set is the new set,
- * to be freed with cfg_free, and *faults is NULL.  Otherwise *set is NULL and
- * *faults, unless memory ran out, lists every fault at once; it is to be
- * freed with cfg_faults_free.
+ * Parses and validates a whole set of objects.  The set's revision is the one
+ * in the text, or 0.  On CFG_OK *set is the new set, which the caller frees
+ * with cfg_free, and *faults is NULL.  Otherwise *set is NULL and *faults lists
+ * all faults, unless memory ran out; the caller frees it with cfg_faults_free.
  */
 int cfg_parse(const char *text, size_t len, struct cfg_set **set,
 	      struct cfg_faults **faults)
@@ -34,10 +33,10 @@
 		free(build.set);
 		return CFG_E_MEMORY;
 	}
-	doc = cfg_load(text, len, build.faults);
+	doc = cfg_load_document(text, len, build.faults);
 	if (doc) {
-		cfg_collect(&build, json_object_get(doc, "objects"));
-		err = cfg_fill(&build);
+		cfg_collect_items(&build, json_object_get(doc, "objects"));
+		err = cfg_read_objects(&build);
 		build.set->revision = (uint64_t)json_integer_value(
 			json_object_get(doc, "revision"));
 		free(build.items);
@@ -57,7 +56,7 @@
 	return err;
 }
 
-/* Frees a set; NULL is taken. */
+/* Frees a set; it may be NULL. */
 void cfg_free(struct cfg_set *set)
 {
 	size_t i;
@@ -75,31 +74,33 @@
 }
 
 /*
- * Finds an object of the set in the making by its name.  Returns its index in
- * the table of its kind, or -1.
+ * Finds an object of the set under construction by its name.  Returns its
+ * index in the table of its kind, or -1.
  */
 int cfg_item_index(const struct cfg_build *build, enum cfg_kind kind,
 		   const char *name)
 {
-	struct cfg_item wanted = { .kind = kind, .name = name };
+	struct cfg_item key = { .kind = kind, .name = name };
 	struct cfg_item *found;
 
 	if (build->count == 0)
 		return -1;
-	found = bsearch(&wanted, build->items, build->count,
-			sizeof(*build->items), cfg_item_cmp);
+	found = bsearch(&key, build->items, build->count, sizeof(*build->items),
+			cfg_item_cmp);
 	return found ? (int)(found - build->items - build->first[kind]) : -1;
 }
 
-/* Tells whether all fields of an object could be read. */
+/* Returns true if all fields of an object are valid. */
 bool cfg_fields_valid(const struct cfg_build *build, enum cfg_kind kind,
 		      int index)
 {
-	return build->items[build->first[kind] + (size_t)index].faults == 0;
+	return build->items[build->first[kind] + (size_t)index].fault_count ==
+	       0;
 }
 
-/* Reads the text as JSON and checks the shape of the document. */
-static json_t *cfg_load(const char *text, size_t len, struct cfg_faults *faults)
+/* Parses the text as JSON and checks the structure of the document. */
+static json_t *cfg_load_document(const char *text, size_t len,
+				 struct cfg_faults *faults)
 {
 	json_error_t error;
 	json_t *doc = chk_json(text, len, &error);
@@ -116,7 +117,7 @@
 	return NULL;
 }
 
-/* A set as it was published says its revision; a new one need not. */
+/* A published set includes its revision; a new one may omit it. */
 static bool cfg_document_ok(const json_t *doc)
 {
 	const json_t *revision = json_object_get(doc, "revision");
@@ -129,8 +130,8 @@
 	       json_is_array(json_object_get(doc, "objects"));
 }
 
-/* Lists the objects that have a kind and a name, sorted by both. */
-static void cfg_collect(struct cfg_build *build, json_t *list)
+/* Collects the objects that have a kind and a name, sorted by both. */
+static void cfg_collect_items(struct cfg_build *build, json_t *list)
 {
 	size_t count = json_array_size(list);
 	size_t i;
@@ -148,10 +149,10 @@
 				      &build->items[build->count]))
 			build->count++;
 	}
-	cfg_sort(build);
+	cfg_sort_items(build);
 }
 
-/* Reads kind and name of one entry; false, with a fault, if it lacks them. */
+/* Reads kind and name of one entry.  If one is invalid, adds a fault. */
 bool cfg_read_identity(struct cfg_build *build, json_t *object, size_t i,
 		       struct cfg_item *item)
 {
@@ -185,10 +186,10 @@
 }
 
 /*
- * Sorts the objects by kind and name, so that a set means the same in
- * whatever order it is written, and names can be searched.
+ * Sorts the objects by kind and name, so that the order of the text does not
+ * matter and names can be found by binary search.
  */
-static void cfg_sort(struct cfg_build *build)
+static void cfg_sort_items(struct cfg_build *build)
 {
 	size_t i;
 	int kind;
@@ -219,7 +220,7 @@
 }
 
 /* Reads the fields of all objects, then checks the set as a whole. */
-static int cfg_fill(struct cfg_build *build)
+static int cfg_read_objects(struct cfg_build *build)
 {
 	size_t i;
 	int kind;
@@ -247,7 +248,7 @@
 	return cfg_fault_count(build->faults) ? CFG_E_INVALID : CFG_OK;
 }
 
-/* Returns where a set keeps the table of a kind and its count. */
+/* Returns the addresses of a kind's table and of its count in a set. */
 void **cfg_table(struct cfg_set *set, enum cfg_kind kind, size_t **count)
 {
 	switch (kind) {
