--- a/src/chk.c
+++ b/src/chk.c
@@ -7,7 +7,7 @@
 #include "chk.h"
 #include "mag.h"
 
-/* Tells whether a string may name an object, a group or an instance. */
+/* Returns true if a string is a valid name of an object, group or instance. */
 bool chk_name(const char *name)
 {
 	size_t len = strlen(name);
@@ -26,8 +26,8 @@
 }
 
 /*
- * Tells whether a string is an IP number and a port.  Host names are not
- * taken, as the router looks up no names.
+ * Returns true if a string is an IP address and a port.  Host names are
+ * refused because the router does not resolve names.
  */
 bool chk_address(const char *address)
 {
@@ -59,10 +59,10 @@
 }
 
 /*
- * Reads a JSON text strictly: no field twice and no NUL byte.  The library
- * takes a NUL byte after a number for a blank, while whoever treats the text
- * as a string takes it to end there, so that both would see different sets.
- * NULL, with line and text of the error, if it is not JSON.
+ * Parses a JSON text strictly: duplicate fields and NUL bytes are errors.  The
+ * library treats a NUL byte after a number as white space, but for code that
+ * treats the text as a string it ends there, so that the two would read
+ * different sets.  On errors returns NULL and sets the error's line and text.
  */
 json_t *chk_json(const char *text, size_t len, json_error_t *error)
 {
--- a/src/chk.h
+++ b/src/chk.h
@@ -6,12 +6,12 @@
 
 #include <jansson.h>
 
-/* What objects and settings both ask of a text and of a word. */
+/* Checks of names, addresses and JSON texts, for objects and settings. */
 
 #define CHK_NAME_RULE                                                          \
 	"1 to 63 of a-z, 0-9, '-', '_', '.', starting with a letter or digit"
 #define CHK_ADDRESS_RULE                                                       \
-	"an IP number and a port, as in 127.0.0.1:8080 or [::1]:8080"
+	"an IP address and a port, as in 127.0.0.1:8080 or [::1]:8080"
 
 bool chk_name(const char *name);
 bool chk_address(const char *address);
