--- a/src/set.c
+++ b/src/set.c
@@ -2,13 +2,13 @@
 
 #include "set_int.h"
 
-/* The settings file, and the checks over all settings. */
+/* Parses the settings file and checks the settings as a whole. */
 
 static void set_check_addresses(struct set_build *build);
 
 /*
- * Reads the text of a settings file into the settings that are being made
- * and lists all faults of it.  Returns false if it holds no settings at all.
+ * Parses the text of a settings file into build->settings and adds all its
+ * faults to the list.  Returns false if the text is not a JSON object.
  */
 bool set_parse(struct set_build *build, const char *text, size_t len)
 {
@@ -35,13 +35,13 @@
 		if (i == set_field_count)
 			set_fault(build, key, SET_M_UNKNOWN);
 		else
-			set_read(build, i, value);
+			set_read_field(build, i, value);
 	}
 	json_decref(doc);
 	return true;
 }
 
-/* Checks what no single setting shows, once file and options are read. */
+/* Checks the settings as a whole, after the file and options are read. */
 void set_check(struct set_build *build)
 {
 	size_t i;
@@ -55,8 +55,8 @@
 }
 
 /*
- * Two listeners at one address: the second would fail at start, after the
- * first had already been taking callers.
+ * Reports listeners that share an address: the second would fail at start,
+ * when the first has already accepted callers.
  */
 static void set_check_addresses(struct set_build *build)
 {
--- a/src/set_field.c
+++ b/src/set_field.c
@@ -4,7 +4,7 @@
 
 #include "set_int.h"
 
-/* The settings, and how the value of one is read from file or option. */
+/* The table of settings, and the functions that read their values. */
 
 #define SET_TEXT_MAX 512
 #define AT(field)    offsetof(struct set_settings, field)
@@ -19,16 +19,16 @@
 		.name = #field, .type = SET_T_ADDRESS, .required = true,       \
 		.offset = AT(field), .datatype = "IP:PORT", .help = (text)     \
 	}
-#define LIST(field, need, most, text)                                          \
+#define LIST(field, is_required, max_count, text)                              \
 	{                                                                      \
-		.name = #field, .type = SET_T_ADDRESSES, .required = (need),   \
-		.offset = AT(field), .max = (most), .datatype = "IP:PORT,..",  \
-		.help = (text)                                                 \
+		.name = #field, .type = SET_T_ADDRESSES,                       \
+		.required = (is_required), .offset = AT(field),                \
+		.max = (max_count), .datatype = "IP:PORT,..", .help = (text)   \
 	}
-#define U32(field, low, high, absent, unit, text)                              \
+#define U32(field, low, high, dflt, unit, text)                                \
 	{                                                                      \
 		.name = #field, .type = SET_T_U32, .offset = AT(field),        \
-		.min = (low), .max = (high), .fallback = (absent),             \
+		.min = (low), .max = (high), .default_value = (dflt),          \
 		.datatype = (unit), .help = (text)                             \
 	}
 
@@ -64,13 +64,15 @@
 const struct set_field set_fields[] = {
 	NAME(cluster, "whose configuration and records this instance shares"),
 	NAME(instance, "name of this instance, unique in the cluster"),
-	NAME(data_centre, "data centre that this instance stands in"),
-	ADDR(listen, "where callers connect"),
-	ADDR(admin, "where operators and the balancer's check connect"),
-	ADDR(rpc, "where the other instances connect"),
-	LIST(platform, true, SET_PLATFORM_MAX, "the platform's service"),
-	LIST(peers, false, SET_PEERS_MAX, "rpc addresses to start from"),
-	U32(threads, 4, 8192, 512, "N", "most callers served at once"),
+	NAME(data_centre, "data centre of this instance"),
+	ADDR(listen, "address where callers connect"),
+	ADDR(admin, "address where operators and the balancer's check connect"),
+	ADDR(rpc, "address where the other instances connect"),
+	LIST(platform, true, SET_PLATFORM_MAX,
+	     "addresses of the platform's service"),
+	LIST(peers, false, SET_PEERS_MAX,
+	     "rpc addresses of the peers to contact first"),
+	U32(threads, 4, 8192, 512, "N", "most callers served at the same time"),
 	U32(body_max_bytes, 1024, 64U << 20, 1U << 20, "BYTES",
 	    "longest body of a request"),
 	U32(connect_timeout_ms, 1, 60000, 500, "MS",
@@ -82,9 +84,9 @@
 	U32(kv_timeout_ms, 1, 60000, 1000, "MS",
 	    "longest wait for the platform's service"),
 	U32(kv_calls_per_s, 1, 100000, 100, "N",
-	    "most calls to the platform's service"),
+	    "most calls per second to the platform's service"),
 	U32(kv_fleet_calls_per_s, 1, 1000000, 1500, "N",
-	    "most calls of all instances together, in equal parts"),
+	    "most calls per second of all instances, in equal parts"),
 	U32(shutdown_notice_ms, 0, 600000, 5000, "MS",
 	    "from failing the health check to refusing new work"),
 	U32(ledger_shards, 1, 1024, 2, "N",
@@ -94,19 +96,19 @@
 	U32(ledger_batch_max, 1, 4096, 256, "N",
 	    "most reservations in one write"),
 	U32(peer_bytes_per_s, 1000, 1000000, 9000, "BYTES",
-	    "most bytes a second to and from the other instances"),
+	    "most bytes per second to and from the other instances"),
 	U32(instances_max, 1, 4096, 12, "N",
 	    "most instances that the site runs, for limits without a list"),
 	{ .name = "place",
 	  .type = SET_T_BOOL,
 	  .offset = AT(place),
-	  .fallback = 1,
+	  .default_value = 1,
 	  .datatype = "true|false",
-	  .help = "whether it may give orders to engines" },
+	  .help = "whether this instance may give orders to engines" },
 	{ .name = "log_level",
 	  .type = SET_T_LEVEL,
 	  .offset = AT(log_level),
-	  .fallback = LOG_PRIO_INFO,
+	  .default_value = LOG_PRIO_INFO,
 	  .datatype = "LEVEL",
 	  .help = "error, warning, notice, info or debug" },
 	{ .name = "seed",
@@ -114,7 +116,7 @@
 	  .offset = AT(seed),
 	  .max = INT64_MAX,
 	  .datatype = "N",
-	  .help = "of random choices; 0 draws one at start" },
+	  .help = "seed of random choices; 0 draws one at start" },
 };
 
 const size_t set_field_count = MAG_ARRAY_SIZE(set_fields);
@@ -129,8 +131,8 @@
 	[SET_T_LEVEL] = set_read_level,
 };
 
-/* The words for severities; the index is the one that syslog gives. */
-static const char *const levels[] = {
+/* The names of severities, indexed by the severity numbers of syslog. */
+static const char *const level_names[] = {
 	[LOG_PRIO_ERR] = "error",     [LOG_PRIO_WARNING] = "warning",
 	[LOG_PRIO_NOTICE] = "notice", [LOG_PRIO_INFO] = "info",
 	[LOG_PRIO_DEBUG] = "debug",
@@ -140,7 +142,7 @@
 static const struct set_msg_entry set_msgs[] = { SET_MSGS };
 #undef SET_MSG
 
-/* Gives every setting the value that holds when it is not named. */
+/* Sets all settings to their defaults. */
 void set_defaults(struct set_settings *settings)
 {
 	size_t i;
@@ -152,16 +154,17 @@
 
 		switch (field->type) {
 		case SET_T_U32:
-			*(uint32_t *)dst = (uint32_t)field->fallback;
+			*(uint32_t *)dst = (uint32_t)field->default_value;
 			break;
 		case SET_T_U64:
-			*(uint64_t *)dst = field->fallback;
+			*(uint64_t *)dst = field->default_value;
 			break;
 		case SET_T_BOOL:
-			*(bool *)dst = field->fallback != 0;
+			*(bool *)dst = field->default_value != 0;
 			break;
 		case SET_T_LEVEL:
-			*(enum log_prio *)dst = (enum log_prio)field->fallback;
+			*(enum log_prio *)dst =
+				(enum log_prio)field->default_value;
 			break;
 		default:
 			break;
@@ -169,8 +172,8 @@
 	}
 }
 
-/* Reads the value of one setting, or lists what is wrong with it. */
-void set_read(struct set_build *build, size_t field, json_t *value)
+/* Reads the value of one setting; if it is invalid, adds a fault. */
+void set_read_field(struct set_build *build, size_t field, json_t *value)
 {
 	const struct set_field *f = &set_fields[field];
 	void *dst = (char *)build->settings + f->offset;
@@ -179,21 +182,21 @@
 	read_fns[f->type](build, f, value, dst);
 }
 
-/* Adds a fault `source: field: what is wrong (number)`. */
+/* Adds a fault `source: field: message (number)`. */
 void set_fault(struct set_build *build, const char *field, enum set_msg msg,
 	       ...)
 {
-	char what[SET_TEXT_MAX];
+	char detail[SET_TEXT_MAX];
 	va_list ap;
 
 	va_start(ap, msg);
-	vsnprintf(what, sizeof(what), set_msg_format(msg), ap);
+	vsnprintf(detail, sizeof(detail), set_msg_format(msg), ap);
 	va_end(ap);
-	flt_add(build->faults, "%s: %.64s: %s (%d)", build->source, field, what,
-		(int)msg);
+	flt_add(build->faults, "%s: %.64s: %s (%d)", build->source, field,
+		detail, (int)msg);
 }
 
-/* Lists the numbers of all messages, as cfg_msg_list does. */
+/* Stores the numbers of all messages, as cfg_msg_list does. */
 size_t set_msg_list(int *numbers, size_t max)
 {
 	size_t i;
@@ -242,7 +245,7 @@
 		mag_copy_name(dst, MAG_ADDR_MAX, s);
 }
 
-/* A list in an option replaces the one of the file, as any other value. */
+/* A list in an option replaces that of the file, as any other value does. */
 static void set_read_addresses(struct set_build *build,
 			       const struct set_field *field, json_t *value,
 			       void *dst)
@@ -318,7 +321,7 @@
 		return;
 	}
 	for (i = LOG_PRIO_ERR; i <= LOG_PRIO_DEBUG; i++) {
-		if (strcmp(levels[i], s) == 0) {
+		if (strcmp(level_names[i], s) == 0) {
 			*(enum log_prio *)dst = (enum log_prio)i;
 			return;
 		}
--- a/src/set_int.h
+++ b/src/set_int.h
@@ -1,14 +1,14 @@
 #ifndef SET_INT_H
 #define SET_INT_H
 
-/* What the files of the set family share; no other module includes it. */
+/* Internal interface of the set files; other modules must not include it. */
 
 #include <jansson.h>
 
 #include "chk.h"
 #include "set.h"
 
-/* Every message on settings; a number never gets another meaning. */
+/* All messages on settings.  The meaning of a number must never change. */
 /* clang-format off */
 #define SET_MSGS \
 	SET_MSG(SET_M_FILE, 101, "cannot be read: %s") \
@@ -23,7 +23,7 @@
 	SET_MSG(SET_M_ENUM, 110, "\"%.40s\" is not one of %s") \
 	SET_MSG(SET_M_NAME, 111, "\"%.64s\" is not " CHK_NAME_RULE) \
 	SET_MSG(SET_M_ADDRESS, 112, "\"%.60s\" is not " CHK_ADDRESS_RULE) \
-	SET_MSG(SET_M_COUNT, 113, "%zu addresses; 1 to %zu are taken") \
+	SET_MSG(SET_M_COUNT, 113, "%zu addresses; 1 to %zu are allowed") \
 	SET_MSG(SET_M_TWICE, 114, "%s is listed twice") \
 	SET_MSG(SET_M_SAME_ADDRESS, 115, "the same address as %s")
 /* clang-format on */
@@ -54,25 +54,25 @@
 	bool required;
 	size_t offset;
 	uint64_t min;
-	uint64_t max; /* of a number, or of a list's length */
-	uint64_t fallback;
+	uint64_t max; /* of a number, or of the length of a list */
+	uint64_t default_value;
 	const char *datatype;
 	const char *help;
 };
 
-/* Settings in the making. */
+/* State for reading the settings. */
 struct set_build {
 	struct set_settings *settings;
 	struct flt_list *faults;
-	const char *source; /* for messages: settings/FILE or option/- */
-	uint64_t given;	    /* a bit for each field that was named */
+	const char *source; /* for messages: settings/FILE, option/-, .. */
+	uint64_t given;	    /* one bit per field that was set */
 };
 
 extern const struct set_field set_fields[];
 extern const size_t set_field_count;
 
 void set_defaults(struct set_settings *settings);
-void set_read(struct set_build *build, size_t field, json_t *value);
+void set_read_field(struct set_build *build, size_t field, json_t *value);
 bool set_parse(struct set_build *build, const char *text, size_t len);
 void set_check(struct set_build *build);
 void set_fault(struct set_build *build, const char *field, enum set_msg msg,
--- a/src/set_option.c
+++ b/src/set_option.c
@@ -7,12 +7,15 @@
 
 #include "set_int.h"
 
-/* The command line of magnoliad: its own four options, then every setting. */
+/*
+ * The command line of magnoliad: four general options, then one option for each
+ * setting.
+ */
 
-#define SET_OWN_COUNT  4
-#define SET_TABLE_MAX  (SET_OWN_COUNT + 64 + 1)
-#define SET_ERRORS_MAX 20
-#define SET_OPTION_MAX 64
+#define SET_GENERAL_OPTIONS 4
+#define SET_TABLE_MAX	    (SET_GENERAL_OPTIONS + 64 + 1)
+#define SET_ERRORS_MAX	    20
+#define SET_OPTION_MAX	    64
 
 struct set_table {
 	void *args[SET_TABLE_MAX];
@@ -21,14 +24,15 @@
 	struct arg_lit *check;
 	struct arg_lit *help;
 	struct arg_lit *version;
-	struct arg_str **fields; /* in args, one for each setting */
+	struct arg_str **fields; /* part of args, one per setting */
 	struct arg_end *end;
 };
 
-static const char *set_base(const char *program);
-static int set_table_make(struct set_table *table);
+static const char *set_program_name(const char *program);
+static int set_table_init(struct set_table *table);
 static void set_table_free(struct set_table *table);
-static void set_read_command(struct set_build *build, struct set_table *table);
+static void set_process_options(struct set_build *build,
+				struct set_table *table);
 static void set_read_options(struct set_build *build, struct set_table *table);
 static void set_option_errors(struct set_build *build, struct set_table *table);
 static json_t *set_option_value(const struct set_field *field,
@@ -37,10 +41,11 @@
 static bool set_read_file(struct set_build *build, const char *path);
 
 /*
- * Reads the options, the settings file that they name, and checks the whole.
- * Returns SET_OK with *faults NULL, or an error with *faults listing all that
- * is wrong, unless memory ran out; flt_free takes it.  With the actions
- * SET_HELP and SET_SHOW_VERSION no setting is read.
+ * Reads the options and the settings file that they name, and checks the
+ * settings.  Returns SET_OK and sets *faults to NULL, or returns an error and
+ * sets *faults to the list of all faults, unless memory ran out; the caller
+ * frees it with flt_free.  Actions SET_HELP and SET_SHOW_VERSION read no
+ * settings.
  */
 int set_load(int argc, char **argv, struct set_settings *settings,
 	     struct flt_list **faults)
@@ -52,7 +57,7 @@
 	set_defaults(settings);
 	*faults = NULL;
 	build.faults = flt_new();
-	if (!build.faults || set_table_make(&table) < 0) {
+	if (!build.faults || set_table_init(&table) < 0) {
 		flt_free(build.faults);
 		return SET_E_MEMORY;
 	}
@@ -60,7 +65,7 @@
 	if (errors)
 		set_option_errors(&build, &table);
 	else
-		set_read_command(&build, &table);
+		set_process_options(&build, &table);
 	set_table_free(&table);
 	if (flt_lost(build.faults)) {
 		flt_free(build.faults);
@@ -74,52 +79,52 @@
 	return SET_OK;
 }
 
-/* Returns the name of a program without the folder that it was called by. */
-static const char *set_base(const char *program)
+/* Returns the name of a program without its directory. */
+static const char *set_program_name(const char *program)
 {
 	const char *slash = strrchr(program, '/');
 
 	return slash ? slash + 1 : program;
 }
 
-/* Writes the options and settings with their meaning. */
+/* Prints the usage text, with all options and settings. */
 void set_help(FILE *out, const char *program)
 {
 	struct set_table table = { 0 };
 
-	if (set_table_make(&table) < 0)
+	if (set_table_init(&table) < 0)
 		return;
 	fprintf(out, "usage: %s --settings FILE [--check] [--SETTING VALUE]\n",
-		set_base(program));
+		set_program_name(program));
 	fputs("Routes requests of client accounts to endpoints.  An option "
-	      "goes "
-	      "before the\nsame setting in the file.\n\n",
+	      "overrides "
+	      "the\nsame setting in the file.\n\n",
 	      out);
 	arg_print_glossary(out, table.args, "  %-34s %s\n");
 	set_table_free(&table);
 }
 
-/* Writes the version of the program. */
+/* Prints the name and the version of the program. */
 void set_version(FILE *out, const char *program)
 {
-	fprintf(out, "%s %s\n", set_base(program), SET_VERSION);
+	fprintf(out, "%s %s\n", set_program_name(program), SET_VERSION);
 }
 
-static int set_table_make(struct set_table *table)
+static int set_table_init(struct set_table *table)
 {
 	size_t i;
 	size_t k;
 
-	table->file = arg_file0("s", "settings", "FILE", "settings, as JSON");
-	table->check =
-		arg_lit0(NULL, "check", "check the settings and do nothing");
-	table->help = arg_lit0("h", "help", "write this text");
-	table->version = arg_lit0(NULL, "version", "write the version");
+	table->file =
+		arg_file0("s", "settings", "FILE", "settings file, as JSON");
+	table->check = arg_lit0(NULL, "check", "check the settings and exit");
+	table->help = arg_lit0("h", "help", "print this text");
+	table->version = arg_lit0(NULL, "version", "print the version");
 	table->args[0] = table->file;
 	table->args[1] = table->check;
 	table->args[2] = table->help;
 	table->args[3] = table->version;
-	table->fields = (struct arg_str **)&table->args[SET_OWN_COUNT];
+	table->fields = (struct arg_str **)&table->args[SET_GENERAL_OPTIONS];
 	for (i = 0; i < set_field_count; i++) {
 		mag_copy_name(table->names[i], SET_OPTION_MAX,
 			      set_fields[i].name);
@@ -132,7 +137,7 @@
 				 set_fields[i].help);
 	}
 	table->end = arg_end(SET_ERRORS_MAX);
-	table->args[SET_OWN_COUNT + set_field_count] = table->end;
+	table->args[SET_GENERAL_OPTIONS + set_field_count] = table->end;
 	if (arg_nullcheck(table->args) == 0)
 		return 0;
 	set_table_free(table);
@@ -141,15 +146,16 @@
 
 static void set_table_free(struct set_table *table)
 {
-	arg_freetable(table->args, SET_OWN_COUNT + set_field_count + 1);
+	arg_freetable(table->args, SET_GENERAL_OPTIONS + set_field_count + 1);
 }
 
-/* Does what a well-formed command line asks for. */
-static void set_read_command(struct set_build *build, struct set_table *table)
+/* Sets the action and reads file and options, if the syntax is correct. */
+static void set_process_options(struct set_build *build,
+				struct set_table *table)
 {
 	struct set_settings *settings = build->settings;
 	char source[SET_SOURCE_MAX];
-	bool whole = true;
+	bool valid = true;
 
 	if (table->help->count || table->version->count) {
 		settings->action =
@@ -161,12 +167,12 @@
 		snprintf(source, sizeof(source), "settings/%s",
 			 table->file->basename[0]);
 		build->source = source;
-		whole = set_read_file(build, table->file->filename[0]);
+		valid = set_read_file(build, table->file->filename[0]);
 	}
 	build->source = "option/-";
 	set_read_options(build, table);
 	build->source = "settings/-";
-	if (whole)
+	if (valid)
 		set_check(build);
 }
 
@@ -182,7 +188,7 @@
 		value = set_option_value(&set_fields[i],
 					 table->fields[i]->sval[0]);
 		if (value)
-			set_read(build, i, value);
+			set_read_field(build, i, value);
 		else
 			set_fault(build, set_fields[i].name, SET_M_TYPE,
 				  "text in UTF-8");
@@ -190,7 +196,7 @@
 	}
 }
 
-/* Turns the text of an option into what the file would hold. */
+/* Converts the text of an option into the JSON value of the file. */
 static json_t *set_option_value(const struct set_field *field, const char *text)
 {
 	char *end;
@@ -230,7 +236,7 @@
 	return list;
 }
 
-/* Lists what argtable found wrong, one fault for each of its lines. */
+/* Adds the errors reported by argtable, one fault per line. */
 static void set_option_errors(struct set_build *build, struct set_table *table)
 {
 	char *text = NULL;
@@ -252,12 +258,12 @@
 	free(text);
 }
 
-/* Returns false, with a fault, if the file holds no settings at all. */
+/* Returns false and adds a fault if the file is not a readable JSON object. */
 static bool set_read_file(struct set_build *build, const char *path)
 {
 	char *text = malloc(SET_FILE_MAX + 1);
 	FILE *file = fopen(path, "r");
-	bool whole = false;
+	bool valid = false;
 	size_t len = 0;
 
 	if (!text)
@@ -269,9 +275,9 @@
 	else if (len > SET_FILE_MAX)
 		set_fault(build, "file", SET_M_LARGE, SET_FILE_MAX);
 	else if (text)
-		whole = set_parse(build, text, len);
+		valid = set_parse(build, text, len);
 	if (file)
 		fclose(file);
 	free(text);
-	return whole;
+	return valid;
 }
