--- a/regress/check_cfg.c
+++ b/regress/check_cfg.c
@@ -14,23 +14,25 @@
 #include "script.h"
 
 /*
- * Scripts of sets of objects.  base.json is a good set; a script changes it
- * and has it checked:
+ * Tests of the validator and of the lookups in a set.  base.json is a valid
+ * set, which a script edits, validates with "check" and then queries:
  *	add OBJECT | change KIND/NAME FIELDS | drop KIND/NAME
- *	text DOCUMENT (in its place, @ stands for a NUL byte) | many N (objects)
- *| check route HOST PATH ACCOUNT | key HASH | find KIND NAME (in a good set)
+ *	text DOCUMENT (replaces the set; @ stands for a NUL byte)
+ *	many N (adds N empty objects)
+ *	check
+ *	route HOST PATH ACCOUNT | key HASH | find KIND NAME (in a valid set)
  */
 
 #define CHECK_DIR "regress/cfg"
 
 struct run {
 	json_t *doc;
-	char *text; /* in place of doc */
+	char *text; /* if not NULL, checked instead of doc */
 	struct cfg_set *set;
 	FILE *out;
 };
 
-static void many(struct run *run, int count)
+static void add_empty_objects(struct run *run, int count)
 {
 	json_t *list = json_object_get(run->doc, "objects");
 
@@ -38,8 +40,8 @@
 		json_array_append_new(list, json_object());
 }
 
-/* What is looked up is looked up in a copy, whose first set is gone. */
-static void use_copy(struct run *run)
+/* Replaces the set by a copy, so that the lookups also test cfg_copy. */
+static void replace_by_copy(struct run *run)
 {
 	struct cfg_set *copy;
 
@@ -50,7 +52,7 @@
 	run->set = copy;
 }
 
-static void check(struct run *run)
+static void check_set(struct run *run)
 {
 	char *text = run->text ? strdup(run->text) : json_dumps(run->doc, 0);
 	size_t len = strlen(text);
@@ -72,10 +74,10 @@
 		fprintf(run->out, "  %s\n", cfg_fault_text(faults, i));
 	cfg_faults_free(faults);
 	free(text);
-	use_copy(run);
+	replace_by_copy(run);
 }
 
-static void look_up(struct run *run, const char *what, const char *rest)
+static void run_lookup(struct run *run, const char *what, const char *rest)
 {
 	char a[128] = "";
 	char b[128] = "";
@@ -106,7 +108,7 @@
 	}
 }
 
-static void do_line(struct run *run, char *line)
+static void run_command(struct run *run, char *line)
 {
 	char *rest = strchr(line, ' ');
 
@@ -117,11 +119,11 @@
 		free(run->text);
 		run->text = strdup(rest);
 	} else if (strcmp(line, "many") == 0) {
-		many(run, atoi(rest));
+		add_empty_objects(run, atoi(rest));
 	} else if (strcmp(line, "check") == 0) {
-		check(run);
+		check_set(run);
 	} else {
-		look_up(run, line, rest);
+		run_lookup(run, line, rest);
 	}
 }
 
@@ -129,14 +131,14 @@
 {
 	struct run run = { .out = out };
 	char *line = NULL;
-	size_t room = 0;
+	size_t capacity = 0;
 
 	run.doc = json_load_file(CHECK_DIR "/base.json", 0, NULL);
 	assert_non_null(run.doc);
-	while (getline(&line, &room, in) > 0) {
+	while (getline(&line, &capacity, in) > 0) {
 		line[strcspn(line, "\n")] = '\0';
 		if (line[0] && line[0] != '#')
-			do_line(&run, line);
+			run_command(&run, line);
 	}
 	free(line);
 	free(run.text);
@@ -144,7 +146,7 @@
 	json_decref(run.doc);
 }
 
-static void every_message_has_a_bad_set(void **state)
+static void every_message_is_triggered(void **state)
 {
 	int numbers[MSGS_MAX];
 
@@ -155,7 +157,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(every_message_has_a_bad_set),
+		cmocka_unit_test(every_message_is_triggered),
 	};
 	int failed = script_main(CHECK_DIR, driver);
 
--- a/regress/check_doc.h
+++ b/regress/check_doc.h
@@ -7,7 +7,7 @@
 #include <jansson.h>
 
 /*
- * Edits of a set's document in scripts:
+ * Script commands that edit the document of a set:
  *	add OBJECT | change KIND/NAME FIELDS | drop KIND/NAME
  */
 
@@ -42,7 +42,7 @@
 	json_decref(fields);
 }
 
-/* Returns false if the command is none of these. */
+/* Runs an edit command.  Returns false if the command is a different one. */
 static bool doc_edit(json_t *doc, const char *command, char *rest)
 {
 	json_t *list = json_object_get(doc, "objects");
--- a/regress/check_set.c
+++ b/regress/check_set.c
@@ -14,9 +14,11 @@
 #include "set_int.h"
 
 /*
- * Scripts of settings:
- *	file TEXT (the whole settings file) | fill N (bytes of blanks)
- *	load OPTIONS (FILE stands for the settings file)
+ * Tests of the settings file and of the command line.  A script writes a
+ * settings file and loads it:
+ *	file TEXT (writes TEXT; @ stands for a NUL byte)
+ *	fill N (writes {} and N blanks)
+ *	load OPTIONS (FILE stands for the path of the settings file)
  */
 
 #define CHECK_DIR "regress/set"
@@ -70,7 +72,7 @@
 		set_version(out, "magnoliad");
 }
 
-/* Writes a file in which @ stands for a NUL byte. */
+/* Writes text and blanks to a file; @ in the text becomes a NUL byte. */
 static void write_file(const char *path, const char *text, int blanks)
 {
 	FILE *file = fopen(path, "w");
@@ -87,11 +89,11 @@
 	char dir[] = "/tmp/check_set.XXXXXX";
 	char path[64];
 	char *line = NULL;
-	size_t room = 0;
+	size_t capacity = 0;
 
 	assert_non_null(mkdtemp(dir));
 	snprintf(path, sizeof(path), "%s/magnoliad.json", dir);
-	while (getline(&line, &room, in) > 0) {
+	while (getline(&line, &capacity, in) > 0) {
 		line[strcspn(line, "\n")] = '\0';
 		if (strncmp(line, "file ", 5) == 0)
 			write_file(path, line + 5, 0);
@@ -105,7 +107,7 @@
 	rmdir(dir);
 }
 
-static void every_message_has_a_bad_set(void **state)
+static void every_message_is_triggered(void **state)
 {
 	int numbers[MSGS_MAX];
 
@@ -116,7 +118,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(every_message_has_a_bad_set),
+		cmocka_unit_test(every_message_is_triggered),
 	};
 	int failed = script_main(CHECK_DIR, driver);
 
