--- a/src/cfg_int.h
+++ b/src/cfg_int.h
@@ -17,7 +17,7 @@
 #define CFG_MSGS \
 	/* 1: the document and its objects */ \
 	CFG_MSG(CFG_M_SYNTAX, 1, "not JSON: line %d: %s") \
-	CFG_MSG(CFG_M_DOCUMENT, 2, "not an object with a list named \"objects\" and optionally a number named \"revision\"") \
+	CFG_MSG(CFG_M_DOCUMENT, 2, "not an object that consists of a list named \"objects\" and, optionally, a number named \"revision\"") \
 	CFG_MSG(CFG_M_NOT_OBJECT, 3, "entry %zu of the list is not an object") \
 	CFG_MSG(CFG_M_KIND, 4, "not one of service, account, route, limit, endpoint") \
 	CFG_MSG(CFG_M_NAME, 5, "not " CHK_NAME_RULE) \
--- a/src/set.h
+++ b/src/set.h
@@ -58,7 +58,7 @@
 	uint32_t kv_timeout_ms;	       /* one call to the platform */
 	uint32_t kv_calls_per_s;       /* limit of this instance */
 	uint32_t kv_fleet_calls_per_s; /* of all instances, in equal parts */
-	uint32_t shutdown_notice_ms;   /* failing check, still accepting */
+	uint32_t shutdown_notice_ms;   /* health check fails, work accepted */
 	uint32_t ledger_shards;	       /* the same on all instances */
 	uint32_t ledger_segment_bytes;
 	uint32_t ledger_batch_max;
