--- a/src/pub.h
+++ b/src/pub.h
@@ -88,9 +88,9 @@
 struct pub_edit {
 	struct pub_hunk *hunks;
 	size_t hunk_count;
-	struct cfg_line *removed;
+	struct cfg_object_text *removed;
 	size_t removed_count;
-	struct cfg_line *added;
+	struct cfg_object_text *added;
 	size_t added_count;
 };
 
--- a/src/pub_edit.c
+++ b/src/pub_edit.c
@@ -17,14 +17,15 @@
 
 /* The object lines of a text, without the commas that separate them. */
 struct pub_lines {
-	struct cfg_line *list;
+	struct cfg_object_text *list;
 	size_t count;
 };
 
 static int pub_split_lines(struct pub_lines *lines, const char *text);
 static const char *pub_skip_prefix(const char *text);
-static bool pub_is_whole_object(const struct cfg_line *line);
-static bool pub_lines_equal(const struct cfg_line *a, const struct cfg_line *b);
+static bool pub_is_whole_object(const struct cfg_object_text *line);
+static bool pub_lines_equal(const struct cfg_object_text *a,
+			    const struct cfg_object_text *b);
 static bool pub_resync(const struct pub_lines *old, const struct pub_lines *new,
 		       size_t a, size_t b, struct pub_hunk *hunk);
 static int pub_add_hunk(struct pub_edit *edit, const struct pub_lines *old,
@@ -36,7 +37,7 @@
 static const char *pub_copy_lines(FILE *out, size_t *count, const char *at,
 				  size_t remaining);
 static void pub_write_line(FILE *out, size_t *count,
-			   const struct cfg_line *line);
+			   const struct cfg_object_text *line);
 
 /*
  * Returns true if every line of a valid set's text is one complete object, so
@@ -193,7 +194,7 @@
 		if (len < 2 || (at[len - 1] == ',') == last)
 			return PUB_E_DAMAGED;
 		lines->list[lines->count++] =
-			(struct cfg_line){ at, last ? len : len - 1 };
+			(struct cfg_object_text){ at, last ? len : len - 1 };
 		if (last)
 			return PUB_OK;
 	}
@@ -224,7 +225,7 @@
 }
 
 /* Returns true if the line's first byte is a brace closed by its last one. */
-static bool pub_is_whole_object(const struct cfg_line *line)
+static bool pub_is_whole_object(const struct cfg_object_text *line)
 {
 	bool quoted = false;
 	int depth = 0;
@@ -247,7 +248,8 @@
 	return line->text[0] == '{' && !quoted && i == line->len - 1;
 }
 
-static bool pub_lines_equal(const struct cfg_line *a, const struct cfg_line *b)
+static bool pub_lines_equal(const struct cfg_object_text *a,
+			    const struct cfg_object_text *b)
 {
 	return a->len == b->len && memcmp(a->text, b->text, a->len) == 0;
 }
@@ -365,7 +367,8 @@
 {
 	while (remaining-- > 0 && at) {
 		const char *end = strchr(at, '\n');
-		struct cfg_line line = { at, end ? (size_t)(end - at) : 0 };
+		struct cfg_object_text line = { at,
+						end ? (size_t)(end - at) : 0 };
 
 		if (line.len > 0)
 			pub_write_line(out, count, &line);
@@ -375,7 +378,7 @@
 }
 
 static void pub_write_line(FILE *out, size_t *count,
-			   const struct cfg_line *line)
+			   const struct cfg_object_text *line)
 {
 	fputs((*count)++ ? ",\n" : "\n", out);
 	fwrite(line->text, 1, line->len, out);
--- a/src/req_arrive.c
+++ b/src/req_arrive.c
@@ -130,7 +130,8 @@
 {
 	const struct cfg_route *config;
 
-	*account = cfg_find_account(core->set, arrival->account_key_hash);
+	*account =
+		cfg_find_account_by_key(core->set, arrival->account_key_hash);
 	if (*account < 0) {
 		req_refuse_arrival(core, arrival, 401, "no such account key");
 		return false;
