--- a/bench/bench_pipeline.c
+++ b/bench/bench_pipeline.c
@@ -25,7 +25,7 @@
 	const char *name;
 	double load;
 	bool even;
-	enum sim_callers callers;
+	enum sim_retry_policy callers;
 	struct sim_fault faults[SIM_FAULTS_MAX]; /* times from FAULT_US */
 	int fault_count;
 	bool prefixes;	    /* callers' prompts start alike */
@@ -111,7 +111,7 @@
 	  .cache_lost = 0.3 },
 	{ .name = "retry-storm",
 	  .load = 0.9,
-	  .callers = SIM_IMPATIENT,
+	  .callers = SIM_RETRY_AT_ONCE,
 	  .faults = { { 0, SIM_SLOW, SIM_ALL, 0.05 },
 		      { 3 * MAG_US_PER_S, SIM_SLOW, SIM_ALL, 1 } },
 	  .fault_count = 2,
@@ -119,7 +119,7 @@
 	  .recover_us = 3 * MAG_US_PER_S },
 	{ .name = "storm",
 	  .load = 0.9,
-	  .callers = SIM_IMPATIENT,
+	  .callers = SIM_RETRY_AT_ONCE,
 	  .faults = { { 0, SIM_DEMAND, -1, 5 },
 		      { 5 * MAG_US_PER_S, SIM_DEMAND, -1, 1 } },
 	  .fault_count = 2 },
@@ -172,8 +172,8 @@
 	int i;
 
 	for (i = 1; i < SIM_ACCOUNTS; i++) {
-		kept += r->kept[i];
-		asked += r->asked[i];
+		kept += r->answered_in_time[i];
+		asked += r->requested[i];
 	}
 	return asked > 0 ? kept / asked : 0;
 }
@@ -214,9 +214,9 @@
 		.policy = variant->policy,
 		.no_budgets = variant->no_budgets,
 		.no_resume = variant->no_resume,
-		.callers = scenario->callers,
+		.retry_policy = scenario->callers,
 		.load = scenario->load,
-		.even = scenario->even,
+		.equal_demand = scenario->even,
 		.prefixes = scenario->prefixes,
 		.no_affinity = variant->no_affinity,
 		.cache_lost = scenario->cache_lost,
--- a/bench/sim.c
+++ b/bench/sim.c
@@ -4,13 +4,13 @@
 
 #include "sim.h"
 
-#define SIM_HEAP_ROOM 4096
+#define SIM_HEAP_CAPACITY_MIN 4096
 
 static void sim_step(struct sim *sim, const struct sim_event *event);
 static bool sim_pop(struct sim *sim, struct sim_event *event);
 static bool sim_before(const struct sim_event *a, const struct sim_event *b);
-static int sim_open(struct sim *sim);
-static void sim_close(struct sim *sim);
+static int sim_set_up(struct sim *sim);
+static void sim_tear_down(struct sim *sim);
 
 /*
  * Runs one world from its start to settings->end_us.  Returns 0, or -1 if a
@@ -28,29 +28,30 @@
 	sim->random = settings->seed * 2862933555777941757U + 3037000493U;
 	sim->stream_free = -1;
 	sim->reports = true;
-	if (sim_open(sim) < 0)
+	if (sim_set_up(sim) < 0)
 		return -1;
 	for (i = 0; i < settings->fault_count; i++)
-		sim_at(sim, settings->faults[i].at_us, SIM_EV_FAULT, i, 0);
+		sim_schedule(sim, settings->faults[i].at_us, SIM_EV_FAULT, i,
+			     0);
 	while (sim_pop(sim, &event) && event.at_us < settings->end_us) {
 		sim->now = event.at_us;
 		sim_step(sim, &event);
 	}
-	sim_close(sim);
+	sim_tear_down(sim);
 	return 0;
 }
 
 /* Puts an event into the heap; those of one time run in their order. */
-void sim_at(struct sim *sim, int64_t at_us, enum sim_event_type type, int a,
-	    uint32_t b)
+void sim_schedule(struct sim *sim, int64_t at_us, enum sim_event_type type,
+		  int a, uint32_t b)
 {
 	struct sim_event event = { at_us, sim->seq++, type, a, b };
 	int i = sim->heap_count++;
 
-	if (sim->heap_count > sim->heap_room) {
-		sim->heap_room =
-			sim->heap_room ? 2 * sim->heap_room : SIM_HEAP_ROOM;
-		sim->heap = realloc(sim->heap, (size_t)sim->heap_room *
+	if (sim->heap_count > sim->heap_capacity) {
+		sim->heap_capacity = sim->heap_capacity ? 2 * sim->heap_capacity
+							: SIM_HEAP_CAPACITY_MIN;
+		sim->heap = realloc(sim->heap, (size_t)sim->heap_capacity *
 						       sizeof(*sim->heap));
 	}
 	while (i > 0 && sim_before(&event, &sim->heap[(i - 1) / 2])) {
@@ -73,8 +74,8 @@
 	case SIM_EV_ARRIVAL:
 		sim_arrival(sim, event->a);
 		break;
-	case SIM_EV_RETURN:
-		sim_return(sim, event->a);
+	case SIM_EV_RETRY:
+		sim_retry(sim, event->a);
 		break;
 	case SIM_EV_TOKEN:
 		sim_token(sim, event->a, event->b);
@@ -95,8 +96,8 @@
 	case SIM_EV_CACHE:
 		sim_cache_event(sim, event->a, event->b);
 		break;
-	case SIM_EV_NEWS:
-		sim_learn(sim, event->a);
+	case SIM_EV_QUARANTINE:
+		sim_learn_quarantine(sim, event->a);
 		break;
 	default:
 		break;
@@ -139,12 +140,12 @@
 }
 
 /* Makes the stages, the cores and the callers' first events. */
-static int sim_open(struct sim *sim)
+static int sim_set_up(struct sim *sim)
 {
 	double rate;
 	int i;
 
-	sim_world(sim);
+	sim_make_stages(sim);
 	sim->result->bound = sim_bound(sim);
 	sim->result->bound_after = sim->result->bound;
 	rate = sim->settings.load * sim->result->bound / SIM_TOKENS_MEAN;
@@ -155,18 +156,19 @@
 							   0.05, 0.05, 0.05,
 							   0.05 };
 
-		sim->demand[i] = rate * (sim->settings.even ? 1.0 / SIM_ACCOUNTS
-							    : part[i]);
+		sim->demand[i] =
+			rate * (sim->settings.equal_demand ? 1.0 / SIM_ACCOUNTS
+							   : part[i]);
 		sim->demand_factor[i] = 1;
-		sim_at(sim, (int64_t)(sim_random(sim) * 1e5), SIM_EV_ARRIVAL, i,
-		       0);
+		sim_schedule(sim, (int64_t)(sim_random(sim) * 1e5),
+			     SIM_EV_ARRIVAL, i, 0);
 	}
-	sim_at(sim, 0, SIM_EV_REPORT, 0, 0);
+	sim_schedule(sim, 0, SIM_EV_REPORT, 0, 0);
 	return sim_routers(sim);
 }
 
 /* Frees everything. */
-static void sim_close(struct sim *sim)
+static void sim_tear_down(struct sim *sim)
 {
 	int i;
 
--- a/bench/sim.h
+++ b/bench/sim.h
@@ -13,35 +13,35 @@
 
 #include "core.h"
 
-#define SIM_STAGES_MAX	  64
-#define SIM_ROUTERS_MAX	  16
-#define SIM_ACCOUNTS	  10
-#define SIM_CENTRES	  3
-#define SIM_LAYERS	  48
-#define SIM_ACTIVATION	  16384 /* bytes a token */
-#define SIM_TOKENS_MEAN	  80
-#define SIM_TOKENS_MAX	  240
-#define SIM_BUCKET_US	  (50 * MAG_US_PER_MS) /* of goodput over time */
-#define SIM_BUCKETS_MAX	  2400
-#define SIM_FAULTS_MAX	  8
-#define SIM_NEWS_MAX	  64
-#define SIM_CACHE	  16   /* prefixes that a stage holds */
-#define SIM_PREFIXES	  120  /* that callers use */
-#define SIM_PROMPT_LONG	  600  /* tokens of a prompt with one */
-#define SIM_LARGEST	  (-2) /* target of a fault: the largest stage */
-#define SIM_ALL		  (-3) /* every stage */
-#define SIM_REPORT_LAG_US (700 * MAG_US_PER_MS)
+#define SIM_STAGES_MAX	     64
+#define SIM_ROUTERS_MAX	     16
+#define SIM_ACCOUNTS	     10
+#define SIM_CENTRES	     3
+#define SIM_LAYERS	     48
+#define SIM_ACTIVATION_BYTES 16384 /* bytes a token */
+#define SIM_TOKENS_MEAN	     80
+#define SIM_TOKENS_MAX	     240
+#define SIM_BUCKET_US	     (50 * MAG_US_PER_MS) /* of goodput over time */
+#define SIM_BUCKETS_MAX	     2400
+#define SIM_FAULTS_MAX	     8
+#define SIM_QUARANTINES_MAX  64
+#define SIM_CACHE	     16	  /* prefixes that a stage holds */
+#define SIM_PREFIXES	     120  /* that callers use */
+#define SIM_PROMPT_LONG	     600  /* tokens of a prompt with one */
+#define SIM_LARGEST	     (-2) /* target of a fault: the largest stage */
+#define SIM_ALL		     (-3) /* every stage */
+#define SIM_REPORT_LAG_US    (700 * MAG_US_PER_MS)
 
 enum sim_event_type {
 	SIM_EV_ARRIVAL, /* a = account */
-	SIM_EV_RETURN,	/* a = call: a refused caller comes back */
+	SIM_EV_RETRY,	/* a = call: a refused caller comes back */
 	SIM_EV_TOKEN,	/* a = stream, b = its generation */
 	SIM_EV_ENDED,	/* a = stream, b = its generation */
 	SIM_EV_TICK,	/* a = router */
 	SIM_EV_REPORT,
-	SIM_EV_FAULT, /* a = fault */
-	SIM_EV_NEWS,  /* a = news of a quarantine */
-	SIM_EV_CACHE, /* a = stage, b = prefix: the event arrives */
+	SIM_EV_FAULT,	   /* a = fault */
+	SIM_EV_QUARANTINE, /* a = news of a quarantine */
+	SIM_EV_CACHE,	   /* a = stage, b = prefix: the event arrives */
 	SIM_EVENT_COUNT
 };
 
@@ -57,11 +57,11 @@
 enum sim_fault_kind {
 	SIM_KILL, /* connections are reset */
 	SIM_HANG, /* connections stay open and nothing comes */
-	SIM_REVIVE,
+	SIM_RESTORE,
 	SIM_LINK, /* factor on the rate of its link */
 	SIM_SLOW, /* factor on its rate, not told in its reports */
 	SIM_CUT,  /* data centre: nothing passes in or out */
-	SIM_JOIN,
+	SIM_RECONNECT,
 	SIM_REPORTS, /* load reports stop (0) or go on (1) */
 	SIM_DEMAND,  /* account: factor on its demand; -1 for all */
 	SIM_POISON,  /* an account sends one poisonous request */
@@ -122,20 +122,20 @@
 	int account;
 	int router;
 	uint32_t tokens;
-	int64_t born_us;
+	int64_t sent_us;
 	int64_t deadline_us;
 	uint32_t allowance_ms;
-	int returns;
+	int retries;
 	uint32_t prefix; /* 0: none */
 	bool poison;
 	bool open;
 	int32_t *token_ms; /* when each token was delivered */
 };
 
-enum sim_callers {
-	SIM_LEAVE,     /* a refused caller doesn't come back */
-	SIM_RETURN,    /* comes back when it was told to */
-	SIM_IMPATIENT, /* comes back at once, a few times */
+enum sim_retry_policy {
+	SIM_NO_RETRY,	   /* a refused caller doesn't come back */
+	SIM_RETRY_AFTER,   /* comes back when it was told to */
+	SIM_RETRY_AT_ONCE, /* comes back at once, a few times */
 };
 
 struct sim_settings {
@@ -144,10 +144,10 @@
 	enum pick_policy policy;
 	bool no_budgets;
 	bool no_resume;
-	enum sim_callers callers;
-	double load;   /* offered, as a part of the bound */
-	bool even;     /* all accounts ask for the same */
-	bool prefixes; /* long prompts that start alike, and cost work */
+	enum sim_retry_policy retry_policy;
+	double load;	   /* offered, as a part of the bound */
+	bool equal_demand; /* all accounts ask for the same */
+	bool prefixes;	   /* long prompts that start alike, and cost work */
 	bool no_affinity;
 	double cache_lost; /* part of the cache events that never arrive */
 	int64_t from_us;   /* what is measured */
@@ -163,8 +163,8 @@
 	double offered;
 	double goodput; /* between from_us and to_us */
 	double served[SIM_ACCOUNTS];
-	double asked[SIM_ACCOUNTS];
-	double kept[SIM_ACCOUNTS];	/* of asked, answered in time */
+	double requested[SIM_ACCOUNTS];
+	double answered_in_time[SIM_ACCOUNTS]; /* of asked, answered in time */
 	double bucket[SIM_BUCKETS_MAX]; /* good tokens by time of delivery */
 	uint32_t calls;
 	uint32_t refused;
@@ -172,17 +172,17 @@
 	uint32_t failed; /* let in, and given up by the router */
 	uint32_t quarantined;
 	uint32_t attempts;
-	uint32_t killed;     /* stages lost to poison */
-	double made;	     /* tokens, whatever became of them */
-	double prefills;     /* prompts read by a stage */
-	double prefill_hits; /* of them, those it held */
+	uint32_t killed;	 /* stages lost to poison */
+	double tokens_processed; /* tokens, whatever became of them */
+	double prefills;	 /* prompts read by a stage */
+	double prefill_hits;	 /* of them, those it held */
 };
 
 /* What one instance tells the others of a fingerprint. */
-struct sim_news {
+struct sim_quarantine {
 	int router;
-	uint8_t print[MAG_DIGEST_BYTES];
-	uint32_t lost;
+	uint8_t fingerprint[MAG_DIGEST_BYTES];
+	uint32_t endpoints_lost;
 	int64_t until_us;
 };
 
@@ -194,7 +194,7 @@
 	uint64_t random;
 	struct sim_event *heap;
 	int heap_count;
-	int heap_room;
+	int heap_capacity;
 	struct sim_stage stages[SIM_STAGES_MAX];
 	int stage_count;
 	bool cut[SIM_CENTRES];
@@ -203,26 +203,26 @@
 	int64_t tick_at[SIM_ROUTERS_MAX];
 	struct sim_stream *streams;
 	int stream_count;
-	int stream_room;
+	int stream_capacity;
 	int stream_free; /* list through call, -1 ends it */
 	struct sim_call *calls;
 	int call_count;
-	int call_room;
-	struct sim_news news[SIM_NEWS_MAX];
-	int news_count;
+	int call_capacity;
+	struct sim_quarantine quarantines[SIM_QUARANTINES_MAX];
+	int quarantine_count;
 	double demand[SIM_ACCOUNTS]; /* requests a second */
 	double demand_factor[SIM_ACCOUNTS];
 };
 
 /* sim.c */
 int sim_run(const struct sim_settings *settings, struct sim_result *result);
-void sim_at(struct sim *sim, int64_t at_us, enum sim_event_type type, int a,
-	    uint32_t b);
+void sim_schedule(struct sim *sim, int64_t at_us, enum sim_event_type type,
+		  int a, uint32_t b);
 double sim_random(struct sim *sim);
 
-/* sim_world.c */
-void sim_world(struct sim *sim);
-char *sim_world_json(const struct sim *sim);
+/* sim_make_stages.c */
+void sim_make_stages(struct sim *sim);
+char *sim_config_json(const struct sim *sim);
 double sim_bound(const struct sim *sim);
 int sim_largest(const struct sim *sim);
 int sim_stage_by_name(const struct sim *sim, const char *name);
@@ -243,7 +243,7 @@
 
 /* sim_caller.c */
 void sim_arrival(struct sim *sim, int account);
-void sim_return(struct sim *sim, int call);
+void sim_retry(struct sim *sim, int call);
 void sim_answer(struct sim *sim, const struct core_answer *answer);
 void sim_poison(struct sim *sim, int account);
 struct sim_call *sim_call_of(struct sim *sim, uint64_t req);
@@ -252,6 +252,6 @@
 void sim_post(struct sim *sim, int router, const struct core_event *event);
 void sim_tick(struct sim *sim, int router);
 int sim_routers(struct sim *sim);
-void sim_learn(struct sim *sim, int news);
+void sim_learn_quarantine(struct sim *sim, int news);
 
 #endif /* SIM_H */
--- a/bench/sim_cache.c
+++ b/bench/sim_cache.c
@@ -27,10 +27,10 @@
 		return 0;
 	}
 	if (dropped)
-		sim_at(sim, sim->now + SIM_CACHE_LAG_US, SIM_EV_CACHE,
-		       s->stage[s->at], dropped | SIM_CACHE_DROPPED);
-	sim_at(sim, sim->now + SIM_CACHE_LAG_US, SIM_EV_CACHE, s->stage[s->at],
-	       prefix);
+		sim_schedule(sim, sim->now + SIM_CACHE_LAG_US, SIM_EV_CACHE,
+			     s->stage[s->at], dropped | SIM_CACHE_DROPPED);
+	sim_schedule(sim, sim->now + SIM_CACHE_LAG_US, SIM_EV_CACHE,
+		     s->stage[s->at], prefix);
 	return (double)SIM_PROMPT_LONG / SIM_PREFILL;
 }
 
--- a/bench/sim_caller.c
+++ b/bench/sim_caller.c
@@ -4,20 +4,20 @@
 
 #include "sim.h"
 
-#define SIM_RETURNS_MAX	  5
-#define SIM_IMPATIENT_US  (100 * MAG_US_PER_MS)
-#define SIM_POISON_US	  MAG_US_PER_S /* until it is sent again */
-#define SIM_ALLOWANCE_MS  10000 /* least; the most is half as much again */
-#define SIM_PROMPT_TOKENS 40
-#define SIM_TOKENS_LEAST  20
-#define SIM_STATUS_HELD	  422
-
-static struct sim_call *sim_call_take(struct sim *sim, int account);
+#define SIM_RETRIES_MAX	       5
+#define SIM_IMPATIENT_US       (100 * MAG_US_PER_MS)
+#define SIM_POISON_US	       MAG_US_PER_S /* until it is sent again */
+#define SIM_ALLOWANCE_MS       10000 /* least; the most is half as much again */
+#define SIM_PROMPT_TOKENS      40
+#define SIM_TOKENS_LEAST       20
+#define SIM_STATUS_QUARANTINED 422
+
+static struct sim_call *sim_call_new(struct sim *sim, int account);
 static void sim_send(struct sim *sim, struct sim_call *call);
 static void sim_refused(struct sim *sim, struct sim_call *call,
 			const struct core_answer *answer);
-static void sim_good(struct sim *sim, const struct sim_call *call);
-static bool sim_counts(const struct sim *sim, const struct sim_call *call);
+static void sim_count_goodput(struct sim *sim, const struct sim_call *call);
+static bool sim_is_measured(const struct sim *sim, const struct sim_call *call);
 
 /* A caller of an account comes; the next one is drawn. */
 void sim_arrival(struct sim *sim, int account)
@@ -25,22 +25,22 @@
 	double rate = sim->demand[account] * sim->demand_factor[account];
 	double wait = -log(1 - sim_random(sim)) / rate;
 
-	sim_at(sim, sim->now + (int64_t)(wait * (double)MAG_US_PER_S),
-	       SIM_EV_ARRIVAL, account, 0);
-	sim_send(sim, sim_call_take(sim, account));
+	sim_schedule(sim, sim->now + (int64_t)(wait * (double)MAG_US_PER_S),
+		     SIM_EV_ARRIVAL, account, 0);
+	sim_send(sim, sim_call_new(sim, account));
 }
 
 /* A refused caller comes back with a new request of the same work. */
-void sim_return(struct sim *sim, int at)
+void sim_retry(struct sim *sim, int at)
 {
 	struct sim_call *old = &sim->calls[at];
 	uint32_t tokens = old->tokens;
-	int returns = old->returns;
+	int returns = old->retries;
 	bool poison = old->poison;
-	struct sim_call *call = sim_call_take(sim, old->account);
+	struct sim_call *call = sim_call_new(sim, old->account);
 
 	call->tokens = tokens;
-	call->returns = returns + 1;
+	call->retries = returns + 1;
 	call->poison = poison;
 	sim_send(sim, call);
 }
@@ -48,7 +48,7 @@
 /* An account's one request that kills each stage that runs it. */
 void sim_poison(struct sim *sim, int account)
 {
-	struct sim_call *call = sim_call_take(sim, account);
+	struct sim_call *call = sim_call_new(sim, account);
 
 	call->poison = true;
 	sim_send(sim, call);
@@ -65,9 +65,9 @@
 	if (answer->kind == CORE_ANSWER_REFUSE)
 		sim_refused(sim, call, answer);
 	else if (sim->now <= call->deadline_us)
-		sim_good(sim, call);
+		sim_count_goodput(sim, call);
 	else
-		sim->result->late += sim_counts(sim, call);
+		sim->result->late += sim_is_measured(sim, call);
 }
 
 /* Returns the call of a request id. */
@@ -77,14 +77,14 @@
 }
 
 /* Draws a new request. */
-static struct sim_call *sim_call_take(struct sim *sim, int account)
+static struct sim_call *sim_call_new(struct sim *sim, int account)
 {
 	struct sim_call *call;
 
-	if (sim->call_count == sim->call_room) {
-		sim->call_room = 2 * sim->call_room + 1024;
-		sim->calls = realloc(sim->calls,
-				     (size_t)sim->call_room * sizeof(*call));
+	if (sim->call_count == sim->call_capacity) {
+		sim->call_capacity = 2 * sim->call_capacity + 1024;
+		sim->calls = realloc(sim->calls, (size_t)sim->call_capacity *
+							 sizeof(*call));
 	}
 	call = &sim->calls[sim->call_count++];
 	memset(call, 0, sizeof(*call));
@@ -108,7 +108,7 @@
 	int poison = call->poison;
 
 	call->router = (int)(sim_random(sim) * sim->settings.routers);
-	call->born_us = sim->now;
+	call->sent_us = sim->now;
 	call->deadline_us = sim->now + call->allowance_ms * MAG_US_PER_MS;
 	call->open = true;
 	call->token_ms = calloc(SIM_TOKENS_MAX, sizeof(*call->token_ms));
@@ -126,10 +126,10 @@
 		arrival->prefix = call->prefix;
 	arrival->max_tokens = call->tokens;
 	arrival->allowance_ms = call->allowance_ms;
-	if (sim_counts(sim, call)) {
+	if (sim_is_measured(sim, call)) {
 		sim->result->calls++;
 		sim->result->offered += call->tokens;
-		sim->result->asked[call->account] += call->tokens;
+		sim->result->requested[call->account] += call->tokens;
 	}
 	sim_post(sim, call->router, &event);
 }
@@ -141,8 +141,8 @@
 	int64_t back_us = answer->retry_after_s * MAG_US_PER_S;
 	int at = (int)(call - sim->calls);
 
-	if (sim_counts(sim, call)) {
-		if (answer->status == SIM_STATUS_HELD)
+	if (sim_is_measured(sim, call)) {
+		if (answer->status == SIM_STATUS_QUARANTINED)
 			sim->result->quarantined++;
 		else if (answer->status == 504)
 			sim->result->late++;
@@ -151,26 +151,26 @@
 		else
 			sim->result->refused++;
 	}
-	if (call->returns >= SIM_RETURNS_MAX ||
-	    (sim->settings.callers == SIM_LEAVE && !call->poison))
+	if (call->retries >= SIM_RETRIES_MAX ||
+	    (sim->settings.retry_policy == SIM_NO_RETRY && !call->poison))
 		return;
-	if (sim->settings.callers == SIM_IMPATIENT)
+	if (sim->settings.retry_policy == SIM_RETRY_AT_ONCE)
 		back_us = SIM_IMPATIENT_US;
 	if (call->poison)
 		back_us = SIM_POISON_US;
 	if (back_us > 0)
-		sim_at(sim, sim->now + back_us, SIM_EV_RETURN, at, 0);
+		sim_schedule(sim, sim->now + back_us, SIM_EV_RETRY, at, 0);
 }
 
 /* A whole answer inside its deadline: its tokens count when they came. */
-static void sim_good(struct sim *sim, const struct sim_call *call)
+static void sim_count_goodput(struct sim *sim, const struct sim_call *call)
 {
 	int64_t from = sim->settings.from_us / MAG_US_PER_MS;
 	int64_t to = sim->settings.to_us / MAG_US_PER_MS;
 	uint32_t i;
 
-	if (sim_counts(sim, call))
-		sim->result->kept[call->account] += call->tokens;
+	if (sim_is_measured(sim, call))
+		sim->result->answered_in_time[call->account] += call->tokens;
 	for (i = 0; i < call->tokens; i++) {
 		int64_t bucket =
 			call->token_ms[i] * MAG_US_PER_MS / SIM_BUCKET_US;
@@ -185,8 +185,8 @@
 }
 
 /* Tells whether a request falls into the time that is measured. */
-static bool sim_counts(const struct sim *sim, const struct sim_call *call)
+static bool sim_is_measured(const struct sim *sim, const struct sim_call *call)
 {
-	return call->born_us >= sim->settings.from_us &&
-	       call->born_us < sim->settings.to_us;
+	return call->sent_us >= sim->settings.from_us &&
+	       call->sent_us < sim->settings.to_us;
 }
--- a/bench/sim_router.c
+++ b/bench/sim_router.c
@@ -5,18 +5,18 @@
 #include "sim.h"
 
 #define SIM_PROGRESS_TIMEOUT_US (500 * MAG_US_PER_MS)
-#define SIM_NEWS_US		(500 * MAG_US_PER_MS) /* between instances */
+#define SIM_QUARANTINE_LAG_US	(500 * MAG_US_PER_MS) /* between instances */
 #define SIM_FIRST_TIMEOUT_US	(1500 * MAG_US_PER_MS)
 
 static int sim_configure(struct sim *sim, int router, const char *json);
-static void sim_spread(struct sim *sim, int router);
+static void sim_spread_quarantines(struct sim *sim, int router);
 static void sim_actions(struct sim *sim, int router);
 static void sim_kv(struct sim *sim, int router, struct kv_call *call);
 
 /* Makes the routers' cores with their configuration. */
 int sim_routers(struct sim *sim)
 {
-	char *json = sim_world_json(sim);
+	char *json = sim_config_json(sim);
 	int err = 0;
 	int i;
 
@@ -62,7 +62,7 @@
 
 	core_tick(sim->cores[router], sim->now);
 	sim_actions(sim, router);
-	sim_spread(sim, router);
+	sim_spread_quarantines(sim, router);
 	next = core_next_deadline(sim->cores[router]);
 	if (next == MAG_NEVER)
 		return;
@@ -71,7 +71,7 @@
 	if (sim->tick_at[router] <= next && sim->tick_at[router] > sim->now)
 		return;
 	sim->tick_at[router] = next;
-	sim_at(sim, next, SIM_EV_TICK, router, 0);
+	sim_schedule(sim, next, SIM_EV_TICK, router, 0);
 }
 
 /* Puts the set of objects into force on one router. */
@@ -93,30 +93,31 @@
 }
 
 /* Sends what a router learnt of poisonous requests to the others. */
-static void sim_spread(struct sim *sim, int router)
+static void sim_spread_quarantines(struct sim *sim, int router)
 {
-	struct sim_news *news = &sim->news[sim->news_count];
+	struct sim_quarantine *news = &sim->quarantines[sim->quarantine_count];
 
-	while (sim->news_count < SIM_NEWS_MAX &&
-	       core_next_quarantine(sim->cores[router], news->print,
-				    &news->lost, &news->until_us)) {
+	while (sim->quarantine_count < SIM_QUARANTINES_MAX &&
+	       core_next_quarantine(sim->cores[router], news->fingerprint,
+				    &news->endpoints_lost, &news->until_us)) {
 		news->router = router;
-		sim_at(sim, sim->now + SIM_NEWS_US, SIM_EV_NEWS,
-		       sim->news_count++, 0);
+		sim_schedule(sim, sim->now + SIM_QUARANTINE_LAG_US,
+			     SIM_EV_QUARANTINE, sim->quarantine_count++, 0);
 		news++;
 	}
 }
 
 /* The other routers hear of a poisonous request. */
-void sim_learn(struct sim *sim, int at)
+void sim_learn_quarantine(struct sim *sim, int at)
 {
-	const struct sim_news *news = &sim->news[at];
+	const struct sim_quarantine *news = &sim->quarantines[at];
 	int i;
 
 	for (i = 0; i < sim->settings.routers; i++) {
 		if (i != news->router)
-			core_learn_quarantine(sim->cores[i], news->print,
-					      news->lost, news->until_us);
+			core_learn_quarantine(sim->cores[i], news->fingerprint,
+					      news->endpoints_lost,
+					      news->until_us);
 	}
 }
 
--- a/bench/sim_stage.c
+++ b/bench/sim_stage.c
@@ -11,8 +11,8 @@
 #define SIM_REPORT_EVERY_US MAG_US_PER_S
 #define SIM_REBUILD	    20 /* tokens of cache rebuilt for one token's work */
 
-static int sim_stream_take(struct sim *sim);
-static void sim_stream_drop(struct sim *sim, int at);
+static int sim_stream_alloc(struct sim *sim);
+static void sim_stream_free(struct sim *sim, int at);
 static void sim_end(struct sim *sim, int at, enum core_end end, int stage,
 		    int64_t when);
 static bool sim_reaches(const struct sim *sim, int centre, int other);
@@ -27,7 +27,7 @@
 		  const struct core_dispatch *dispatch)
 {
 	struct sim_call *call = sim_call_of(sim, dispatch->req);
-	int at = sim_stream_take(sim);
+	int at = sim_stream_alloc(sim);
 	struct sim_stream *s = &sim->streams[at];
 	struct sim_stage *first;
 	int i;
@@ -58,8 +58,8 @@
 		sim_end(sim, at, CORE_END_REFUSED, 0,
 			sim->now + SIM_HOP_FAR_US);
 	} else {
-		sim_at(sim, sim->now + SIM_HOP_NEAR_US, SIM_EV_TOKEN, at,
-		       s->generation);
+		sim_schedule(sim, sim->now + SIM_HOP_NEAR_US, SIM_EV_TOKEN, at,
+			     s->generation);
 	}
 }
 
@@ -118,7 +118,7 @@
 	done += stage->centre == sim->stages[s->stage[s->at]].centre
 			? SIM_HOP_NEAR_US
 			: SIM_HOP_FAR_US;
-	sim_at(sim, done, SIM_EV_TOKEN, at, generation);
+	sim_schedule(sim, done, SIM_EV_TOKEN, at, generation);
 }
 
 /* Tells the router that an attempt ended. */
@@ -136,7 +136,7 @@
 	event.ended.stage = s->end_stage;
 	event.ended.status = s->end == CORE_END_WHOLE ? 200 : 503;
 	event.ended.tokens = s->next;
-	sim_stream_drop(sim, at);
+	sim_stream_free(sim, at);
 	sim_post(sim, router, &event);
 }
 
@@ -155,7 +155,7 @@
 	case SIM_HANG:
 		stage->hung = true;
 		break;
-	case SIM_REVIVE:
+	case SIM_RESTORE:
 		stage->dead = false;
 		stage->hung = false;
 		break;
@@ -169,7 +169,7 @@
 		}
 		break;
 	case SIM_CUT:
-	case SIM_JOIN:
+	case SIM_RECONNECT:
 		sim->cut[target] = fault->kind == SIM_CUT;
 		break;
 	case SIM_REPORTS:
@@ -194,7 +194,7 @@
 	int r;
 	int i;
 
-	sim_at(sim, sim->now + SIM_REPORT_EVERY_US, SIM_EV_REPORT, 0, 0);
+	sim_schedule(sim, sim->now + SIM_REPORT_EVERY_US, SIM_EV_REPORT, 0, 0);
 	for (i = 0; sim->reports && i < sim->stage_count; i++) {
 		struct core_event event = { .type = CORE_EV_LOAD };
 		const struct sim_stage *s = &sim->stages[i];
@@ -212,7 +212,7 @@
 }
 
 /* Takes a free stream. */
-static int sim_stream_take(struct sim *sim)
+static int sim_stream_alloc(struct sim *sim)
 {
 	struct sim_stream *s;
 	uint32_t generation = 0;
@@ -222,11 +222,11 @@
 		sim->stream_free = sim->streams[at].call;
 		generation = sim->streams[at].generation;
 	} else {
-		if (sim->stream_count == sim->stream_room) {
-			sim->stream_room = 2 * sim->stream_room + 64;
-			sim->streams =
-				realloc(sim->streams,
-					(size_t)sim->stream_room * sizeof(*s));
+		if (sim->stream_count == sim->stream_capacity) {
+			sim->stream_capacity = 2 * sim->stream_capacity + 64;
+			sim->streams = realloc(sim->streams,
+					       (size_t)sim->stream_capacity *
+						       sizeof(*s));
 		}
 		at = sim->stream_count++;
 	}
@@ -238,7 +238,7 @@
 }
 
 /* Gives a stream's places on its stages back. */
-static void sim_stream_drop(struct sim *sim, int at)
+static void sim_stream_free(struct sim *sim, int at)
 {
 	struct sim_stream *s = &sim->streams[at];
 	int i;
@@ -260,7 +260,7 @@
 	s->generation++;
 	s->end = end;
 	s->end_stage = stage;
-	sim_at(sim, when, SIM_EV_ENDED, at, s->generation);
+	sim_schedule(sim, when, SIM_EV_ENDED, at, s->generation);
 }
 
 /* Tells whether packets pass between two data centres. */
@@ -289,7 +289,7 @@
 	at = sim_queue(&stage->free_us, at, work) + stage->step_us;
 	if (s->at + 1 < s->count)
 		at = sim_queue(&stage->out_free_us, at, link);
-	sim->result->made += 1.0 / s->count;
+	sim->result->tokens_processed += 1.0 / s->count;
 	return at;
 }
 
@@ -323,7 +323,7 @@
 		s = &sim->streams[at];
 	}
 	if (s->used)
-		sim_at(sim, when, SIM_EV_TOKEN, at, s->generation);
+		sim_schedule(sim, when, SIM_EV_TOKEN, at, s->generation);
 }
 
 /* Tells the router how far a stream is and how long its hops took. */
--- a/bench/sim_world.c
+++ b/bench/sim_world.c
@@ -28,25 +28,24 @@
 	{ "mid", 10, 12, 36, 130, 2e7, 12000, 32 },
 };
 
-static void sim_world_stage(struct sim *sim, const struct sim_kind *kind,
-			    int n);
-static double sim_value(const struct sim *sim, int without, int side);
-static double sim_side(const struct sim *sim, int side);
+static void sim_make_stage(struct sim *sim, const struct sim_kind *kind, int n);
+static double sim_max_flow(const struct sim *sim, int without, int side);
+static double sim_side_throughput(const struct sim *sim, int side);
 
 /* Makes the stages. */
-void sim_world(struct sim *sim)
+void sim_make_stages(struct sim *sim)
 {
 	size_t k;
 	int n;
 
 	for (k = 0; k < MAG_ARRAY_SIZE(sim_kinds); k++) {
 		for (n = 0; n < sim_kinds[k].count; n++)
-			sim_world_stage(sim, &sim_kinds[k], n);
+			sim_make_stage(sim, &sim_kinds[k], n);
 	}
 }
 
 /* Writes the set of objects that the routers get; the caller frees it. */
-char *sim_world_json(const struct sim *sim)
+char *sim_config_json(const struct sim *sim)
 {
 	char *text = NULL;
 	char hash[MAG_DIGEST_HEX];
@@ -62,7 +61,7 @@
 		"{\"kind\":\"route\",\"name\":\"r\",\"path\":\"/\","
 		"\"service\":\"model\",\"idempotent\":true,"
 		"\"key\":\"optional\"}",
-		SIM_LAYERS, SIM_ACTIVATION);
+		SIM_LAYERS, SIM_ACTIVATION_BYTES);
 	for (i = 0; i < SIM_ACCOUNTS; i++) {
 		sim_account_hash(i, hash);
 		fprintf(out,
@@ -80,7 +79,8 @@
 			"\"last_layer\":%u,\"tokens_per_s\":%.0f,"
 			"\"link_bytes_per_s\":%.0f,\"concurrency\":%u}",
 			s->name, s->centre, 20000 + i, s->first, s->end - 1,
-			s->rate, s->link * SIM_ACTIVATION, s->concurrency);
+			s->rate, s->link * SIM_ACTIVATION_BYTES,
+			s->concurrency);
 	}
 	fprintf(out, "]}\n");
 	fclose(out);
@@ -100,14 +100,14 @@
 	for (i = 0; i < SIM_CENTRES; i++)
 		cut += sim->cut[i];
 	if (cut == 0)
-		return sim_value(sim, -1, -1);
-	return sim_side(sim, 0) + sim_side(sim, 1);
+		return sim_max_flow(sim, -1, -1);
+	return sim_side_throughput(sim, 0) + sim_side_throughput(sim, 1);
 }
 
 /* Returns what the side that is cut off (1) or the other one (0) can do. */
-static double sim_side(const struct sim *sim, int side)
+static double sim_side_throughput(const struct sim *sim, int side)
 {
-	double value = sim_value(sim, -1, side);
+	double value = sim_max_flow(sim, -1, side);
 	double asked = 0;
 	int r;
 
@@ -127,7 +127,7 @@
 	int i;
 
 	for (i = 0; i < sim->stage_count; i++) {
-		double value = sim_value(sim, i, -1);
+		double value = sim_max_flow(sim, i, -1);
 
 		if (least < 0 || value < least) {
 			least = value;
@@ -159,7 +159,7 @@
 }
 
 /* Makes one stage; rates differ by a fifth each way. */
-static void sim_world_stage(struct sim *sim, const struct sim_kind *kind, int n)
+static void sim_make_stage(struct sim *sim, const struct sim_kind *kind, int n)
 {
 	struct sim_stage *s = &sim->stages[sim->stage_count];
 
@@ -168,7 +168,7 @@
 	s->first = kind->first;
 	s->end = kind->end;
 	s->rate = (double)(int)(kind->rate * (0.8 + 0.4 * sim_random(sim)));
-	s->link = kind->link_bytes / SIM_ACTIVATION;
+	s->link = kind->link_bytes / SIM_ACTIVATION_BYTES;
 	s->concurrency = kind->concurrency;
 	s->step_us = kind->step_us;
 	s->slow = 1;
@@ -180,7 +180,7 @@
  * Returns the maximum flow without one stage (-1 for none), on one side of a
  * cut (-1 for all).
  */
-static double sim_value(const struct sim *sim, int without, int side)
+static double sim_max_flow(const struct sim *sim, int without, int side)
 {
 	struct flow_stage stages[SIM_STAGES_MAX];
 	bool joined[SIM_CENTRES * SIM_CENTRES];
