--- a/bench/bench_bookings.sh
+++ b/bench/bench_bookings.sh
@@ -1,13 +1,13 @@
 #!/bin/sh
-# Measures bookings through 12 routers at once: how many a second, and how
-# many writes and reads of the platform's service each costs, by the number
-# of shards that records are spread over.
+# Measures concurrent bookings through 12 routers: bookings per second, and
+# writes to and reads from the platform's service per booking, for several
+# numbers of ledger shards.
 # usage: bench/bench_bookings.sh BUILD_DIR
 build=$(cd "$1" && pwd)
 root=$(cd "$(dirname "$0")/.." && pwd)
 
-# one SHARDS: a run of its own on fresh processes.
-one() {
+# measure SHARDS: one measurement with newly started processes.
+measure() {
 	. "$root/regress/proc/lib.sh"
 	init "$build"
 	extra="\"ledger_shards\":$1,"
@@ -32,12 +32,12 @@
 	verify
 }
 
-# Writes and reads so far.
+# Prints the numbers of writes and reads since the start.
 calls() {
 	curl -s "http://$platform/stats" |
 		sed 's/.*"gets":\([0-9]*\).*"swaps":\([0-9]*\).*/\2 \1/'
 }
 
 for shards in 16 4 2 1; do
-	(one $shards)
+	(measure $shards)
 done
--- a/bench/bench_capacity_config.c
+++ b/bench/bench_capacity_config.c
@@ -12,10 +12,11 @@
 #include "rev.h"
 
 /*
- * What a new configuration costs an instance: to read a whole set, to make the
- * next one when one endpoint changed, as from the platform and as from a peer,
- * and to put it in force in the core.  Argument: how many endpoints; 19 model
- * services, 400 accounts and 400 limits go with them.
+ * Measures the cost of a new configuration on an instance: parsing a whole
+ * set, building the next set after a change of one endpoint (from the
+ * platform's full text and from a peer's edits), and applying it in the core.
+ * Argument: number of endpoints.  The set also has 19 model services, 400
+ * accounts and 400 limits.
  */
 
 #define SERVICES 19
@@ -32,15 +33,15 @@
 	return (double)ts.tv_sec * 1e3 + (double)ts.tv_nsec / 1e6;
 }
 
-static double heap(void)
+static double heap_bytes(void)
 {
 	struct mallinfo2 info = mallinfo2();
 
 	return (double)(info.uordblks + info.hblkhd);
 }
 
-/* Writes a set of the shape that the target has. */
-static char *text_of(int endpoints, int revision, size_t *len)
+/* Returns the text of a set in the proportions of the target deployment. */
+static char *config_text(int endpoints, int revision, size_t *len)
 {
 	char *text = NULL;
 	FILE *out = open_memstream(&text, len);
@@ -81,9 +82,9 @@
 	return text;
 }
 
-/* Puts sets in force, of which each differs from the last in one endpoint. */
-static double in_core(struct core *core, struct fleet *fleet,
-		      const struct cfg_set *set, int64_t now)
+/* Applies a set to the core and the fleet; returns the processor time in ms. */
+static double apply_to_core(struct core *core, struct fleet *fleet,
+			    const struct cfg_set *set, int64_t now)
 {
 	struct core_event event = { .type = CORE_EV_CONFIG };
 	struct core_action action;
@@ -101,14 +102,18 @@
 	return start;
 }
 
-/* Follows RUNS changes of one endpoint each, one here and one as a peer. */
-static void changes(int endpoints)
+/*
+ * Measures RUNS changes of one endpoint each, from the full text on the local
+ * instance and from edits on a peer.  Run 1 loads the first set and is not
+ * counted.
+ */
+static void measure_changes(int endpoints)
 {
 	struct core_settings settings = { .seed = 1 };
 	struct fleet_settings fleet_settings = { .incarnation = 1 };
 	struct core *core = core_new(&settings);
 	struct fleet *fleet = fleet_new(&fleet_settings, 1);
-	struct rev *here = rev_new();
+	struct rev *local = rev_new();
 	struct rev *peer = rev_new();
 	struct cfg_set *sets[2] = { NULL, NULL };
 	double took[4] = { 0 };
@@ -120,12 +125,12 @@
 		struct cfg_set *old = sets[0];
 		struct cfg_set *copy = NULL;
 		size_t len = 0;
-		char *text = text_of(endpoints, i, &len);
+		char *text = config_text(endpoints, i, &len);
 		char *edits;
 		double start = cpu_ms();
 		double core_ms;
 
-		if (rev_offer(here, old, text, (uint64_t)i, &sets[0]))
+		if (rev_offer(local, old, text, (uint64_t)i, &sets[0]))
 			abort();
 		took[0] += i > 1 ? cpu_ms() - start : 0;
 		start = cpu_ms();
@@ -135,7 +140,7 @@
 		cfg_free(copy);
 		cfg_free(old);
 		old = sets[1];
-		edits = rev_edits(here, (uint64_t)i - 1);
+		edits = rev_edits(local, (uint64_t)i - 1);
 		bytes = edits ? strlen(edits) : 0;
 		start = cpu_ms();
 		if (edits ? rev_offer_edits(peer, old, (uint64_t)i - 1, edits,
@@ -144,7 +149,7 @@
 			abort();
 		took[2] += i > 1 ? cpu_ms() - start : 0;
 		cfg_free(old);
-		core_ms = in_core(core, fleet, sets[0], i * MAG_US_PER_S);
+		core_ms = apply_to_core(core, fleet, sets[0], i * MAG_US_PER_S);
 		took[3] += i > 1 ? core_ms : 0;
 		free(edits);
 		free(text);
@@ -153,7 +158,7 @@
 	       took[0] / RUNS, took[1] / RUNS, took[2] / RUNS, took[3] / RUNS);
 	cfg_free(sets[0]);
 	cfg_free(sets[1]);
-	rev_free(here);
+	rev_free(local);
 	rev_free(peer);
 	core_free(core);
 	fleet_free(fleet);
@@ -166,7 +171,7 @@
 	struct cfg_set *copy = NULL;
 	int endpoints = argc > 1 ? atoi(argv[1]) : 100;
 	size_t len = 0;
-	char *text = text_of(endpoints, 1, &len);
+	char *text = config_text(endpoints, 1, &len);
 	double before;
 	double memory = 0;
 	double took = 0;
@@ -176,14 +181,14 @@
 	for (i = 0; i < RUNS; i++) {
 		double start = cpu_ms();
 
-		before = heap();
+		before = heap_bytes();
 		if (cfg_parse(text, len, &set, &faults)) {
 			fprintf(stderr, "refused: %s\n",
 				cfg_fault_text(faults, 0));
 			return 1;
 		}
 		took += (cpu_ms() - start) / RUNS;
-		memory = heap() - before;
+		memory = heap_bytes() - before;
 		start = cpu_ms();
 		if (cfg_copy(set, &copy))
 			return 1;
@@ -194,6 +199,6 @@
 	printf("config\t%d\t%zu\t%.2f\t%.0f\t%.2f\n", endpoints, len, took,
 	       memory, copying);
 	free(text);
-	changes(endpoints);
+	measure_changes(endpoints);
 	return 0;
 }
--- a/bench/bench_capacity_core.c
+++ b/bench/bench_capacity_core.c
@@ -9,24 +9,24 @@
 #include "log.h"
 
 /*
- * What deciding on one request costs an instance, from its arrival to its
- * end, and what it keeps for it; and what a round of load reports costs.
- * Arguments: endpoints, open requests, whether the route needs a ledger
- * record (0 or 1), bytes of a ledger segment.
+ * Measures the processor time and memory of one request in an instance, from
+ * its arrival to its end, and the cost of a round of load reports.
+ * Arguments: endpoints, open requests, whether the route needs a ledger record
+ * (0 or 1), bytes of a ledger segment.
  */
 
-#define ACCOUNTS   400
-#define REQUESTS   20000
-#define BOOKINGS   2000
-#define LAYERS	   32
-#define STAGES	   4
-#define GAP_US	   1000
-#define ROUNDS	   20 /* of load reports */
-#define KEYS_MAX   4096
-#define PROGRESSES 2 /* reports of progress a request */
+#define ACCOUNTS	 400
+#define REQUESTS	 20000
+#define BOOKINGS	 2000
+#define LAYERS		 32
+#define STAGES		 4
+#define ARRIVAL_GAP_US	 1000
+#define REPORT_ROUNDS	 20 /* rounds of load reports */
+#define KEYS_MAX	 4096
+#define PROGRESS_REPORTS 2 /* per request */
 
-/* The platform's service as a table in memory. */
-struct cell {
+/* An entry of the in-memory stand-in for the platform's service. */
+struct kv_cell {
 	char key[KV_KEY_MAX];
 	char *value;
 	size_t len;
@@ -36,9 +36,9 @@
 struct bench {
 	struct core *core;
 	int64_t now;
-	struct cell cells[KEYS_MAX];
+	struct kv_cell cells[KEYS_MAX];
 	int cell_count;
-	uint64_t *open; /* ring of dispatched requests */
+	uint64_t *open; /* ring buffer of dispatched requests */
 	uint32_t *attempt;
 	size_t head;
 	size_t count;
@@ -58,14 +58,14 @@
 	return (double)ts.tv_sec * 1e6 + (double)ts.tv_nsec / 1e3;
 }
 
-static double heap(void)
+static double heap_bytes(void)
 {
 	struct mallinfo2 info = mallinfo2();
 
 	return (double)(info.uordblks + info.hblkhd);
 }
 
-static struct cfg_set *set_of(int endpoints, bool ledger)
+static struct cfg_set *make_config(int endpoints, bool ledger)
 {
 	char *text = NULL;
 	size_t len = 0;
@@ -113,7 +113,8 @@
 	return set;
 }
 
-static struct cell *cell_of(struct bench *bench, const char *key, bool make)
+static struct kv_cell *find_cell(struct bench *bench, const char *key,
+				 bool make)
 {
 	int i;
 
@@ -128,41 +129,42 @@
 	return &bench->cells[i];
 }
 
-/* Carries a call out at once and posts its reply. */
-static void on_call(struct bench *bench, struct kv_call *call)
+/* Executes a call immediately and posts its reply. */
+static void execute_kv_call(struct bench *bench, struct kv_call *call)
 {
 	struct core_event event = { .type = CORE_EV_KV_REPLY };
-	struct cell *cell = cell_of(bench, call->key, call->op == KV_CAS);
+	struct kv_cell *kv_cell =
+		find_cell(bench, call->key, call->op == KV_CAS);
 
 	bench->calls++;
 	event.kv.id = call->id;
-	event.kv.status = cell ? KV_OK : KV_ABSENT;
-	if (call->op == KV_CAS && cell) {
-		if (call->version != cell->version) {
+	event.kv.status = kv_cell ? KV_OK : KV_ABSENT;
+	if (call->op == KV_CAS && kv_cell) {
+		if (call->version != kv_cell->version) {
 			event.kv.status = KV_CONFLICT;
 		} else {
 			bench->writes++;
 			bench->write_bytes += call->len;
-			free(cell->value);
-			cell->value = call->value;
-			cell->len = call->len;
-			cell->version++;
+			free(kv_cell->value);
+			kv_cell->value = call->value;
+			kv_cell->len = call->len;
+			kv_cell->version++;
 			call->value = NULL;
 		}
 	}
-	if (cell) {
-		event.kv.version = cell->version;
+	if (kv_cell) {
+		event.kv.version = kv_cell->version;
 		if (call->op == KV_GET) {
-			event.kv.value = malloc(cell->len + 1);
-			memcpy(event.kv.value, cell->value, cell->len);
-			event.kv.len = cell->len;
+			event.kv.value = malloc(kv_cell->len + 1);
+			memcpy(event.kv.value, kv_cell->value, kv_cell->len);
+			event.kv.len = kv_cell->len;
 		}
 	}
 	free(call->value);
 	core_post(bench->core, &event);
 }
 
-static void drain(struct bench *bench)
+static void run_actions(struct bench *bench)
 {
 	struct core_action action;
 
@@ -181,7 +183,7 @@
 			free(action.answer.body);
 			break;
 		case CORE_ACT_KV:
-			on_call(bench, &action.kv);
+			execute_kv_call(bench, &action.kv);
 			break;
 		default:
 			break;
@@ -192,14 +194,14 @@
 static void tick(struct bench *bench)
 {
 	core_tick(bench->core, bench->now);
-	drain(bench);
+	run_actions(bench);
 	while (core_next_deadline(bench->core) <= bench->now) {
 		core_tick(bench->core, bench->now);
-		drain(bench);
+		run_actions(bench);
 	}
 }
 
-static void arrive(struct bench *bench, uint64_t id)
+static void post_arrival(struct bench *bench, uint64_t id)
 {
 	struct core_event event = { .type = CORE_EV_ARRIVAL };
 
@@ -217,8 +219,8 @@
 	core_post(bench->core, &event);
 }
 
-/* The request that has been open longest reports progress, and ends. */
-static void end_oldest(struct bench *bench)
+/* Posts the progress and the end of the oldest open request. */
+static void finish_oldest(struct bench *bench)
 {
 	struct core_event event = { .type = CORE_EV_PROGRESS };
 	uint64_t req = bench->open[bench->head];
@@ -230,7 +232,7 @@
 	event.progress.req = req;
 	event.progress.attempt = attempt;
 	event.progress.hop_count = STAGES;
-	for (i = 0; i < PROGRESSES; i++) {
+	for (i = 0; i < PROGRESS_REPORTS; i++) {
 		event.progress.tokens = 100u * (uint32_t)(i + 1);
 		core_post(bench->core, &event);
 		tick(bench);
@@ -248,7 +250,7 @@
 	tick(bench);
 }
 
-static struct core *core_of(uint32_t segment_bytes)
+static struct core *make_core(uint32_t segment_bytes)
 {
 	struct core_settings settings = {
 		.cluster = "c",
@@ -270,15 +272,15 @@
 	return core_new(&settings);
 }
 
-/* Microseconds a round in which each endpoint reports its load. */
-static double report_rounds(struct bench *bench, int endpoints)
+/* Returns the mean time in us of a round in which each endpoint reports. */
+static double measure_load_reports(struct bench *bench, int endpoints)
 {
 	struct core_event event = { .type = CORE_EV_LOAD };
 	double start = cpu_us();
 	int round;
 	int i;
 
-	for (round = 0; round < ROUNDS; round++) {
+	for (round = 0; round < REPORT_ROUNDS; round++) {
 		bench->now += MAG_US_PER_S;
 		for (i = 0; i < endpoints; i++) {
 			snprintf(event.load.endpoint, MAG_NAME_MAX, "e%d", i);
@@ -290,7 +292,7 @@
 		}
 		tick(bench);
 	}
-	return (cpu_us() - start) / ROUNDS;
+	return (cpu_us() - start) / REPORT_ROUNDS;
 }
 
 int main(int argc, char **argv)
@@ -316,27 +318,27 @@
 	bench->open = calloc(bench->cap, sizeof(*bench->open));
 	bench->attempt = calloc(bench->cap, sizeof(*bench->attempt));
 	bench->now = 1000 * MAG_US_PER_S;
-	before = heap();
-	bench->core = core_of((uint32_t)atol(argv[4]));
-	config.config = set_of(atoi(argv[1]), ledger);
+	before = heap_bytes();
+	bench->core = make_core((uint32_t)atol(argv[4]));
+	config.config = make_config(atoi(argv[1]), ledger);
 	core_post(bench->core, &config);
 	tick(bench);
-	memory = heap();
+	memory = heap_bytes();
 	while (id < open) {
-		arrive(bench, ++id);
-		bench->now += GAP_US / 10;
+		post_arrival(bench, ++id);
+		bench->now += ARRIVAL_GAP_US / 10;
 		tick(bench);
 	}
 	printf("core\t%s\t%zu\t%d\t", argv[1], open, ledger);
 	printf("%.0f\t%.0f\t", memory - before,
-	       (heap() - memory) / (double)(open ? open : 1));
+	       (heap_bytes() - memory) / (double)(open ? open : 1));
 	start = cpu_us();
 	while (id < open + requests) {
-		arrive(bench, ++id);
-		bench->now += GAP_US;
+		post_arrival(bench, ++id);
+		bench->now += ARRIVAL_GAP_US;
 		tick(bench);
 		if (bench->count > open)
-			end_oldest(bench);
+			finish_oldest(bench);
 	}
 	took = cpu_us() - start;
 	printf("%.2f\t%llu\t%llu\t%.3f\t%.0f", took / (double)requests,
@@ -346,6 +348,6 @@
 	       bench->writes
 		       ? (double)bench->write_bytes / (double)bench->writes
 		       : 0.0);
-	printf("\t%.0f\n", report_rounds(bench, atoi(argv[1])));
+	printf("\t%.0f\n", measure_load_reports(bench, atoi(argv[1])));
 	return 0;
 }
--- a/bench/bench_capacity_front.c
+++ b/bench/bench_capacity_front.c
@@ -9,9 +9,9 @@
 #include <unistd.h>
 
 /*
- * What relaying a token costs an instance, and what a stream keeps: a server
- * thread sends an event every 40 ms, and a client thread takes it, as the
- * two sides of a router do.  Arguments: streams, events a stream, port.
+ * Measures the processor time per relayed token and the memory per stream: a
+ * server thread sends an event every 40 ms and a client thread receives it, as
+ * the two sides of a router do.  Arguments: streams, events per stream, port.
  */
 
 #define EVENT_GAP_US 40000
--- a/bench/bench_capacity_peer.c
+++ b/bench/bench_capacity_peer.c
@@ -6,14 +6,15 @@
 #include "log.h"
 
 /*
- * What acting together costs one instance: many fleets in one process and in
- * virtual time.  Arguments: data centres, instances, limits, seconds.  The
- * demand under a tenth of the limits moves each second, a revision comes out
- * 0.44 times a second, an endpoint leaves every 50 s.
+ * Measures the cost of peer coordination per instance: many fleets run in one
+ * process in virtual time.  Arguments: data centres, instances, limits,
+ * seconds.  Each second the demand of a tenth of the limits changes; a
+ * revision is published 0.44 times per second and an endpoint leaves every
+ * 50 s.
  */
 
 #define CHANGES_PER_S 0.44
-#define SETTLE_S      30
+#define WARMUP_S      30
 
 struct bench {
 	struct net net;
@@ -43,8 +44,8 @@
 				    news->revision.revision, net->now);
 }
 
-/* Moves the demand of some limits and lets something happen now and then. */
-static void disturb(struct bench *bench, long step)
+/* Changes demands, publishes revisions and lets endpoints leave. */
+static void generate_changes(struct bench *bench, long step)
 {
 	struct net *net = &bench->net;
 	size_t i;
@@ -69,7 +70,7 @@
 	}
 }
 
-static void reset(struct net *net)
+static void reset_counters(struct net *net)
 {
 	int i;
 
@@ -98,8 +99,8 @@
 		sum->most_bytes = bytes;
 }
 
-static void show(const struct bench *bench, const char *role,
-		 const struct sum *sum, double memory, double seconds)
+static void print_row(const struct bench *bench, const char *role,
+		      const struct sum *sum, double memory, double seconds)
 {
 	double n = sum->count ? sum->count : 1;
 
@@ -110,15 +111,15 @@
 	       (double)bench->net.calls / seconds);
 }
 
-static double heap(void)
+static double heap_bytes(void)
 {
 	struct mallinfo2 info = mallinfo2();
 
 	return (double)(info.uordblks + info.hblkhd);
 }
 
-/* Measures what reading the clock twice takes, to leave it out. */
-static void calibrate(struct net *net)
+/* Measures the cost of two clock reads, which is subtracted from results. */
+static void calibrate_timer(struct net *net)
 {
 	uint64_t least = UINT64_MAX;
 	int i;
@@ -137,10 +138,10 @@
 {
 	long step;
 
-	for (step = 0; step < (SETTLE_S + seconds) * 100; step++) {
-		if (step == SETTLE_S * 100)
-			reset(&bench->net);
-		disturb(bench, step);
+	for (step = 0; step < (WARMUP_S + seconds) * 100; step++) {
+		if (step == WARMUP_S * 100)
+			reset_counters(&bench->net);
+		generate_changes(bench, step);
 		net_step(&bench->net);
 	}
 }
@@ -171,18 +172,18 @@
 	bench->net.set = &bench->set;
 	bench->net.news = on_news;
 	bench->net.ctx = bench;
-	calibrate(&bench->net);
-	before = heap();
+	calibrate_timer(&bench->net);
+	before = heap_bytes();
 	net_init(&bench->net, atoi(argv[1]), atoi(argv[2]));
 	run(bench, seconds);
-	memory = heap() - before -
+	memory = heap_bytes() - before -
 		 (double)(bench->net.queue_cap * sizeof(struct net_message));
 	memory /= bench->net.count;
 	for (n = 0; n < bench->net.count; n++)
 		add(fleet_is_bridge(bench->net.nodes[n].fleet) ? &bridge
 							       : &member,
 		    &bench->net.nodes[n], (double)seconds);
-	show(bench, "member", &member, memory, (double)seconds);
-	show(bench, "bridge", &bridge, memory, (double)seconds);
+	print_row(bench, "member", &member, memory, (double)seconds);
+	print_row(bench, "bridge", &bridge, memory, (double)seconds);
 	return 0;
 }
--- a/bench/bench_capacity_place.c
+++ b/bench/bench_capacity_place.c
@@ -8,9 +8,11 @@
 #include "plc.h"
 
 /*
- * What placing costs the holder of a data centre.  Arguments: engines of the
- * data centre.  They start empty; each load takes a second.  Prints what a
- * second costs while it places and once all is placed.
+ * Measures the cost of placement for the placer of a data centre.  Argument:
+ * number of engines in the data centre.  Engines start without a model and
+ * execute each order at once.
+ * Prints the processor time per second during placement and in the steady
+ * state.
  */
 
 #define SERVICES    19
@@ -23,7 +25,7 @@
 struct bench {
 	struct plc *plc;
 	struct cfg_set set;
-	bool *holds;
+	bool *loaded;
 	int64_t now;
 	uint64_t reads;
 	uint64_t loads;
@@ -64,7 +66,7 @@
 	}
 }
 
-static void answer(struct bench *bench, const struct plc_order *order)
+static void execute_order(struct bench *bench, const struct plc_order *order)
 {
 	struct plc_order_result result = { .id = order->id,
 					   .status = PLC_DONE };
@@ -73,11 +75,11 @@
 
 	if (order->kind == PLC_LOAD) {
 		bench->loads++;
-		bench->holds[i] = true;
+		bench->loaded[i] = true;
 	} else {
 		bench->reads++;
 	}
-	if (bench->holds[i])
+	if (bench->loaded[i])
 		memcpy(result.model, bench->set.services[end->service].name,
 		       MAG_NAME_MAX);
 	result.first_layer = end->first_layer;
@@ -100,7 +102,7 @@
 		plc_reply(bench->plc, &reply, bench->now);
 	}
 	while (plc_next_order(bench->plc, &order))
-		answer(bench, &order);
+		execute_order(bench, &order);
 	bench->work_us += cpu_us() - start;
 }
 
@@ -118,7 +120,7 @@
 
 	log_set_sink(NULL, NULL);
 	make_set(&bench.set, engines);
-	bench.holds = calloc((size_t)engines + 1, sizeof(bool));
+	bench.loaded = calloc((size_t)engines + 1, sizeof(bool));
 	before = mallinfo2();
 	bench.plc = plc_new(&settings, 0);
 	plc_config(bench.plc, &bench.set, 0);
--- a/bench/bench_capacity_udp.c
+++ b/bench/bench_capacity_udp.c
@@ -6,8 +6,8 @@
 #include <time.h>
 
 /*
- * What the kernel takes for a heartbeat, sent and received on loopback.
- * Argument: bytes of a datagram.
+ * Measures the kernel's processor time for one heartbeat datagram, sent and
+ * received on loopback.  Argument: size of the datagram in bytes.
  */
 
 #define ROUNDS 100000
--- a/bench/bench_decide.c
+++ b/bench/bench_decide.c
@@ -7,14 +7,15 @@
 #include "pick.h"
 
 /*
- * Times a decision (choose, count in, count off) on this machine's clock at
- * growing numbers of workers, free and with every endpoint at its limit,
- * and the solving of the graph after a change.  Prints JSON.
+ * Measures the wall time of a routing decision (choose a chain, start and end
+ * an attempt) for increasing numbers of workers, with free endpoints and with
+ * every endpoint at its limit, and the time to solve the flow graph after a
+ * change.  Prints JSON.
  */
 
-#define DECISIONS 20000
-#define HELD	  4  /* attempts in flight for each worker */
-#define HELD_FULL 40 /* the same, more than the workers take */
+#define DECISIONS      20000
+#define IN_FLIGHT      4  /* attempts in flight per worker */
+#define IN_FLIGHT_FULL 40 /* the same, above the workers' limits */
 
 static struct cfg_service service = {
 	.name = "model",
@@ -23,7 +24,7 @@
 	.activation_bytes = 16384,
 };
 
-/* Returns microseconds of the monotonic clock. */
+/* Returns the monotonic clock in microseconds. */
 static double now_us(void)
 {
 	struct timespec t;
@@ -32,7 +33,7 @@
 	return (double)t.tv_sec * 1e6 + (double)t.tv_nsec / 1e3;
 }
 
-/* Drops the log lines after they were made, as a full sink would. */
+/* Discards formatted log lines, so that only formatting is measured. */
 static void drop_line(void *ctx, enum log_prio prio, const char *line)
 {
 	(void)ctx;
@@ -40,8 +41,8 @@
 	(void)line;
 }
 
-/* Makes workers of five kinds in three data centres. */
-static void make(struct cfg_endpoint *endpoints, int count)
+/* Creates workers of five kinds in three data centres. */
+static void make_workers(struct cfg_endpoint *endpoints, int count)
 {
 	static const uint32_t first[] = { 0, 24, 0, 24, 12 };
 	static const uint32_t last[] = { 23, 47, 47, 47, 35 };
@@ -62,19 +63,20 @@
 	}
 }
 
-/* Returns the mean time of a decision in microseconds. */
-static double decide(struct pick *pick, int hold, int *failed)
+/* Returns the mean time in us; *failed counts decisions without a chain. */
+static double decide(struct pick *pick, int in_flight_max, int *failed)
 {
 	struct pick_want want = { .service = 0, .group = "" };
 	struct pick_result end = { .kind = PICK_ENDED_WELL, .at_stage = -1 };
-	struct pick_chain *held = calloc((size_t)hold, sizeof(*held));
+	struct pick_chain *in_flight =
+		calloc((size_t)in_flight_max, sizeof(*in_flight));
 	double from = now_us();
 	double took;
 	int i;
 
 	*failed = 0;
 	for (i = 0; i < DECISIONS; i++) {
-		struct pick_chain *chain = &held[i % hold];
+		struct pick_chain *chain = &in_flight[i % in_flight_max];
 
 		if (chain->count > 0)
 			pick_ended(pick, chain, &end, 1);
@@ -84,15 +86,15 @@
 			pick_started(pick, chain, 1);
 	}
 	took = (now_us() - from) / DECISIONS;
-	for (i = 0; i < hold; i++) {
-		if (held[i].count > 0)
-			pick_ended(pick, &held[i], &end, 1);
+	for (i = 0; i < in_flight_max; i++) {
+		if (in_flight[i].count > 0)
+			pick_ended(pick, &in_flight[i], &end, 1);
 	}
-	free(held);
+	free(in_flight);
 	return took;
 }
 
-/* Measures one number of workers. */
+/* Prints the measurements for one number of workers. */
 static void measure(int count, bool first)
 {
 	struct cfg_endpoint *endpoints =
@@ -111,7 +113,7 @@
 	int failed;
 	int full;
 
-	make(endpoints, count);
+	make_workers(endpoints, count);
 	pick_config(pick, &set, 0);
 	pick_tick(pick, 0);
 	solve = now_us();
@@ -119,10 +121,10 @@
 	pick_tick(pick, 0);
 	solve = now_us() - solve;
 	log_set_sink(NULL, NULL);
-	free_us = decide(pick, HELD * count, &failed);
-	full_us = decide(pick, HELD_FULL * count, &full);
+	free_us = decide(pick, IN_FLIGHT * count, &failed);
+	full_us = decide(pick, IN_FLIGHT_FULL * count, &full);
 	log_set_sink(drop_line, NULL);
-	logged_us = decide(pick, HELD * count, &failed);
+	logged_us = decide(pick, IN_FLIGHT * count, &failed);
 	printf("%s\n{\"workers\":%d,\"decide_us\":%.2f,"
 	       "\"decide_and_log_us\":%.2f,\"busy\":%d,"
 	       "\"decide_at_limits_us\":%.2f,\"busy_at_limits\":%d,"
@@ -133,7 +135,6 @@
 	free(endpoints);
 }
 
-/* Runs all sizes. */
 int main(void)
 {
 	static const int sizes[] = { 40, 100, 400, 1000, 4000, 10000 };
--- a/bench/bench_edge.sh
+++ b/bench/bench_edge.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# What a router on a platform costs: processor time for a relayed event and a
-# plain request, and memory at rest and with streams open, on stand-ins.
+# Measures magnolia-edge with stand-ins: processor time per relayed event and
+# plain request, and resident memory when idle and with open streams.
 build=$(cd "$1" && pwd)
 cd "$(dirname "$0")/../regress" || exit 1
 set -- "$build"
@@ -10,15 +10,15 @@
 ticks() { awk '{print $14 + $15}' "/proc/$router_1/stat"; }
 rss() { awk '/VmRSS/ {print $2}' "/proc/$router_1/status"; }
 events() { curl -s "http://127.0.0.1:$((base + 91))/metrics" | awk '$1 == "magnolia_events_relayed_total" {e = $2} $1 == "magnolia_requests_total" {r = $2} END {print e, r}'; }
-rest=$(rss)
+idle_kb=$(rss)
 hz=$(getconf CLK_TCK)
 set -- $(events) $(ticks)
 "$build/tool_calls" cost 10 200 $(router 1) >"$dir/calls" &
 calls=$!
 sleep 5
-open=$(rss)
+loaded_kb=$(rss)
 wait $calls
 set -- "$@" $(events) $(ticks)
-awk -v hz="$hz" -v e=$(($4 - $1)) -v r=$(($5 - $2)) -v t=$(($6 - $3)) -v rest="$rest" -v open="$open" 'BEGIN {
+awk -v hz="$hz" -v e=$(($4 - $1)) -v r=$(($5 - $2)) -v t=$(($6 - $3)) -v idle="$idle_kb" -v loaded="$loaded_kb" 'BEGIN {
 	printf "%d events, %d requests, %.2f s of processor time: %.1f us an event all in\n", e, r, t / hz, t / hz * 1e6 / e
-	printf "resident %d kB at rest, %d kB under this load\n", rest, open }'
+	printf "resident %d kB at rest, %d kB under this load\n", idle, loaded }'
--- a/bench/bench_ledger.c
+++ b/bench/bench_ledger.c
@@ -10,18 +10,19 @@
 #include "log.h"
 
 /*
- * Bookings through the ledger against a stand-in of the platform's service
- * with stated latencies and rates, in virtual time.  Each run compares
- * batches with one record each under the same arrivals; the last rows cut
- * the service off for a while.
+ * Measures bookings through the ledger in virtual time, against a stand-in for
+ * the platform's service with fixed latencies and rate limits.  The same
+ * arrivals run with batched records and with one write per record; the last
+ * rows add an outage of the service.
  */
 
-#define STEP_US	       250
-#define RUN_US	       (10 * MAG_US_PER_S)
-#define READ_US	       (2 * MAG_US_PER_MS)
-#define WRITE_US       (3 * MAG_US_PER_MS)
-#define REFUSE_US      MAG_US_PER_MS
-#define SERVICE_US     (20 * MAG_US_PER_MS) /* the booking itself */
+#define STEP_US	  250
+#define RUN_US	  (10 * MAG_US_PER_S)
+#define READ_US	  (2 * MAG_US_PER_MS)
+#define WRITE_US  (3 * MAG_US_PER_MS)
+#define REFUSE_US MAG_US_PER_MS
+#define SERVICE_US                                                             \
+	(20 * MAG_US_PER_MS) /* duration of a booking at its endpoint */
 #define DEADLINE_US    (2 * MAG_US_PER_S)
 #define READS_PER_S    2000
 #define WRITES_PER_S   300
@@ -54,7 +55,7 @@
 
 struct sim_booking {
 	int64_t arrived_us;
-	int64_t go_us;
+	int64_t reserved_us;
 	int router;
 	bool settled;
 	bool refused;
@@ -86,7 +87,8 @@
 static struct sim_booking *bookings;
 static size_t call_top;
 static size_t booking_count;
-static int64_t bucket_us[2]; /* when the next write, read fits its rate */
+static int64_t bucket_us[2]; /* rate limit: earliest time of the next write [0],
+				read [1] */
 static uint64_t call_count[2];
 static uint64_t limited;
 static int64_t sim_now;
@@ -98,15 +100,15 @@
 		      struct kv_call *call);
 static void sim_apply(struct sim_call *call);
 static void sim_drain(const struct sim_case *c, int router);
-static void sim_calls(void);
-static void sim_settle(void);
-static void sim_arrive(const struct sim_case *c);
+static void sim_run_calls(void);
+static void sim_settle_bookings(void);
+static void sim_add_booking(const struct sim_case *c);
 static void sim_start(const struct sim_case *c);
 static void sim_stop(void);
 static void sim_run(const struct sim_case *c, struct sim_figures *f);
 static void sim_measure(const struct sim_case *c, struct sim_figures *f);
 static double sim_recovery(void);
-static int sim_order(const void *a, const void *b);
+static int sim_compare(const void *a, const void *b);
 static void sim_print(const struct sim_case *c, const struct sim_figures *f,
 		      FILE *json, bool first);
 
@@ -114,9 +116,9 @@
 {
 	static const unsigned int rates[] = { 50, 150, 300, 600, 1200 };
 	static const unsigned int sizes[] = { 4, 12 };
-	struct arg_str *path = arg_str0(NULL, "json", "FILE", "figures");
-	struct arg_int *seed = arg_int0(NULL, "seed", "N", "of the arrivals");
-	struct arg_int *shards = arg_int0(NULL, "shards", "N", "of batches");
+	struct arg_str *path = arg_str0(NULL, "json", "FILE", "write the results as JSON");
+	struct arg_int *seed = arg_int0(NULL, "seed", "N", "seed of the arrivals");
+	struct arg_int *shards = arg_int0(NULL, "shards", "N", "shards with batched records");
 	struct arg_end *end = arg_end(4);
 	void *table[] = { path, seed, shards, end };
 	struct sim_case c = { .seed = 1, .shards = 2 };
@@ -142,7 +144,7 @@
 	bookings = calloc(BOOKINGS_MAX, sizeof(*bookings));
 	printf("%-8s %7s %7s %6s %9s %8s %7s %7s %7s %9s %8s %9s\n", "records",
 	       "routers", "shards", "rate", "booked/s", "refused", "writes",
-	       "reads", "limited", "median ms", "p99 ms", "back ms");
+	       "reads", "limited", "median ms", "p99 ms", "recov ms");
 	for (mode = 0; mode < 4; mode++) {
 		c.single = mode & 1;
 		c.outage = mode > 1;
@@ -187,7 +189,7 @@
 	return &values[hash];
 }
 
-/* The service takes calls at its rates, with a short burst, or refuses. */
+/* Accepts a call within the service's rate and burst, else refuses it. */
 static void sim_issue(const struct sim_case *c, int router,
 		      struct kv_call *call)
 {
@@ -213,7 +215,7 @@
 	slot->reply_us = sim_now + latency;
 	call_count[read]++;
 	if (c->outage && sim_now >= OUTAGE_FROM_US && sim_now < OUTAGE_TO_US) {
-		slot->reply.status = KV_LOST; /* it hangs */
+		slot->reply.status = KV_LOST; /* no reply before the deadline */
 		slot->apply_us = MAG_NEVER;
 		slot->reply_us = call->deadline_us;
 		return;
@@ -263,7 +265,7 @@
 		struct sim_booking *b = &bookings[result.req];
 
 		if (result.verdict == LDG_GO)
-			b->go_us = sim_now;
+			b->reserved_us = sim_now;
 		else
 			b->refused = true;
 		free(result.answer);
@@ -272,7 +274,7 @@
 		sim_issue(c, router, &call);
 }
 
-static void sim_calls(void)
+static void sim_run_calls(void)
 {
 	size_t i;
 
@@ -292,7 +294,7 @@
 	}
 }
 
-static void sim_settle(void)
+static void sim_settle_bookings(void)
 {
 	static const char answer[] = "{\"booking\":\"chimes-7731\"}";
 	const struct ldg_outcome outcome = { 201, answer, sizeof(answer) - 1 };
@@ -302,14 +304,15 @@
 	for (i = from; i < booking_count; i++) {
 		struct sim_booking *b = &bookings[i];
 
-		if (!b->go_us || b->settled || b->go_us + SERVICE_US > sim_now)
+		if (!b->reserved_us || b->settled ||
+		    b->reserved_us + SERVICE_US > sim_now)
 			continue;
 		b->settled = true;
 		ldg_settle(routers[b->router], i, &outcome, sim_now);
 	}
 }
 
-static void sim_arrive(const struct sim_case *c)
+static void sim_add_booking(const struct sim_case *c)
 {
 	struct sim_booking *b = &bookings[booking_count];
 	struct ldg_claim claim = { .req = booking_count };
@@ -378,11 +381,11 @@
 	sim_start(c);
 	for (sim_now = 0; sim_now < RUN_US + DEADLINE_US; sim_now += STEP_US) {
 		while (next <= (double)sim_now && sim_now < RUN_US) {
-			sim_arrive(c);
+			sim_add_booking(c);
 			next -= log(sim_uniform()) * 1e6 / c->rate;
 		}
-		sim_calls();
-		sim_settle();
+		sim_run_calls();
+		sim_settle_bookings();
 		for (i = 0; i < c->routers; i++) {
 			if (ldg_next_deadline(routers[i]) <= sim_now)
 				ldg_tick(routers[i], sim_now);
@@ -402,15 +405,15 @@
 	size_t i;
 
 	for (i = 0; i < booking_count; i++) {
-		if (bookings[i].go_us)
-			waits[booked++] =
-				bookings[i].go_us - bookings[i].arrived_us;
+		if (bookings[i].reserved_us)
+			waits[booked++] = bookings[i].reserved_us -
+					  bookings[i].arrived_us;
 		else
 			refused++;
 	}
 	if (booked == 0)
-		abort(); /* no case is that hopeless */
-	qsort(waits, booked, sizeof(*waits), sim_order);
+		abort(); /* every case books at least one */
+	qsort(waits, booked, sizeof(*waits), sim_compare);
 	f->per_s = (double)booked * 1e6 / (double)RUN_US;
 	f->refused = 100.0 * (double)refused / (double)booking_count;
 	f->writes = (double)call_count[0] / (double)booked;
@@ -425,13 +428,14 @@
 }
 
 /*
- * From the service's return until nine tenths of the bookings that arrive in
- * a tenth of a second go, in that slot and in the nine that follow.
+ * Returns the time from the end of the outage to the first 100 ms slot from
+ * which on at least 90% of the bookings of every slot up to the end of the run
+ * are reserved, or -1.
  */
 static double sim_recovery(void)
 {
 	unsigned int arrived[SLOTS] = { 0 };
-	unsigned int went[SLOTS] = { 0 };
+	unsigned int reserved[SLOTS] = { 0 };
 	int64_t slot;
 	int64_t back = -1;
 	size_t i;
@@ -439,10 +443,10 @@
 	for (i = 0; i < booking_count; i++) {
 		slot = bookings[i].arrived_us / SLOT_US;
 		arrived[slot]++;
-		went[slot] += bookings[i].go_us > 0;
+		reserved[slot] += bookings[i].reserved_us > 0;
 	}
 	for (slot = OUTAGE_TO_US / SLOT_US; slot < SLOTS; slot++) {
-		if (went[slot] * 10 < arrived[slot] * 9)
+		if (reserved[slot] * 10 < arrived[slot] * 9)
 			back = -1;
 		else if (back < 0)
 			back = slot;
@@ -453,7 +457,7 @@
 	return (double)slot / 1e3;
 }
 
-static int sim_order(const void *a, const void *b)
+static int sim_compare(const void *a, const void *b)
 {
 	int64_t x = *(const int64_t *)a;
 	int64_t y = *(const int64_t *)b;
--- a/bench/bench_path.sh
+++ b/bench/bench_path.sh
@@ -1,8 +1,9 @@
 #!/bin/sh
-# Measures the path of a request on real processes, in one run: requests a
-# second and latency through a router and to the stand-in directly; resident
-# memory at rest and with 500 streams; time from an accepted change to in
-# force on 12 routers, four of which can't reach the platform's service.
+# Measures the request path with real processes in one run: requests per
+# second and latency through a router and directly to the stand-in; resident
+# memory when idle and with 500 streams; and the time from an accepted change
+# until 12 routers have applied it, four of which cannot reach the platform's
+# service.
 # usage: bench/bench_path.sh BUILD_DIR
 . "$(dirname "$0")/../regress/proc/lib.sh"
 init "$(cd "$1" && pwd)"
@@ -11,7 +12,7 @@
 rated=1600
 engine_threads=400
 
-# field NAME: of the JSON object that a load printed.
+# field NAME: extracts a number from the JSON that tool_load printed.
 field() {
 	sed "s/.*\"$1\":\([0-9.]*\).*/\1/"
 }
@@ -23,7 +24,8 @@
 		--name "b$(date +%s%N)"
 }
 
-# compare KIND PATH COUNT: the stand-in directly, then through the router.
+# compare KIND PATH COUNT: measures the stand-in directly, then through the
+# router.
 compare() {
 	for at in 1 32; do
 		count=$(($3 * (at == 1 ? 1 : 10)))
@@ -43,7 +45,8 @@
 	sed -n 's/^VmRSS: *//p' "/proc/$(pid_of router-0)/status"
 }
 
-# The time of day of a log line, in milliseconds.
+# applied_ms ROUTER REVISION: prints the time of day, in ms, at which a router
+# logged that it applied a revision; nothing if it has not.
 applied_ms() {
 	stamp=$(sed -n "s/^<5>\([^ ]*\) .*config-applied revision=$2 .*/\1/p" \
 		"$work/router-$1.err")
@@ -57,7 +60,8 @@
 	done
 }
 
-# slowest ROUTER...: how long after the acceptance the last one had it.
+# slowest ROUTER...: prints the ms from the acceptance until the last of the
+# routers applied the revision.
 slowest() {
 	worst=0
 	for i in "$@"; do
--- a/bench/bench_pipeline.c
+++ b/bench/bench_pipeline.c
@@ -5,14 +5,14 @@
 #include "sim.h"
 
 #define SEEDS_MAX    32
-#define FAULT_US     (20 * MAG_US_PER_S) /* when faults begin */
-#define MEASURE_US   (30 * MAG_US_PER_S) /* how long is measured */
-#define DRAIN_US     (17 * MAG_US_PER_S) /* longest allowance, and some */
+#define FAULT_US     (20 * MAG_US_PER_S) /* time of the first fault */
+#define MEASURE_US   (30 * MAG_US_PER_S) /* measured interval */
+#define DRAIN_US     (17 * MAG_US_PER_S) /* longest allowance plus 2 s */
 #define RECOVER_PART 0.95
-#define RECOVER_SPAN 20 /* buckets of a second */
+#define RECOVER_SPAN 20 /* buckets per second */
 #define NEVER_MS     99999
 
-/* What a run is made of besides its seed. */
+/* A configuration of the router under test. */
 struct variant {
 	const char *name;
 	enum pick_policy policy;
@@ -26,12 +26,12 @@
 	double load;
 	bool even;
 	enum sim_retry_policy callers;
-	struct sim_fault faults[SIM_FAULTS_MAX]; /* times from FAULT_US */
+	struct sim_fault faults[SIM_FAULTS_MAX]; /* relative to FAULT_US */
 	int fault_count;
-	bool prefixes;	    /* callers' prompts start alike */
-	double cache_lost;  /* part of the cache events */
-	bool recovery;	    /* measured from the fault on */
-	int64_t recover_us; /* or from so long after it */
+	bool prefixes;	    /* prompts share prefixes */
+	double cache_lost;  /* fraction of cache events */
+	bool recovery;	    /* measure recovery time */
+	int64_t recover_us; /* its start, after FAULT_US */
 };
 
 static const struct variant variants[] = {
@@ -125,24 +125,24 @@
 	  .fault_count = 2 },
 };
 
-/* The figures of one run that the tables show. */
+/* The results of one run that the table shows. */
 struct figures {
-	double goodput; /* of what could be served: offered or bound */
-	double bound;	/* tokens a second, what remained of it */
+	double goodput; /* fraction of min(offered, bound) */
+	double bound;	/* tokens per second after the faults */
 	double recovery_ms;
-	double late;   /* of all calls */
-	double failed; /* of all calls */
+	double late;   /* fraction of calls */
+	double failed; /* fraction of calls */
 	double jain;
-	double others; /* goodput of accounts 1.. of what they asked */
+	double others_answered; /* fraction in time, accounts 1.. */
 	double attempts;
 	double killed;
-	double hits; /* of prompts read, those whose prefix was held */
+	double hits; /* fraction of prompts whose prefix was held */
 };
 
 static struct sim_result result;
 
-/* Orders doubles for qsort. */
-static int order(const void *a, const void *b)
+/* Compares doubles for qsort. */
+static int compare_doubles(const void *a, const void *b)
 {
 	double x = *(const double *)a;
 	double y = *(const double *)b;
@@ -150,7 +150,7 @@
 	return (x > y) - (x < y);
 }
 
-/* Returns Jain's index of what equal accounts were served. */
+/* Returns Jain's fairness index of the tokens served per account. */
 static double jain(const struct sim_result *r)
 {
 	double sum = 0;
@@ -164,8 +164,8 @@
 	return squares > 0 ? sum * sum / (SIM_ACCOUNTS * squares) : 0;
 }
 
-/* Returns the part of what accounts 1 and up asked that was in time. */
-static double others(const struct sim_result *r)
+/* Returns the fraction of requests answered in time, account 0 excluded. */
+static double others_answered(const struct sim_result *r)
 {
 	double kept = 0;
 	double asked = 0;
@@ -179,8 +179,8 @@
 }
 
 /*
- * Returns the time from the fault until goodput over a second is back at 95
- * in 100 of what the bound that remains lets through.
+ * Returns the time in ms from the fault until the goodput over one second
+ * reaches 95% of the target.
  */
 static double recovery(const struct sim_result *r, double target,
 		       int64_t after_us)
@@ -226,7 +226,7 @@
 		.fault_count = scenario->fault_count,
 	};
 	double seconds = (double)MEASURE_US / (double)MAG_US_PER_S;
-	double could;
+	double achievable;
 	int i;
 
 	for (i = 0; i < s.fault_count; i++) {
@@ -235,55 +235,56 @@
 	}
 	if (sim_run(&s, &result) < 0)
 		exit(1);
-	could = result.offered / seconds;
-	if (could > result.bound_after)
-		could = result.bound_after;
-	f->goodput = result.goodput / seconds / could;
+	achievable = result.offered / seconds;
+	if (achievable > result.bound_after)
+		achievable = result.bound_after;
+	f->goodput = result.goodput / seconds / achievable;
 	f->bound = result.bound_after;
-	f->recovery_ms = recovery(&result, could, scenario->recover_us);
+	f->recovery_ms = recovery(&result, achievable, scenario->recover_us);
 	f->late = (double)result.late / result.calls;
 	f->failed = (double)result.failed / result.calls;
 	f->jain = jain(&result);
-	f->others = others(&result);
+	f->others_answered = others_answered(&result);
 	f->attempts = (double)result.attempts;
 	f->killed = result.killed;
 	f->hits =
 		result.prefills > 0 ? result.prefill_hits / result.prefills : 0;
 }
 
-/* Returns the middle one of some figures, or the worst of them. */
-static double of_seeds(const struct figures *f, int seeds, size_t offset,
-		       bool largest_is_worst, bool worst)
+/* Returns the median or the worst value of a field over all seeds. */
+static double over_seeds(const struct figures *f, int seeds, size_t offset,
+			 bool largest_is_worst, bool worst)
 {
 	double v[SEEDS_MAX];
 	int i;
 
 	for (i = 0; i < seeds; i++)
 		memcpy(&v[i], (const char *)&f[i] + offset, sizeof(v[i]));
-	qsort(v, (size_t)seeds, sizeof(*v), order);
+	qsort(v, (size_t)seeds, sizeof(*v), compare_doubles);
 	if (!worst)
 		return v[seeds / 2];
 	return largest_is_worst ? v[seeds - 1] : v[0];
 }
 
-#define MEDIAN(field) of_seeds(f, seeds, offsetof(struct figures, field), 0, 0)
-#define LEAST(field)  of_seeds(f, seeds, offsetof(struct figures, field), 0, 1)
-#define MOST(field)   of_seeds(f, seeds, offsetof(struct figures, field), 1, 1)
+#define MEDIAN(field)                                                          \
+	over_seeds(f, seeds, offsetof(struct figures, field), 0, 0)
+#define LEAST(field) over_seeds(f, seeds, offsetof(struct figures, field), 0, 1)
+#define MOST(field)  over_seeds(f, seeds, offsetof(struct figures, field), 1, 1)
 
-/* Prints a line of the table, and its JSON if asked for. */
+/* Prints a row of the table, and as JSON if a file is given. */
 static void print(const struct scenario *scenario,
 		  const struct variant *variant, int routers,
 		  const struct figures *f, int seeds, FILE *json, bool first)
 {
-	double slow = scenario->recovery ? MEDIAN(recovery_ms) : 0;
-	double slowest = scenario->recovery ? MOST(recovery_ms) : 0;
+	double recovery_median = scenario->recovery ? MEDIAN(recovery_ms) : 0;
+	double recovery_worst = scenario->recovery ? MOST(recovery_ms) : 0;
 
 	printf("%-16s %-18s %2d %7.0f %6.3f %6.3f %6.0f %6.0f %6.3f %6.3f "
 	       "%6.3f %6.3f %3.0f %5.3f\n",
 	       scenario->name, variant->name, routers, MEDIAN(bound),
-	       MEDIAN(goodput), LEAST(goodput), slow, slowest, MOST(late),
-	       MOST(failed), LEAST(jain), LEAST(others), MOST(killed),
-	       MEDIAN(hits));
+	       MEDIAN(goodput), LEAST(goodput), recovery_median, recovery_worst,
+	       MOST(late), MOST(failed), LEAST(jain), LEAST(others_answered),
+	       MOST(killed), MEDIAN(hits));
 	fflush(stdout);
 	if (!json)
 		return;
@@ -296,13 +297,13 @@
 		"\"others_worst\":%.4f,\"endpoints_lost_worst\":%.0f,"
 		"\"prefix_hits_median\":%.3f}",
 		first ? "" : ",", scenario->name, variant->name, routers, seeds,
-		MEDIAN(bound), MEDIAN(goodput), LEAST(goodput), slow, slowest,
-		MOST(late), MOST(failed), LEAST(jain), LEAST(others),
-		MOST(killed), MEDIAN(hits));
+		MEDIAN(bound), MEDIAN(goodput), LEAST(goodput), recovery_median,
+		recovery_worst, MOST(late), MOST(failed), LEAST(jain),
+		LEAST(others_answered), MOST(killed), MEDIAN(hits));
 }
 
-/* Tells whether a name is in a comma-separated list; "all" has every one. */
-static bool chosen(const char *list, const char *name)
+/* Tells whether a comma-separated list has a name; "all" matches any. */
+static bool in_list(const char *list, const char *name)
 {
 	size_t len = strlen(name);
 	const char *at = list;
@@ -318,9 +319,9 @@
 	return false;
 }
 
-/* Runs the chosen scenarios with every chosen variant and seed. */
-static void run_all(const char *which, const char *how, int routers, int seeds,
-		    FILE *json)
+/* Runs the selected scenarios with every selected variant and seed. */
+static void run_all(const char *scenario_list, const char *variant_list,
+		    int routers, int seeds, FILE *json)
 {
 	struct figures f[SEEDS_MAX];
 	bool first = true;
@@ -333,8 +334,8 @@
 	       "worst", "late", "failed", "jain", "others", "ko", "hits");
 	for (i = 0; i < MAG_ARRAY_SIZE(scenarios); i++) {
 		for (j = 0; j < MAG_ARRAY_SIZE(variants); j++) {
-			if (!chosen(which, scenarios[i].name) ||
-			    !chosen(how, variants[j].name))
+			if (!in_list(scenario_list, scenarios[i].name) ||
+			    !in_list(variant_list, variants[j].name))
 				continue;
 			for (k = 0; k < seeds; k++)
 				run(&scenarios[i], &variants[j], routers,
@@ -347,15 +348,15 @@
 }
 
 /*
- * bench_pipeline SEEDS ROUTERS [SCENARIOS [VARIANTS [JSON]]]: lists are
- * separated by commas; "all" is every one.
+ * usage: bench_pipeline SEEDS ROUTERS [SCENARIOS [VARIANTS [JSON]]]; SCENARIOS
+ * and VARIANTS are comma-separated lists or "all", JSON is an output file.
  */
 int main(int argc, char **argv)
 {
 	int seeds = argc > 1 ? atoi(argv[1]) : 5;
 	int routers = argc > 2 ? atoi(argv[2]) : 12;
-	const char *which = argc > 3 ? argv[3] : "all";
-	const char *how = argc > 4 ? argv[4] : "all";
+	const char *scenario_list = argc > 3 ? argv[3] : "all";
+	const char *variant_list = argc > 4 ? argv[4] : "all";
 	FILE *json = argc > 5 ? fopen(argv[5], "w") : NULL;
 
 	if (seeds < 1 || seeds > SEEDS_MAX || routers < 1 ||
@@ -367,7 +368,7 @@
 	log_set_sink(NULL, NULL);
 	if (json)
 		fprintf(json, "[");
-	run_all(which, how, routers, seeds, json);
+	run_all(scenario_list, variant_list, routers, seeds, json);
 	if (json) {
 		fprintf(json, "\n]\n");
 		fclose(json);
--- a/bench/bench_pub.c
+++ b/bench/bench_pub.c
@@ -7,11 +7,11 @@
 #include "pub.h"
 
 /*
- * What one change of configuration costs at a given size: bytes written to
- * the service, bytes that an instance reads, bytes of the delta that peers
- * pass on, and the time to check the whole set.  The service is a table in
- * memory, so no time of it is measured.
- *	bench_pub [accounts endpoints services]
+ * Measures the cost of one configuration change at a given size: bytes written
+ * to the service, bytes read by an instance, bytes of the delta between peers,
+ * and the time to check the whole set.  The service is a table in memory, so
+ * its latency is not included.
+ * usage: bench_pub [ACCOUNTS ENDPOINTS SERVICES]
  */
 
 #define KEYS_MAX 2048
@@ -37,8 +37,8 @@
 	return NULL;
 }
 
-static void service(void *ctx, const struct kv_call *call,
-		    struct kv_reply *reply)
+static void backend_call(void *ctx, const struct kv_call *call,
+			 struct kv_reply *reply)
 {
 	struct entry *e = find(call->key);
 
@@ -131,7 +131,7 @@
 				       .replace = true };
 	struct pub_result result;
 	char *delta = NULL;
-	char *taken = NULL;
+	char *fetched = NULL;
 	uint64_t revision;
 	double start = now_ms();
 	double read_ms;
@@ -145,18 +145,19 @@
 	pub_result_clear(&result);
 	bytes_read = 0;
 	start = now_ms();
-	err = pub_read(reader, 0, &taken, &revision);
+	err = pub_read(reader, 0, &fetched, &revision);
 	read_ms = now_ms() - start;
 	if (old_text && err == PUB_OK)
-		pub_delta(old_text, taken, &delta);
+		pub_delta(old_text, fetched, &delta);
 	printf(", %zu bytes read in %.1f ms, %zu bytes of delta\n", bytes_read,
 	       read_ms, delta ? strlen(delta) : 0);
 	free(delta);
 	free(text);
-	return taken;
+	return fetched;
 }
 
-static void change(json_t *doc, const char *kind, const char *field, int value)
+static void set_first(json_t *doc, const char *kind, const char *field,
+		      int value)
 {
 	json_t *list = json_object_get(doc, "objects");
 	size_t i;
@@ -172,7 +173,7 @@
 	}
 }
 
-static void check(const char *text)
+static void measure_parse(const char *text)
 {
 	struct cfg_faults *faults;
 	struct cfg_set *copy = NULL;
@@ -198,7 +199,7 @@
 	int accounts = argc > 3 ? (int)strtol(argv[1], NULL, 10) : 400;
 	int endpoints = argc > 3 ? (int)strtol(argv[2], NULL, 10) : 10000;
 	int services = argc > 3 ? (int)strtol(argv[3], NULL, 10) : 19;
-	struct kv_backend backend = { service, NULL };
+	struct kv_backend backend = { backend_call, NULL };
 	struct pub *pub = pub_new(backend);
 	struct pub *reader = pub_new(backend);
 	json_t *doc = make_set(accounts, endpoints, services);
@@ -207,11 +208,11 @@
 
 	if (!text)
 		return 1;
-	check(text);
-	change(doc, "endpoint", "concurrency", 33);
+	measure_parse(text);
+	set_first(doc, "endpoint", "concurrency", 33);
 	next = publish(pub, reader, doc, "endpoint", text);
 	free(text);
-	change(doc, "account", "weight", 2);
+	set_first(doc, "account", "weight", 2);
 	text = publish(pub, reader, doc, "account", next);
 	free(next);
 	printf("head record: %zu bytes\n", strlen(find("config/head")->value));
--- a/bench/bench_return.sh
+++ b/bench/bench_return.sh
@@ -1,14 +1,16 @@
 #!/bin/sh
-# bench_return.sh BUILD ROUTERS...: the store comes back from a copy that lacks
-# the routers and the placer.  For each number of routers, from the return: until
-# all are listed again, until there is a placer, until 99 in 100 requests that
-# begin in a second are answered whole, and the calls to the store in 5 s.
+# usage: bench/bench_return.sh BUILD_DIR ROUTERS...
+# Restores the store from a backup without the routers and the placer, and
+# measures for each number of routers the time from the restore until all
+# routers are listed and until a placer exists, the calls to the store in the
+# 0.6 s of the outage and the 5 s after it, and the calls of clients that
+# failed.
 build=$(cd "$1" && pwd)
 shift
 cd "$(dirname "$0")/../regress" || exit 1
 
-# bench_router NUMBER DATA_CENTRE: at an address of its own, so that ports need not
-# differ.
+# bench_router NUMBER DATA_CENTRE: starts a router.  Each has its own loopback
+# address, so all can use the same ports.
 bench_router() {
 	cat >"$dir/router.$1.json" <<-JSON
 	{"instance":"r-$1","data_centre":"$2","address":"127.0.2.$1",
@@ -32,7 +34,8 @@
 	done
 	echo $sum
 }
-# since COMMAND: milliseconds from the return until it succeeds.
+# since COMMAND: prints the ms from the restore until the command succeeds, or
+# the time elapsed after 15 s without success.
 since() {
 	until eval "$1"; do
 		[ $(($(date +%s%3N) - returned)) -gt 15000 ] && break
--- a/bench/bench_served.c
+++ b/bench/bench_served.c
@@ -8,20 +8,21 @@
 #include "log_events.h"
 
 /*
- * Reads routers' structured logs on standard input and says, second by second
- * of arrival, how requests ended and why those that were not served in time
- * were not.  Beside each cause stands whether any router could have served
- * them then, by the layers that the placer saw held: a refusal while some
- * data centre had room is ours to explain, one without any chain is not.
- * Prints JSON, or with --html a page with a chart.  Anything before a line's
- * first brace is skipped, so that logs with a prefix can be read as they are.
+ * Reads the structured logs of routers from standard input and counts, per
+ * second of arrival, the outcomes of requests and the causes of those not
+ * served in time.  Each cause says whether a router could have served the
+ * request ("could"), according to the layers that the placer saw loaded: a
+ * refusal is avoidable while some data centre has capacity, and unavoidable
+ * while no complete chain exists.
+ * Prints JSON, or with --html a page with a chart.  Text before the first
+ * brace of a line is skipped, so logs with a syslog prefix can be read.
  */
 
 #define SECONDS_MAX 4096
 #define LINE_BYTES  65536
 #define TEXT_BYTES  256
 #define CENTRES_MAX 32
-/* The log's cover lines come every two seconds. */
+/* The placer logs LOG_PLR_COVER every two seconds. */
 #define COVER_S 3
 
 enum cause {
@@ -33,11 +34,11 @@
 	NO_CONFIG,
 	STOPPING,
 	NO_CHAIN,
-	BUSY_WITH_ROOM,
+	BUSY_WITH_CAPACITY,
 	BUSY,
 	BUDGET,
 	WORKER_FAILED,
-	BROKE_OFF,
+	STREAM_CUT,
 	CALLER_LEFT,
 	OTHER,
 	CAUSES
@@ -45,7 +46,7 @@
 
 static const struct {
 	const char *name;
-	const char *could; /* any router have served it? */
+	const char *avoidable; /* could any router have served it? */
 } causes[CAUSES] = {
 	[SERVED] = { "served in time", "was" },
 	[FIRST_LATE] = { "first event late", "maybe" },
@@ -55,11 +56,12 @@
 	[NO_CONFIG] = { "no configuration yet", "yes" },
 	[STOPPING] = { "router stops", "yes" },
 	[NO_CHAIN] = { "no chain of workers", "no" },
-	[BUSY_WITH_ROOM] = { "refused though a data centre had room", "yes" },
+	[BUSY_WITH_CAPACITY] = { "refused though a data centre had room",
+				 "yes" },
 	[BUSY] = { "all workers full", "no" },
 	[BUDGET] = { "second sends spent", "maybe" },
 	[WORKER_FAILED] = { "failed by a worker", "no" },
-	[BROKE_OFF] = { "broke off and not repaired", "maybe" },
+	[STREAM_CUT] = { "broke off and not repaired", "maybe" },
 	[CALLER_LEFT] = { "caller left", "maybe" },
 	[OTHER] = { "other", "maybe" },
 };
@@ -67,7 +69,7 @@
 struct centre {
 	char name[TEXT_BYTES];
 	long long second;
-	bool room;
+	bool has_capacity;
 };
 
 static long counts[SECONDS_MAX][CAUSES];
@@ -88,8 +90,8 @@
 	return (long long)json_number_value(json_object_get(line, field));
 }
 
-/* The placer's word on a data centre: has its least held layer any room? */
-static void take_cover(const json_t *line, long long second)
+/* Notes whether the least loaded layer of a data centre has capacity. */
+static void on_cover(const json_t *line, long long second)
 {
 	const char *name = text_of(line, "data_centre");
 	int i;
@@ -103,15 +105,16 @@
 	if (i == centre_count)
 		snprintf(centres[centre_count++].name, TEXT_BYTES, "%s", name);
 	centres[i].second = second;
-	centres[i].room = number_of(line, "tokens") > 0;
+	centres[i].has_capacity = number_of(line, "tokens") > 0;
 }
 
-static bool room_somewhere(long long second)
+static bool any_capacity(long long second)
 {
 	int i;
 
 	for (i = 0; i < centre_count; i++) {
-		if (centres[i].room && second - centres[i].second <= COVER_S)
+		if (centres[i].has_capacity &&
+		    second - centres[i].second <= COVER_S)
 			return true;
 	}
 	return false;
@@ -155,21 +158,21 @@
 	if (status / 100 == 2)
 		return cause_of_success(line);
 	if (strcmp(why, "all workers busy") == 0)
-		return room_somewhere(second) ? BUSY_WITH_ROOM : BUSY;
+		return any_capacity(second) ? BUSY_WITH_CAPACITY : BUSY;
 	for (i = 0; i < sizeof(reasons) / sizeof(reasons[0]); i++) {
 		if (strcmp(why, reasons[i].why) == 0)
 			return reasons[i].cause;
 	}
-	return status == 502 ? BROKE_OFF : OTHER;
+	return status == 502 ? STREAM_CUT : OTHER;
 }
 
-static void take_end(const json_t *line, long long ms)
+static void on_request_end(const json_t *line, long long ms)
 {
 	long long second = (ms - number_of(line, "took_ms")) / 1000;
 	long long status = number_of(line, "status");
 	long long at;
 
-	/* What no configuration allows is no loss. */
+	/* 401 and 404 follow from the configuration and are no loss. */
 	if (status == 401 || status == 404)
 		return;
 	if (first_second < 0)
@@ -182,7 +185,7 @@
 	counts[at][cause_of(line, second)]++;
 }
 
-static void take_line(const char *text)
+static void on_line(const char *text)
 {
 	const char *brace = strchr(text, '{');
 	json_error_t error;
@@ -196,9 +199,9 @@
 	}
 	ms = number_of(line, "t_ms");
 	if (number_of(line, "event") == LOG_PLR_COVER)
-		take_cover(line, ms / 1000);
+		on_cover(line, ms / 1000);
 	else if (number_of(line, "event") == LOG_EQ_END)
-		take_end(line, ms);
+		on_request_end(line, ms);
 	json_decref(line);
 }
 
@@ -225,11 +228,11 @@
 	for (i = 0; i < CAUSES; i++)
 		printf("%s\"%s\":{\"requests\":%ld,\"could\":\"%s\"}",
 		       i ? ",\n" : "\n", causes[i].name, total[i],
-		       causes[i].could);
+		       causes[i].avoidable);
 	printf("}}\n");
 }
 
-/* One bar a second, one part of it a cause. */
+/* One bar per second, divided by cause. */
 static void print_html(void)
 {
 	long long at;
@@ -242,7 +245,8 @@
 	for (i = 0; i < CAUSES; i++)
 		printf("<span style='background:hsl(%d,70%%,60%%)'>&emsp;"
 		       "</span> %s (could: %s) ",
-		       120 + i * 240 / CAUSES, causes[i].name, causes[i].could);
+		       120 + i * 240 / CAUSES, causes[i].name,
+		       causes[i].avoidable);
 	printf("<table>");
 	for (at = 0; first_second >= 0 && at <= last_second - first_second;
 	     at++) {
@@ -272,7 +276,7 @@
 	static char line[LINE_BYTES];
 
 	while (fgets(line, sizeof(line), stdin))
-		take_line(line);
+		on_line(line);
 	if (argc > 1 && strcmp(argv[1], "--html") == 0)
 		print_html();
 	else
--- a/bench/sim.c
+++ b/bench/sim.c
@@ -13,8 +13,8 @@
 static void sim_tear_down(struct sim *sim);
 
 /*
- * Runs one world from its start to settings->end_us.  Returns 0, or -1 if a
- * core could not be made.
+ * Runs one simulation until settings->end_us.  Returns 0, or -1 if a core
+ * could not be created.
  */
 int sim_run(const struct sim_settings *settings, struct sim_result *result)
 {
@@ -41,7 +41,7 @@
 	return 0;
 }
 
-/* Puts an event into the heap; those of one time run in their order. */
+/* Schedules an event; events of the same time run in insertion order. */
 void sim_schedule(struct sim *sim, int64_t at_us, enum sim_event_type type,
 		  int a, uint32_t b)
 {
@@ -61,13 +61,13 @@
 	sim->heap[i] = event;
 }
 
-/* Returns the next random number in 0 .. 1. */
+/* Returns the next uniform random number in [0, 1). */
 double sim_random(struct sim *sim)
 {
 	return mag_random_unit(&sim->random);
 }
 
-/* Runs one event. */
+/* Dispatches one event to its handler. */
 static void sim_step(struct sim *sim, const struct sim_event *event)
 {
 	switch (event->type) {
@@ -104,7 +104,7 @@
 	}
 }
 
-/* Takes the earliest event. */
+/* Removes the earliest event from the heap. */
 static bool sim_pop(struct sim *sim, struct sim_event *event)
 {
 	struct sim_event last;
@@ -131,7 +131,7 @@
 	return true;
 }
 
-/* Orders events by time, then by the order in which they were made. */
+/* Orders events by time, then by insertion order. */
 static bool sim_before(const struct sim_event *a, const struct sim_event *b)
 {
 	if (a->at_us != b->at_us)
@@ -139,7 +139,7 @@
 	return a->seq < b->seq;
 }
 
-/* Makes the stages, the cores and the callers' first events. */
+/* Creates the stages, the cores and the first event of each account. */
 static int sim_set_up(struct sim *sim)
 {
 	double rate;
@@ -150,7 +150,7 @@
 	sim->result->bound_after = sim->result->bound;
 	rate = sim->settings.load * sim->result->bound / SIM_TOKENS_MEAN;
 	for (i = 0; i < SIM_ACCOUNTS; i++) {
-		/* A few accounts are large: half the demand is two of ten. */
+		/* Two of the ten accounts make half of the demand. */
 		static const double part[SIM_ACCOUNTS] = { 0.30, 0.20, 0.12,
 							   0.08, 0.05, 0.05,
 							   0.05, 0.05, 0.05,
@@ -167,7 +167,7 @@
 	return sim_routers(sim);
 }
 
-/* Frees everything. */
+/* Frees the cores, the calls and the simulation itself. */
 static void sim_tear_down(struct sim *sim)
 {
 	int i;
--- a/bench/sim.h
+++ b/bench/sim.h
@@ -2,9 +2,10 @@
 #define SIM_H
 
 /*
- * The bench's world in virtual time: callers, some instances of the core and
- * stand-in stages, each a server with a rate, a concurrency, a link and a
- * delay.  Everything is drawn from one seed, so a run repeats exactly.
+ * Discrete-event simulation of callers, several instances of the core and
+ * stages in virtual time.  A stage is a server with a processing rate, a
+ * concurrency limit, a link and a delay.  All random numbers derive from one
+ * seed, so a run is reproducible.
  */
 
 #include <stdbool.h>
@@ -18,30 +19,30 @@
 #define SIM_ACCOUNTS	     10
 #define SIM_CENTRES	     3
 #define SIM_LAYERS	     48
-#define SIM_ACTIVATION_BYTES 16384 /* bytes a token */
+#define SIM_ACTIVATION_BYTES 16384 /* bytes per token */
 #define SIM_TOKENS_MEAN	     80
 #define SIM_TOKENS_MAX	     240
-#define SIM_BUCKET_US	     (50 * MAG_US_PER_MS) /* of goodput over time */
+#define SIM_BUCKET_US	     (50 * MAG_US_PER_MS) /* goodput histogram */
 #define SIM_BUCKETS_MAX	     2400
 #define SIM_FAULTS_MAX	     8
 #define SIM_QUARANTINES_MAX  64
-#define SIM_CACHE	     16	  /* prefixes that a stage holds */
-#define SIM_PREFIXES	     120  /* that callers use */
-#define SIM_PROMPT_LONG	     600  /* tokens of a prompt with one */
-#define SIM_LARGEST	     (-2) /* target of a fault: the largest stage */
-#define SIM_ALL		     (-3) /* every stage */
+#define SIM_CACHE	     16	  /* prefixes per stage */
+#define SIM_PREFIXES	     120  /* distinct prompt prefixes */
+#define SIM_PROMPT_LONG	     600  /* tokens of a prompt with a prefix */
+#define SIM_LARGEST	     (-2) /* fault target: the largest stage */
+#define SIM_ALL		     (-3) /* fault target: every stage */
 #define SIM_REPORT_LAG_US    (700 * MAG_US_PER_MS)
 
 enum sim_event_type {
 	SIM_EV_ARRIVAL, /* a = account */
-	SIM_EV_RETRY,	/* a = call: a refused caller comes back */
+	SIM_EV_RETRY,	/* a = call: a refused caller retries */
 	SIM_EV_TOKEN,	/* a = stream, b = its generation */
 	SIM_EV_ENDED,	/* a = stream, b = its generation */
 	SIM_EV_TICK,	/* a = router */
 	SIM_EV_REPORT,
 	SIM_EV_FAULT,	   /* a = fault */
-	SIM_EV_QUARANTINE, /* a = news of a quarantine */
-	SIM_EV_CACHE,	   /* a = stage, b = prefix: the event arrives */
+	SIM_EV_QUARANTINE, /* a = quarantine */
+	SIM_EV_CACHE,	   /* a = stage, b = prefix: a cache event arrives */
 	SIM_EVENT_COUNT
 };
 
@@ -53,18 +54,18 @@
 	uint32_t b;
 };
 
-/* What becomes of a stage or a link at some time. */
+/* Scheduled changes of stages, links and callers. */
 enum sim_fault_kind {
 	SIM_KILL, /* connections are reset */
-	SIM_HANG, /* connections stay open and nothing comes */
+	SIM_HANG, /* connections stay open, no data arrives */
 	SIM_RESTORE,
-	SIM_LINK, /* factor on the rate of its link */
-	SIM_SLOW, /* factor on its rate, not told in its reports */
-	SIM_CUT,  /* data centre: nothing passes in or out */
+	SIM_LINK, /* factor on the link rate */
+	SIM_SLOW, /* factor on the rate, absent from load reports */
+	SIM_CUT,  /* partitions a data centre in both directions */
 	SIM_RECONNECT,
-	SIM_REPORTS, /* load reports stop (0) or go on (1) */
-	SIM_DEMAND,  /* account: factor on its demand; -1 for all */
-	SIM_POISON,  /* an account sends one poisonous request */
+	SIM_REPORTS, /* load reports: 0 stops, 1 resumes them */
+	SIM_DEMAND,  /* factor on an account's demand; -1: all */
+	SIM_POISON,  /* an account sends one request that kills stages */
 };
 
 struct sim_fault {
@@ -77,21 +78,21 @@
 struct sim_stage {
 	char name[MAG_NAME_MAX];
 	int centre;
-	uint32_t first; /* boundaries */
+	uint32_t first; /* layer range [first, end) */
 	uint32_t end;
-	double rate; /* tokens a second over its whole range */
-	double link; /* tokens a second, each way */
+	double rate; /* tokens per second for the whole layer range */
+	double link; /* tokens per second in each direction */
 	uint32_t concurrency;
-	int64_t step_us; /* of a token besides its work */
+	int64_t step_us; /* fixed delay per token, in addition to its work */
 	bool dead;
 	bool hung;
 	double slow;
 	double link_factor;
-	int64_t free_us; /* when its work, its link in and out are free */
+	int64_t free_us; /* when the processor and the links are idle */
 	int64_t in_free_us;
 	int64_t out_free_us;
 	uint32_t running;
-	uint32_t cache[SIM_CACHE]; /* prefixes held, the newest first */
+	uint32_t cache[SIM_CACHE]; /* held prefixes, most recently used first */
 	uint64_t cache_sequence;
 };
 
@@ -105,10 +106,10 @@
 	int stage[MAG_CHAIN_MAX];
 	double share[MAG_CHAIN_MAX];
 	int count;
-	int at;			       /* stage that the token is at */
-	uint32_t next;		       /* index of the token */
-	uint32_t rebuild;	       /* tokens of work to rebuild a cache */
-	bool prefilled[MAG_CHAIN_MAX]; /* stages that have read the prompt */
+	int at;			       /* index of the token's current stage */
+	uint32_t next;		       /* index of the next token */
+	uint32_t rebuild;	       /* cached tokens to rebuild */
+	bool prefilled[MAG_CHAIN_MAX]; /* stages that processed the prompt */
 	int64_t entered_us;
 	uint32_t hop_us[MAG_CHAIN_MAX];
 	int64_t progress_us; /* when the next progress event is due */
@@ -116,7 +117,7 @@
 	int end_stage;
 };
 
-/* A caller's request, over all its returns. */
+/* One request of a caller; a retry is a new call. */
 struct sim_call {
 	uint64_t req;
 	int account;
@@ -129,13 +130,13 @@
 	uint32_t prefix; /* 0: none */
 	bool poison;
 	bool open;
-	int32_t *token_ms; /* when each token was delivered */
+	int32_t *token_ms; /* delivery time of each token */
 };
 
 enum sim_retry_policy {
-	SIM_NO_RETRY,	   /* a refused caller doesn't come back */
-	SIM_RETRY_AFTER,   /* comes back when it was told to */
-	SIM_RETRY_AT_ONCE, /* comes back at once, a few times */
+	SIM_NO_RETRY,	   /* a refused caller gives up */
+	SIM_RETRY_AFTER,   /* retries after Retry-After */
+	SIM_RETRY_AT_ONCE, /* retries immediately, a limited number of times */
 };
 
 struct sim_settings {
@@ -145,40 +146,40 @@
 	bool no_budgets;
 	bool no_resume;
 	enum sim_retry_policy retry_policy;
-	double load;	   /* offered, as a part of the bound */
-	bool equal_demand; /* all accounts ask for the same */
-	bool prefixes;	   /* long prompts that start alike, and cost work */
+	double load;	   /* offered load as a fraction of the bound */
+	bool equal_demand; /* all accounts have the same demand */
+	bool prefixes; /* long prompts with shared prefixes that cost work */
 	bool no_affinity;
-	double cache_lost; /* part of the cache events that never arrive */
-	int64_t from_us;   /* what is measured */
+	double cache_lost; /* fraction of the cache events that are lost */
+	int64_t from_us;   /* start of the measured interval */
 	int64_t to_us;
-	int64_t end_us; /* what was let in until to_us can end by then */
+	int64_t end_us; /* requests admitted before to_us can finish by then */
 	struct sim_fault faults[SIM_FAULTS_MAX];
 	int fault_count;
 };
 
 struct sim_result {
-	double bound;	    /* before any fault, tokens a second */
+	double bound;	    /* before any fault, tokens per second */
 	double bound_after; /* after the last fault */
 	double offered;
-	double goodput; /* between from_us and to_us */
+	double goodput; /* tokens delivered between from_us and to_us */
 	double served[SIM_ACCOUNTS];
 	double requested[SIM_ACCOUNTS];
-	double answered_in_time[SIM_ACCOUNTS]; /* of asked, answered in time */
-	double bucket[SIM_BUCKETS_MAX]; /* good tokens by time of delivery */
+	double answered_in_time[SIM_ACCOUNTS]; /* part of requested */
+	double bucket[SIM_BUCKETS_MAX];	       /* goodput by delivery time */
 	uint32_t calls;
 	uint32_t refused;
-	uint32_t late;	 /* let in, and not whole by the deadline */
-	uint32_t failed; /* let in, and given up by the router */
+	uint32_t late;	 /* admitted, incomplete at the deadline */
+	uint32_t failed; /* admitted, abandoned by the router */
 	uint32_t quarantined;
 	uint32_t attempts;
-	uint32_t killed;	 /* stages lost to poison */
-	double tokens_processed; /* tokens, whatever became of them */
-	double prefills;	 /* prompts read by a stage */
-	double prefill_hits;	 /* of them, those it held */
+	uint32_t killed;	 /* stages killed by poison requests */
+	double tokens_processed; /* whether delivered or not */
+	double prefills;	 /* prompts received by a stage */
+	double prefill_hits;	 /* prompts whose prefix the stage held */
 };
 
-/* What one instance tells the others of a fingerprint. */
+/* A quarantined fingerprint that one instance spreads to the others. */
 struct sim_quarantine {
 	int router;
 	uint8_t fingerprint[MAG_DIGEST_BYTES];
@@ -204,13 +205,13 @@
 	struct sim_stream *streams;
 	int stream_count;
 	int stream_capacity;
-	int stream_free; /* list through call, -1 ends it */
+	int stream_free; /* free list linked through call, -1 ends it */
 	struct sim_call *calls;
 	int call_count;
 	int call_capacity;
 	struct sim_quarantine quarantines[SIM_QUARANTINES_MAX];
 	int quarantine_count;
-	double demand[SIM_ACCOUNTS]; /* requests a second */
+	double demand[SIM_ACCOUNTS]; /* requests per second */
 	double demand_factor[SIM_ACCOUNTS];
 };
 
--- a/bench/sim_cache.c
+++ b/bench/sim_cache.c
@@ -2,15 +2,15 @@
 
 #include "sim.h"
 
-#define SIM_PREFILL	  100 /* tokens of a prompt read for one's work */
+#define SIM_PREFILL	  100 /* prompt tokens that cost as much as one token */
 #define SIM_CACHE_LAG_US  (500 * MAG_US_PER_MS)
-#define SIM_CACHE_DROPPED UINT32_C(0x80000000) /* flag on a prefix */
+#define SIM_CACHE_DROPPED UINT32_C(0x80000000) /* flag on a prefix: evicted */
 
 static bool sim_cache_use(struct sim_stage *stage, uint32_t prefix);
 
 /*
- * Returns the work of reading a prompt when a stream first comes to a stage,
- * in tokens: none if the stage holds the prompt's prefix.
+ * Returns the prefill work, in tokens, when a stream first reaches a stage: 0
+ * if the stage holds the prompt's prefix.
  */
 double sim_prefill(struct sim *sim, struct sim_stream *s)
 {
@@ -34,7 +34,7 @@
 	return (double)SIM_PROMPT_LONG / SIM_PREFILL;
 }
 
-/* Hands a cache event to the routers; some are lost on the way. */
+/* Delivers a cache event to the routers, each with the loss probability. */
 void sim_cache_event(struct sim *sim, int stage, uint32_t prefix)
 {
 	struct core_event event = { .type = CORE_EV_CACHE };
@@ -51,7 +51,7 @@
 	}
 }
 
-/* Puts a prefix first in a stage's cache; true if the stage held it. */
+/* Moves a prefix to the head of the LRU cache; true if it was cached. */
 static bool sim_cache_use(struct sim_stage *stage, uint32_t prefix)
 {
 	bool held = false;
--- a/bench/sim_caller.c
+++ b/bench/sim_caller.c
@@ -6,8 +6,8 @@
 
 #define SIM_RETRIES_MAX	       5
 #define SIM_IMPATIENT_US       (100 * MAG_US_PER_MS)
-#define SIM_POISON_US	       MAG_US_PER_S /* until it is sent again */
-#define SIM_ALLOWANCE_MS       10000 /* least; the most is half as much again */
+#define SIM_POISON_US	       MAG_US_PER_S /* until the caller resends it */
+#define SIM_ALLOWANCE_MS       10000 /* minimum; the maximum is 1.5 times it */
 #define SIM_PROMPT_TOKENS      40
 #define SIM_TOKENS_LEAST       20
 #define SIM_STATUS_QUARANTINED 422
@@ -19,7 +19,7 @@
 static void sim_count_goodput(struct sim *sim, const struct sim_call *call);
 static bool sim_is_measured(const struct sim *sim, const struct sim_call *call);
 
-/* A caller of an account comes; the next one is drawn. */
+/* Sends a request of an account and schedules the next one. */
 void sim_arrival(struct sim *sim, int account)
 {
 	double rate = sim->demand[account] * sim->demand_factor[account];
@@ -30,7 +30,7 @@
 	sim_send(sim, sim_call_new(sim, account));
 }
 
-/* A refused caller comes back with a new request of the same work. */
+/* Retries a refused call as a new request for the same number of tokens. */
 void sim_retry(struct sim *sim, int at)
 {
 	struct sim_call *old = &sim->calls[at];
@@ -45,7 +45,7 @@
 	sim_send(sim, call);
 }
 
-/* An account's one request that kills each stage that runs it. */
+/* Sends an account's poison request, which kills every stage that runs it. */
 void sim_poison(struct sim *sim, int account)
 {
 	struct sim_call *call = sim_call_new(sim, account);
@@ -54,7 +54,7 @@
 	sim_send(sim, call);
 }
 
-/* A router's final answer. */
+/* Handles a router's final answer. */
 void sim_answer(struct sim *sim, const struct core_answer *answer)
 {
 	struct sim_call *call = sim_call_of(sim, answer->req);
@@ -70,13 +70,13 @@
 		sim->result->late += sim_is_measured(sim, call);
 }
 
-/* Returns the call of a request id. */
+/* Maps a request id to its call; ids start at 1. */
 struct sim_call *sim_call_of(struct sim *sim, uint64_t req)
 {
 	return &sim->calls[req - 1];
 }
 
-/* Draws a new request. */
+/* Adds a call with random token count, prefix and allowance. */
 static struct sim_call *sim_call_new(struct sim *sim, int account)
 {
 	struct sim_call *call;
@@ -100,7 +100,7 @@
 	return call;
 }
 
-/* Sends a request through the balancer to some router. */
+/* Sends a request to a random router, as a load balancer does. */
 static void sim_send(struct sim *sim, struct sim_call *call)
 {
 	struct core_event event = { .type = CORE_EV_ARRIVAL };
@@ -134,7 +134,7 @@
 	sim_post(sim, call->router, &event);
 }
 
-/* A refused caller leaves or comes back. */
+/* Counts a refusal and schedules a retry if the policy has one. */
 static void sim_refused(struct sim *sim, struct sim_call *call,
 			const struct core_answer *answer)
 {
@@ -162,7 +162,10 @@
 		sim_schedule(sim, sim->now + back_us, SIM_EV_RETRY, at, 0);
 }
 
-/* A whole answer inside its deadline: its tokens count when they came. */
+/*
+ * Counts a complete answer within its deadline; each token counts at its own
+ * delivery time.
+ */
 static void sim_count_goodput(struct sim *sim, const struct sim_call *call)
 {
 	int64_t from = sim->settings.from_us / MAG_US_PER_MS;
@@ -184,7 +187,7 @@
 	}
 }
 
-/* Tells whether a request falls into the time that is measured. */
+/* Tells whether a request was sent within the measured interval. */
 static bool sim_is_measured(const struct sim *sim, const struct sim_call *call)
 {
 	return call->sent_us >= sim->settings.from_us &&
--- a/bench/sim_router.c
+++ b/bench/sim_router.c
@@ -13,7 +13,7 @@
 static void sim_actions(struct sim *sim, int router);
 static void sim_kv(struct sim *sim, int router, struct kv_call *call);
 
-/* Makes the routers' cores with their configuration. */
+/* Creates and configures the routers' cores. */
 int sim_routers(struct sim *sim)
 {
 	char *json = sim_config_json(sim);
@@ -48,14 +48,14 @@
 	return err;
 }
 
-/* Gives a router an event and lets it act. */
+/* Posts an event to a router and runs its tick. */
 void sim_post(struct sim *sim, int router, const struct core_event *event)
 {
 	core_post(sim->cores[router], event);
 	sim_tick(sim, router);
 }
 
-/* Runs a router's tick, carries out what it asks, and notes its next one. */
+/* Runs a router's tick, executes its actions and schedules the next tick. */
 void sim_tick(struct sim *sim, int router)
 {
 	int64_t next;
@@ -74,7 +74,7 @@
 	sim_schedule(sim, next, SIM_EV_TICK, router, 0);
 }
 
-/* Puts the set of objects into force on one router. */
+/* Applies the configuration on one router; prints its faults on failure. */
 static int sim_configure(struct sim *sim, int router, const char *json)
 {
 	struct core_event event = { .type = CORE_EV_CONFIG };
@@ -92,7 +92,7 @@
 	return 0;
 }
 
-/* Sends what a router learnt of poisonous requests to the others. */
+/* Schedules the delivery of a router's new quarantines to the others. */
 static void sim_spread_quarantines(struct sim *sim, int router)
 {
 	struct sim_quarantine *news = &sim->quarantines[sim->quarantine_count];
@@ -107,7 +107,7 @@
 	}
 }
 
-/* The other routers hear of a poisonous request. */
+/* Delivers a quarantine to all routers but its origin. */
 void sim_learn_quarantine(struct sim *sim, int at)
 {
 	const struct sim_quarantine *news = &sim->quarantines[at];
@@ -121,7 +121,7 @@
 	}
 }
 
-/* Carries out all actions of a router. */
+/* Executes all pending actions of a router. */
 static void sim_actions(struct sim *sim, int router)
 {
 	struct core_action action;
@@ -147,7 +147,7 @@
 	}
 }
 
-/* No request here is keyed; a call of the ledger finds nothing. */
+/* No request has an idempotency key, so every ledger call finds no record. */
 static void sim_kv(struct sim *sim, int router, struct kv_call *call)
 {
 	struct core_event event = { .type = CORE_EV_KV_REPLY };
--- a/bench/sim_stage.c
+++ b/bench/sim_stage.c
@@ -5,11 +5,11 @@
 
 #define SIM_HOP_NEAR_US	    200 /* one way within a data centre */
 #define SIM_HOP_FAR_US	    800
-#define SIM_RESET_US	    1000 /* until a reset connection is noticed */
+#define SIM_RESET_US	    1000 /* until a connection reset is detected */
 #define SIM_CONNECT_US	    (300 * MAG_US_PER_MS) /* connect timeout */
 #define SIM_PROGRESS_US	    (100 * MAG_US_PER_MS)
 #define SIM_REPORT_EVERY_US MAG_US_PER_S
-#define SIM_REBUILD	    20 /* tokens of cache rebuilt for one token's work */
+#define SIM_REBUILD	    20 /* cached tokens rebuilt at the cost of one token */
 
 static int sim_stream_alloc(struct sim *sim);
 static void sim_stream_free(struct sim *sim, int at);
@@ -22,7 +22,7 @@
 static void sim_progress(struct sim *sim, const struct sim_stream *s);
 static void sim_kill(struct sim *sim, int stage);
 
-/* Starts an attempt on its chain, or refuses it. */
+/* Starts an attempt on its chain, or schedules its failure. */
 void sim_dispatch(struct sim *sim, int router,
 		  const struct core_dispatch *dispatch)
 {
@@ -63,7 +63,7 @@
 	}
 }
 
-/* Stops an attempt as the router asked. */
+/* Cancels an attempt at the router's request. */
 void sim_cancel(struct sim *sim, int router, const struct core_cancel *cancel)
 {
 	struct sim_call *call = sim_call_of(sim, cancel->req);
@@ -80,7 +80,7 @@
 	}
 }
 
-/* A token arrives at the stage where its stream stands. */
+/* Handles the arrival of a token at its stream's current stage. */
 void sim_token(struct sim *sim, int at, uint32_t generation)
 {
 	struct sim_stream *s = &sim->streams[at];
@@ -111,7 +111,7 @@
 		sim_delivered(sim, at, done);
 		return;
 	}
-	/* A token sent into a cut link never arrives. */
+	/* A token sent over a partitioned link is lost. */
 	if (!sim_reaches(sim, stage->centre,
 			 sim->stages[s->stage[s->at]].centre))
 		return;
@@ -121,7 +121,7 @@
 	sim_schedule(sim, done, SIM_EV_TOKEN, at, generation);
 }
 
-/* Tells the router that an attempt ended. */
+/* Reports the end of an attempt to its router. */
 void sim_ended(struct sim *sim, int at, uint32_t generation)
 {
 	struct core_event event = { .type = CORE_EV_ENDED };
@@ -140,7 +140,7 @@
 	sim_post(sim, router, &event);
 }
 
-/* Makes a fault happen. */
+/* Injects a fault and computes the bound again. */
 void sim_fault(struct sim *sim, const struct sim_fault *fault)
 {
 	int target =
@@ -188,7 +188,7 @@
 	sim->result->bound_after = sim_bound(sim);
 }
 
-/* Posts what each stage reported some time ago to every router. */
+/* Posts the load reports to every router, SIM_REPORT_LAG_US old. */
 void sim_report(struct sim *sim)
 {
 	int r;
@@ -211,7 +211,7 @@
 	}
 }
 
-/* Takes a free stream. */
+/* Allocates a stream, from the free list if it has one. */
 static int sim_stream_alloc(struct sim *sim)
 {
 	struct sim_stream *s;
@@ -237,7 +237,7 @@
 	return at;
 }
 
-/* Gives a stream's places on its stages back. */
+/* Frees a stream and its concurrency slots on its stages. */
 static void sim_stream_free(struct sim *sim, int at)
 {
 	struct sim_stream *s = &sim->streams[at];
@@ -251,7 +251,10 @@
 	sim->stream_free = at;
 }
 
-/* Ends a stream: nothing of it moves any more, the router hears later. */
+/*
+ * Ends a stream: its pending events become stale at once, the router receives
+ * the end at the given time.
+ */
 static void sim_end(struct sim *sim, int at, enum core_end end, int stage,
 		    int64_t when)
 {
@@ -263,13 +266,13 @@
 	sim_schedule(sim, when, SIM_EV_ENDED, at, s->generation);
 }
 
-/* Tells whether packets pass between two data centres. */
+/* Tells whether two data centres are connected. */
 static bool sim_reaches(const struct sim *sim, int centre, int other)
 {
 	return centre == other || (!sim->cut[centre] && !sim->cut[other]);
 }
 
-/* Serves one token at a stage; returns when it leaves. */
+/* Serves one token at a stage; returns its departure time. */
 static int64_t sim_serve(struct sim *sim, struct sim_stream *s)
 {
 	struct sim_stage *stage = &sim->stages[s->stage[s->at]];
@@ -278,7 +281,7 @@
 	int64_t at = sim->now;
 
 	if (s->rebuild && s->at == s->count - 1) {
-		/* Counted once, at the last stage, as a bound on its cost. */
+		/* Charged once, at the last stage, as an upper bound. */
 		work += work * s->rebuild / SIM_REBUILD;
 		s->rebuild = 0;
 	}
@@ -293,7 +296,7 @@
 	return at;
 }
 
-/* Waits for a server and takes some of its time; returns when it is done. */
+/* Occupies a FIFO server for some seconds; returns the completion time. */
 static int64_t sim_queue(int64_t *free_us, int64_t from, double seconds)
 {
 	if (*free_us < from)
@@ -302,7 +305,7 @@
 	return *free_us;
 }
 
-/* A token leaves the last stage. */
+/* Handles a token that leaves the last stage. */
 static void sim_delivered(struct sim *sim, int at, int64_t when)
 {
 	struct sim_stream *s = &sim->streams[at];
@@ -326,7 +329,7 @@
 		sim_schedule(sim, when, SIM_EV_TOKEN, at, s->generation);
 }
 
-/* Tells the router how far a stream is and how long its hops took. */
+/* Reports a stream's progress and its hop latencies to the router. */
 static void sim_progress(struct sim *sim, const struct sim_stream *s)
 {
 	struct core_event event = { .type = CORE_EV_PROGRESS };
@@ -339,7 +342,10 @@
 	sim_post(sim, s->router, &event);
 }
 
-/* Kills a stage: every stream through it is cut, not only those in it. */
+/*
+ * Kills a stage: every stream with this stage in its chain ends, not only
+ * those whose token is at it.
+ */
 static void sim_kill(struct sim *sim, int stage)
 {
 	int i;
--- a/bench/sim_world.c
+++ b/bench/sim_world.c
@@ -5,9 +5,9 @@
 #include "sim.h"
 
 /*
- * The kinds of accelerators: what one does in tokens a second over its
- * whole range, its link, and what it holds.  Links are 100 times apart.  A
- * seed changes the rates and the data centres, not the kinds.
+ * The accelerator kinds: tokens per second over the whole layer range, link
+ * rate and layers.  Link rates differ by a factor of 100.  The seed changes the
+ * rates, not the kinds.
  */
 struct sim_kind {
 	const char *name;
@@ -32,7 +32,7 @@
 static double sim_max_flow(const struct sim *sim, int without, int side);
 static double sim_side_throughput(const struct sim *sim, int side);
 
-/* Makes the stages. */
+/* Creates the stages of all accelerator kinds. */
 void sim_make_stages(struct sim *sim)
 {
 	size_t k;
@@ -44,7 +44,7 @@
 	}
 }
 
-/* Writes the set of objects that the routers get; the caller frees it. */
+/* Returns the routers' configuration as JSON; the caller frees it. */
 char *sim_config_json(const struct sim *sim)
 {
 	char *text = NULL;
@@ -88,9 +88,9 @@
 }
 
 /*
- * Returns the bound that the world allows now, in tokens a second: the
- * maximum flow at the stages' true rates.  While a data centre is cut off,
- * each side can do no more than what its own callers ask for.
+ * Returns the current bound in tokens per second: the maximum flow at the
+ * stages' actual rates.  During a partition, each side is also bounded by the
+ * demand of its own callers.
  */
 double sim_bound(const struct sim *sim)
 {
@@ -104,7 +104,7 @@
 	return sim_side_throughput(sim, 0) + sim_side_throughput(sim, 1);
 }
 
-/* Returns what the side that is cut off (1) or the other one (0) can do. */
+/* Returns the bound of the partitioned side (1) or the other side (0). */
 static double sim_side_throughput(const struct sim *sim, int side)
 {
 	double value = sim_max_flow(sim, -1, side);
@@ -119,7 +119,7 @@
 	return value < asked ? value : asked;
 }
 
-/* Returns the stage whose loss costs the most. */
+/* Returns the stage whose loss reduces the maximum flow the most. */
 int sim_largest(const struct sim *sim)
 {
 	double least = -1;
@@ -137,7 +137,7 @@
 	return at;
 }
 
-/* Returns a stage's number, -1 if there is none of that name. */
+/* Returns a stage's index, or -1 if no stage has that name. */
 int sim_stage_by_name(const struct sim *sim, const char *name)
 {
 	int i;
@@ -149,7 +149,7 @@
 	return -1;
 }
 
-/* Makes the hash of an account's bearer key. */
+/* Writes a synthetic hash of an account's bearer key. */
 void sim_account_hash(int account, char hash[MAG_DIGEST_HEX])
 {
 	memset(hash, '0', MAG_DIGEST_HEX - 1);
@@ -158,7 +158,7 @@
 	hash[1] = (char)('0' + account);
 }
 
-/* Makes one stage; rates differ by a fifth each way. */
+/* Creates one stage; its rate varies by up to 20% each way. */
 static void sim_make_stage(struct sim *sim, const struct sim_kind *kind, int n)
 {
 	struct sim_stage *s = &sim->stages[sim->stage_count];
@@ -177,8 +177,8 @@
 }
 
 /*
- * Returns the maximum flow without one stage (-1 for none), on one side of a
- * cut (-1 for all).
+ * Returns the maximum flow with one stage left out (-1: none), on one side of
+ * a partition (-1: both sides).
  */
 static double sim_max_flow(const struct sim *sim, int without, int side)
 {
