--- a/bench/bench_ledger.c
+++ b/bench/bench_ledger.c
@@ -116,9 +116,12 @@
 {
 	static const unsigned int rates[] = { 50, 150, 300, 600, 1200 };
 	static const unsigned int sizes[] = { 4, 12 };
-	struct arg_str *path = arg_str0(NULL, "json", "FILE", "write the results as JSON");
-	struct arg_int *seed = arg_int0(NULL, "seed", "N", "seed of the arrivals");
-	struct arg_int *shards = arg_int0(NULL, "shards", "N", "shards with batched records");
+	struct arg_str *path =
+		arg_str0(NULL, "json", "FILE", "write the results as JSON");
+	struct arg_int *seed =
+		arg_int0(NULL, "seed", "N", "seed of the arrivals");
+	struct arg_int *shards =
+		arg_int0(NULL, "shards", "N", "shards with batched records");
 	struct arg_end *end = arg_end(4);
 	void *table[] = { path, seed, shards, end };
 	struct sim_case c = { .seed = 1, .shards = 2 };
--- a/regress/net.h
+++ b/regress/net.h
@@ -2,8 +2,9 @@
 #define NET_H
 
 /*
- * Many fleets in one process and in virtual time: messages take a step, may
- * be lost or cut off one way, and the platform's list comes late.
+ * Simulates many fleets in one process in virtual time.  A message arrives one
+ * step later, may be lost or blocked in one direction, and the platform's list
+ * of instances arrives with a delay.
  */
 
 #include <stdio.h>
@@ -17,7 +18,7 @@
 
 #define NET_MAX	    1024
 #define NET_STEP_US (10 * MAG_US_PER_MS)
-#define NET_IP_UDP  28 /* bytes of headers on each datagram */
+#define NET_IP_UDP  28 /* bytes of IP and UDP headers per datagram */
 
 struct net_message {
 	int from;
@@ -36,7 +37,7 @@
 	uint64_t bytes_in;
 	uint64_t sent;
 	uint64_t received;
-	uint64_t work_ns; /* processor time, if the net is timed */
+	uint64_t work_ns; /* processor time, if net.timed */
 	bool call_running;
 	uint64_t call_id;
 	int64_t call_done_us;
@@ -50,22 +51,22 @@
 	struct net_message *queue;
 	size_t queue_len;
 	size_t queue_cap;
-	bool *cut; /* count * count: from, to */
+	bool *cut; /* [from * count + to]: messages are dropped */
 	uint64_t random;
 	int loss_percent;
 	bool platform_down;
-	bool platform_cut[NET_MAX]; /* from this instance */
-	bool unlisted[NET_MAX];	    /* the list lacks this instance */
+	bool platform_cut[NET_MAX]; /* unreachable for this instance */
+	bool unlisted[NET_MAX];	    /* missing from the platform's list */
 	int64_t platform_delay_us;
 	uint64_t calls;
-	const char *leaving; /* an endpoint that the list shows as leaving */
-	int leaving_seen_by; /* the list of this instance only; -1: all */
+	const char *leaving; /* an endpoint that the list reports as leaving */
+	int leaving_seen_by; /* only to this instance; -1: to all */
 	const struct cfg_set *set;
 	void (*news)(struct net *net, int node, const struct fleet_news *news);
 	void (*order)(struct net *net, int node, const struct plc_order *order);
 	bool place;
 	bool timed;
-	uint64_t timer_ns; /* what reading the clock twice takes itself */
+	uint64_t timer_ns; /* cost of two clock reads, subtracted */
 	void *ctx;
 };
 
@@ -79,7 +80,7 @@
 	return (uint64_t)ts.tv_sec * 1000000000u + (uint64_t)ts.tv_nsec;
 }
 
-static inline void net_spent(struct net *net, int node, uint64_t since)
+static inline void net_add_work(struct net *net, int node, uint64_t since)
 {
 	uint64_t spent = net_clock(net) - since;
 
@@ -99,7 +100,7 @@
 	snprintf(name, MAG_NAME_MAX, "i%d", node);
 }
 
-/* Starts an instance, or starts it again with an empty memory. */
+/* Starts an instance, or restarts it without its state. */
 static inline void net_start(struct net *net, int i)
 {
 	struct net_node *node = &net->nodes[i];
@@ -151,14 +152,14 @@
 	free(net->cut);
 }
 
-static inline void net_push(struct net *net, int from, int to,
+static inline void net_send(struct net *net, int from, int to,
 			    const struct peer_msg *msg)
 {
 	char buf[PEER_WIRE_MAX];
 	uint64_t since = net_clock(net);
 	int len = peer_wire_encode(msg, 1, buf, sizeof(buf));
 
-	net_spent(net, from, since);
+	net_add_work(net, from, since);
 	net->nodes[from].bytes_out += (uint64_t)len + NET_IP_UDP;
 	net->nodes[from].sent++;
 	if (net->cut[from * net->count + to] || !net->nodes[to].alive ||
@@ -178,7 +179,7 @@
 	if (net->timed)
 		peer_wire_decode(buf, (size_t)len,
 				 &net->queue[net->queue_len - 1].msg);
-	net_spent(net, to, since);
+	net_add_work(net, to, since);
 }
 
 static inline void net_receive(struct net *net, struct net_message *m)
@@ -186,13 +187,13 @@
 	uint64_t since = net_clock(net);
 
 	fleet_receive(net->nodes[m->to].fleet, &m->msg, net->now);
-	net_spent(net, m->to, since);
+	net_add_work(net, m->to, since);
 }
 
-/* Hands over what is due; what a paused instance gets waits for it. */
+/* Delivers the due messages; those for a paused instance stay queued. */
 static inline void net_deliver(struct net *net)
 {
-	size_t kept = 0;
+	size_t remaining = 0;
 	size_t count = net->queue_len;
 	size_t i;
 
@@ -201,15 +202,15 @@
 		struct net_node *to = &net->nodes[m->to];
 
 		if (m->at_us > net->now || (to->paused && to->alive))
-			net->queue[kept++] = *m;
+			net->queue[remaining++] = *m;
 		else if (to->alive)
 			net_receive(net, m);
 	}
-	net->queue_len = kept;
+	net->queue_len = remaining;
 }
 
-/* The platform's list as JSON: every instance that is alive. */
-static inline char *net_list(struct net *net, int for_node, size_t *len)
+/* Returns the platform's list as JSON: the live, listed instances. */
+static inline char *net_list_json(struct net *net, int for_node, size_t *len)
 {
 	char *text = NULL;
 	FILE *out = open_memstream(&text, len);
@@ -233,7 +234,7 @@
 	return text;
 }
 
-static inline void net_platform(struct net *net, int i)
+static inline void net_run_platform(struct net *net, int i)
 {
 	struct net_node *node = &net->nodes[i];
 	struct kv_call call;
@@ -253,7 +254,7 @@
 	reply.status = KV_UNSENT;
 	if (!net->platform_down && !net->platform_cut[i]) {
 		reply.status = KV_OK;
-		reply.value = net_list(net, i, &reply.len);
+		reply.value = net_list_json(net, i, &reply.len);
 	}
 	fleet_reply(node->fleet, &reply, net->now);
 	free(reply.value);
@@ -265,11 +266,11 @@
 	uint64_t since = net_clock(net);
 	bool any = fleet_next_send(net->nodes[i].fleet, address, msg);
 
-	net_spent(net, i, since);
+	net_add_work(net, i, since);
 	return any;
 }
 
-/* Ticks one instance and takes what it leaves. */
+/* Ticks one instance and processes its messages, news, orders and calls. */
 static inline void net_tick(struct net *net, int i)
 {
 	struct net_node *node = &net->nodes[i];
@@ -282,10 +283,10 @@
 		uint64_t since = net_clock(net);
 
 		fleet_tick(node->fleet, net->now);
-		net_spent(net, i, since);
+		net_add_work(net, i, since);
 	}
 	while (net_next_send(net, i, address, &msg))
-		net_push(net, i, atoi(address), &msg);
+		net_send(net, i, atoi(address), &msg);
 	while (fleet_next_news(node->fleet, &news)) {
 		if (net->news)
 			net->news(net, i, &news);
@@ -294,7 +295,7 @@
 		if (net->order)
 			net->order(net, i, &order);
 	}
-	net_platform(net, i);
+	net_run_platform(net, i);
 }
 
 static inline void net_step(struct net *net)
@@ -309,7 +310,7 @@
 	}
 }
 
-/* Cuts, or joins again, what goes from one instance to another. */
+/* Blocks or unblocks messages from one instance to another. */
 static inline void net_cut(struct net *net, int from, int to, bool cut)
 {
 	net->cut[from * net->count + to] = cut;
--- a/regress/script.c
+++ b/regress/script.c
@@ -21,8 +21,8 @@
 static int script_collect(const char *dir, char **paths, size_t max);
 
 /*
- * Runs the driver over each script of a folder, which is named from the root
- * of the repository.  Returns the number of tests that failed.
+ * Runs the driver over each script of a directory, whose path is relative to
+ * the root of the repository.  Returns the number of failed tests.
  */
 int script_main(const char *dir, script_driver_fn driver)
 {
@@ -40,7 +40,7 @@
 	return _cmocka_run_group_tests(dir, tests, (size_t)count, NULL, NULL);
 }
 
-/* Runs one script and compares its output with the expected one. */
+/* Runs one script and compares its output with the expected output. */
 static void script_test(void **state)
 {
 	char out_path[SCRIPT_PATH_MAX];
@@ -70,7 +70,7 @@
 	free(text);
 }
 
-/* Reads a whole file; NULL if there is none. */
+/* Returns the contents of a file, or NULL if it cannot be opened. */
 static char *script_read(const char *path)
 {
 	char *text = NULL;
@@ -87,7 +87,7 @@
 	return text;
 }
 
-/* Lists the scripts of a folder in the order of their names. */
+/* Lists the scripts of a directory in alphabetical order. */
 static int script_collect(const char *dir, char **paths, size_t max)
 {
 	struct dirent **names;
--- a/regress/script.h
+++ b/regress/script.h
@@ -4,9 +4,9 @@
 #include <stdio.h>
 
 /*
- * Scripted runs: every NAME.in of a folder is one cmocka test.  The driver
- * reads the script and writes what happened; the output must equal NAME.out.
- * With SCRIPT_WRITE set in the environment, the .out files are written.
+ * Scripted tests: every NAME.in of a directory is one cmocka test.  The driver
+ * reads the script and writes the results, which must equal NAME.out.  If
+ * SCRIPT_WRITE is set in the environment, the .out files are written first.
  */
 typedef void (*script_driver_fn)(FILE *in, FILE *out);
 
--- a/regress/tool_calls.c
+++ b/regress/tool_calls.c
@@ -1,7 +1,7 @@
 /*
- * Callers of the routers on a platform: streams, bookings and look-ups at a
- * steady rate, each on its own attempt id.  Prints a line for each with what
- * came of it; promises.awk compares that with what the workers printed.
+ * Load generator for magnolia-edge: sends streams, bookings and lookups at a
+ * constant rate, each with its own attempt id.  Prints the result of each call
+ * on a line; promises.awk compares these with the workers' output.
  */
 
 #include <stdio.h>
@@ -15,20 +15,20 @@
 #include "hc.h"
 #include "mag.h"
 
-#define ROUTERS_MAX 16
-#define TICK_MS	    10
-#define PATIENCE_US (8 * MAG_US_PER_S)
-#define CONNECT_US  MAG_US_PER_S
-/* Streams must bring so many events, the workers' stand-in's length. */
-#define EVENTS 20
+#define ROUTERS_MAX	16
+#define TICK_MS		10
+#define CALL_TIMEOUT_US (8 * MAG_US_PER_S)
+#define CONNECT_US	MAG_US_PER_S
+/* Events of a complete stream, as the stand-in for the workers sends them. */
+#define EVENTS_PER_STREAM 20
 
 struct call {
 	char id[32];
 	char kind;
 	int status;
-	int64_t last; /* event */
-	bool order;   /* events came in order, none twice, none missing */
-	bool foreign; /* an answer of another attempt */
+	int64_t last;	 /* id of the last event */
+	bool in_order;	 /* all events arrived, in order and once each */
+	bool mismatched; /* the answer is of another attempt or has no seal */
 	struct evs evs;
 };
 
@@ -40,7 +40,7 @@
 static int64_t next_us;
 static int64_t every_us;
 static int64_t until_us;
-static int made;
+static int started_count;
 static int open_calls;
 
 static bool on_headers(void *user, const struct hc_answer *answer)
@@ -50,10 +50,10 @@
 
 	call->status = answer->status;
 	if (id && strcmp(id, call->id) != 0)
-		call->foreign = true;
+		call->mismatched = true;
 	if (answer->status / 100 == 2 &&
 	    !hdr_get(answer->headers, "Response-Seal"))
-		call->foreign = true;
+		call->mismatched = true;
 	return true;
 }
 
@@ -67,7 +67,7 @@
 	evs_feed(&call->evs, bytes, len);
 	while (evs_next(&call->evs, &event)) {
 		if (event.id != call->last + 1)
-			call->order = false;
+			call->in_order = false;
 		call->last = event.id;
 	}
 }
@@ -79,17 +79,17 @@
 	struct call *call = user;
 
 	if (end == HC_WHOLE && call->kind == 's' && call->status == 200 &&
-	    (call->last != EVENTS || evs_pending(&call->evs) > 0))
-		call->order = false;
+	    (call->last != EVENTS_PER_STREAM || evs_pending(&call->evs) > 0))
+		call->in_order = false;
 	printf("CALL %s %c %d %s %s %s\n", call->id, call->kind, call->status,
-	       ends[end], call->order ? "ordered" : "DISORDER",
-	       call->foreign ? "FOREIGN" : "own");
+	       ends[end], call->in_order ? "ordered" : "DISORDER",
+	       call->mismatched ? "FOREIGN" : "own");
 	evs_free(&call->evs);
 	free(call);
 	open_calls--;
 }
 
-static void start(int64_t now)
+static void start_call(int64_t now)
 {
 	static const struct hc_ops ops = { on_headers, on_body, on_end };
 	struct call *call = calloc(1, sizeof(*call));
@@ -97,13 +97,13 @@
 				.user = call,
 				.fresh = true,
 				.connect_by_us = now + CONNECT_US,
-				.deadline_us = now + PATIENCE_US };
+				.deadline_us = now + CALL_TIMEOUT_US };
 	struct hc_call *started;
 
-	made++;
-	snprintf(call->id, sizeof(call->id), "%s-%06d", prefix, made);
-	call->kind = "ssbr"[made % 4];
-	call->order = true;
+	started_count++;
+	snprintf(call->id, sizeof(call->id), "%s-%06d", prefix, started_count);
+	call->kind = "ssbr"[started_count % 4];
+	call->in_order = true;
 	send.request = evbuffer_new();
 	evbuffer_add_printf(send.request,
 			    "%s /%c/x HTTP/1.1\r\nHost: h.example\r\n"
@@ -114,7 +114,7 @@
 			    call->id,
 			    call->kind == 'r' ? "" : "Content-Length: 0\r\n");
 	open_calls++;
-	if (hc_start(routers[made % router_count], &send, &started))
+	if (hc_start(routers[started_count % router_count], &send, &started))
 		on_end(call, HC_UNSENT);
 }
 
@@ -127,7 +127,7 @@
 	(void)arg;
 	hc_tick(hc, now);
 	while (now < until_us && now >= next_us) {
-		start(now);
+		start_call(now);
 		next_us += every_us;
 	}
 	if (now >= until_us && open_calls == 0)
--- a/regress/tool_kv.c
+++ b/regress/tool_kv.c
@@ -1,6 +1,6 @@
 /*
- * Carries out calls to the platform's service, one a line of standard input,
- * through the client that the programs use, and prints how each ended:
+ * Executes calls to the platform's service, one per line of standard input,
+ * with the client library of the programs, and prints the result of each:
  *	get KEY | watch KEY VERSION | cas KEY VERSION VALUE
  *	delete KEY VERSION | take NAME HOLDER TTL_MS | drop NAME HOLDER
  *	instances | loads | budget CALLS_PER_S | sleep MS
--- a/regress/tool_load.c
+++ b/regress/tool_load.c
@@ -1,6 +1,6 @@
 /*
- * A caller for tests: sends requests of one kind, checks that each answer is
- * whole and its own, and prints what came of them.
+ * Load generator for tests: sends requests of one kind, checks that each
+ * answer is complete and belongs to its request, and prints the totals.
  */
 #include <pthread.h>
 #include <stdatomic.h>
@@ -22,11 +22,11 @@
 #define LOAD_STATUS_OK_MAX 299
 
 enum load_result {
-	LOAD_RAN,     /* whole, and this request's own */
-	LOAD_NOT_RUN, /* told so */
-	LOAD_UNKNOWN, /* told so */
-	LOAD_CUT,     /* no answer, or not the whole of it */
-	LOAD_WRONG,   /* whole, but not this request's */
+	LOAD_RAN,     /* complete and of this request */
+	LOAD_NOT_RUN, /* as the router reported */
+	LOAD_UNKNOWN, /* as the router reported */
+	LOAD_CUT,     /* no answer, or an incomplete one */
+	LOAD_WRONG,   /* complete, but not of this request */
 	LOAD_RESULT_COUNT
 };
 
@@ -39,7 +39,7 @@
 struct load_options {
 	const char *kind; /* stream, unary, booking, lookup */
 	const char *path;
-	const char *name; /* what the intents are called */
+	const char *name; /* prefix of the intents' names */
 	const char *prompt;
 	struct arg_str *targets;
 	struct arg_str *accounts;
@@ -48,11 +48,11 @@
 	int tokens;
 	int layers;
 	int retries;
-	int per_s; /* 0: as fast as answers come */
+	int per_s; /* 0: as fast as answers arrive */
 	long deadline_ms;
 };
 
-/* One request and what has come of its answer so far. */
+/* One request and the state of its answer. */
 struct load_call {
 	char intent[FK_ID_MAX];
 	char prompt[2 * FK_ID_MAX];
@@ -63,9 +63,9 @@
 	long status;
 	char *body;
 	size_t len;
-	size_t read; /* of a stream: up to where it is parsed */
+	size_t read; /* offset up to which a stream is parsed */
 	char event[16];
-	uint32_t tokens; /* right ones, in order */
+	uint32_t tokens; /* received */
 	bool wrong;
 	bool done;
 	int64_t began_us;
@@ -78,12 +78,12 @@
 static atomic_long load_retried;
 static atomic_long load_replayed;
 static atomic_long load_tokens;
-static int64_t *load_took_us;  /* of whole answers, 0 for others */
-static int64_t *load_first_us; /* to the first byte of the body */
+static int64_t *load_duration_us; /* complete answers, else 0 */
+static int64_t *load_first_us;	  /* to the first byte of the body */
 static int64_t load_start_us;
 static int64_t load_end_us;
 
-/* Takes the headers that say how it went. */
+/* Stores the response headers that describe the outcome. */
 static size_t load_on_header(char *data, size_t size, size_t count, void *ctx)
 {
 	struct load_call *call = ctx;
@@ -112,22 +112,23 @@
 	return len;
 }
 
-/* Checks a token against the one that this prompt must give. */
+/* Compares a token with the one expected for this prompt and index. */
 static void load_check_token(struct load_call *call, json_t *data)
 {
 	const char *token = json_string_value(json_object_get(data, "token"));
 	json_t *index = json_object_get(data, "index");
-	char right[FK_TOKEN_MAX];
+	char expected[FK_TOKEN_MAX];
 
-	fk_whole_token(right, call->prompt, call->tokens, (uint32_t)opt.layers);
+	fk_whole_token(expected, call->prompt, call->tokens,
+		       (uint32_t)opt.layers);
 	if (!token || json_integer_value(index) != call->tokens ||
-	    strcmp(token, right) != 0)
+	    strcmp(token, expected) != 0)
 		call->wrong = true;
 	call->tokens++;
 }
 
-/* Reads one line of a stream of events. */
-static void load_line(struct load_call *call, const char *line)
+/* Parses one line of an event stream. */
+static void load_parse_line(struct load_call *call, const char *line)
 {
 	const char *outcome;
 	json_t *data;
@@ -151,14 +152,14 @@
 	json_decref(data);
 }
 
-/* Reads the whole lines that have come so far. */
-static void load_parse(struct load_call *call)
+/* Parses the complete lines received so far. */
+static void load_parse_lines(struct load_call *call)
 {
 	char *end;
 
 	while ((end = strchr(call->body + call->read, '\n'))) {
 		*end = '\0';
-		load_line(call, call->body + call->read);
+		load_parse_line(call, call->body + call->read);
 		call->read = (size_t)(end - call->body) + 1;
 	}
 }
@@ -177,22 +178,22 @@
 	call->len += len;
 	call->body[call->len] = '\0';
 	if (strcmp(opt.kind, "stream") == 0)
-		load_parse(call);
+		load_parse_lines(call);
 	return len;
 }
 
-/* Checks the text of an answer that came in one piece. */
-static bool load_own_unary(struct load_call *call, json_t *body)
+/* Compares the text of a non-streamed answer with the expected tokens. */
+static bool load_matches_unary(struct load_call *call, json_t *body)
 {
 	const char *text = json_string_value(json_object_get(body, "text"));
-	char right[FK_TOKEN_MAX];
+	char expected[FK_TOKEN_MAX];
 	size_t len = strlen("w00000000");
 
 	for (call->tokens = 0; text && call->tokens < (uint32_t)opt.tokens;
 	     call->tokens++) {
-		fk_whole_token(right, call->prompt, call->tokens,
+		fk_whole_token(expected, call->prompt, call->tokens,
 			       (uint32_t)opt.layers);
-		if (strncmp(text, right, len) != 0)
+		if (strncmp(text, expected, len) != 0)
 			return false;
 		text += len;
 		text += *text == ' ';
@@ -200,26 +201,26 @@
 	return text && *text == '\0';
 }
 
-/* Tells whether a whole answer belongs to this request. */
-static bool load_own(struct load_call *call)
+/* Tells whether a complete answer belongs to this request. */
+static bool load_matches(struct load_call *call)
 {
 	json_t *body =
 		json_loadb(call->body ? call->body : "", call->len, 0, NULL);
 	const char *intent = json_string_value(json_object_get(body, "intent"));
 	const char *query = json_string_value(json_object_get(body, "query"));
-	bool own = false;
+	bool matches = false;
 
 	if (strcmp(opt.kind, "unary") == 0)
-		own = load_own_unary(call, body);
+		matches = load_matches_unary(call, body);
 	else if (strcmp(opt.kind, "booking") == 0)
-		own = intent && strcmp(intent, call->intent) == 0;
+		matches = intent && strcmp(intent, call->intent) == 0;
 	else if (strcmp(opt.kind, "lookup") == 0)
-		own = query && strstr(query, call->intent) != NULL;
+		matches = query && strstr(query, call->intent) != NULL;
 	json_decref(body);
-	return own;
+	return matches;
 }
 
-static enum load_result load_judge(struct load_call *call, CURLcode code)
+static enum load_result load_classify(struct load_call *call, CURLcode code)
 {
 	bool stream = strcmp(opt.kind, "stream") == 0;
 
@@ -238,7 +239,7 @@
 	if (stream)
 		return call->tokens == (uint32_t)opt.tokens ? LOAD_RAN
 							    : LOAD_WRONG;
-	return load_own(call) ? LOAD_RAN : LOAD_WRONG;
+	return load_matches(call) ? LOAD_RAN : LOAD_WRONG;
 }
 
 static char *load_body(const struct load_call *call)
@@ -282,7 +283,7 @@
 	return curl_slist_append(headers, "Expect:");
 }
 
-/* Sends one request once. */
+/* Sends a request once and classifies its answer. */
 static enum load_result load_send(CURL *curl, struct load_call *call, int i,
 				  int attempt)
 {
@@ -313,11 +314,11 @@
 	curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &call->status);
 	curl_slist_free_all(headers);
 	free(body);
-	return load_judge(call, code);
+	return load_classify(call, code);
 }
 
-/* Notes what the caller was told, for the checker. */
-static void load_note(struct load_call *call, enum load_result result)
+/* Records the reported outcome for tool_verify. */
+static void load_record(struct load_call *call, enum load_result result)
 {
 	fk_record("answer kind=%s intent=%s request=%s outcome=%s tokens=%u "
 		  "layers=%d status=%ld",
@@ -332,14 +333,15 @@
 		atomic_fetch_add(&load_replayed, 1);
 }
 
-/* Forgets the answer before the request is sent again. */
-static void load_clear(struct load_call *call)
+/* Clears the call before the request is sent again. */
+static void load_reset(struct load_call *call)
 {
 	free(call->body);
 	memset(call, 0, sizeof(*call));
 }
 
-static bool load_again(enum load_result result, const struct load_call *call)
+static bool load_should_retry(enum load_result result,
+			      const struct load_call *call)
 {
 	bool final = call->status >= 400 && call->status < 500 &&
 		     call->status != 409 && call->status != 429;
@@ -347,39 +349,39 @@
 	return result != LOAD_RAN && result != LOAD_WRONG && !final;
 }
 
-/* Carries a request through with its repeats, all under the same key. */
-static void load_one(CURL *curl, int i)
+/* Sends a request and its retries, all with the same key. */
+static void load_run_request(CURL *curl, int i)
 {
-	int64_t began = clk_now_us();
+	int64_t start_us = clk_now_us();
 	enum load_result result = LOAD_CUT;
 	struct load_call call = { 0 };
-	int64_t pause;
+	int64_t delay_us;
 	int attempt;
 
 	for (attempt = 0; attempt <= opt.retries; attempt++) {
 		if (attempt) {
-			pause = call.retry_after_s * MAG_US_PER_S;
-			fk_sleep_us(pause < LOAD_RETRY_MAX_US
-					    ? pause + 50 * MAG_US_PER_MS
+			delay_us = call.retry_after_s * MAG_US_PER_S;
+			fk_sleep_us(delay_us < LOAD_RETRY_MAX_US
+					    ? delay_us + 50 * MAG_US_PER_MS
 					    : LOAD_RETRY_MAX_US);
 			atomic_fetch_add(&load_retried, 1);
-			load_clear(&call);
+			load_reset(&call);
 		}
 		snprintf(call.intent, sizeof(call.intent), "%s-%d", opt.name,
 			 i);
 		snprintf(call.prompt, sizeof(call.prompt), "%.79s %s",
 			 opt.prompt, call.intent);
 		result = load_send(curl, &call, i, attempt);
-		load_note(&call, result);
-		if (!load_again(result, &call))
+		load_record(&call, result);
+		if (!load_should_retry(result, &call))
 			break;
 	}
 	atomic_fetch_add(&load_totals[result], 1);
 	if (result == LOAD_RAN) {
-		load_took_us[i] = clk_now_us() - began;
-		load_first_us[i] = call.first_us - began;
+		load_duration_us[i] = clk_now_us() - start_us;
+		load_first_us[i] = call.first_us - start_us;
 	}
-	load_clear(&call);
+	load_reset(&call);
 }
 
 static void *load_run(void *arg)
@@ -393,7 +395,7 @@
 			due = load_start_us + i * MAG_US_PER_S / opt.per_s;
 			fk_sleep_us(due - clk_now_us());
 		}
-		load_one(curl, i);
+		load_run_request(curl, i);
 	}
 	curl_easy_cleanup(curl);
 	return arg;
@@ -407,7 +409,7 @@
 	return x < y ? -1 : x > y;
 }
 
-/* Returns a percentile in milliseconds of the times that aren't 0. */
+/* Returns a percentile, in ms, of the nonzero times. */
 static double load_percentile(int64_t *times, double part)
 {
 	int zero = 0;
@@ -440,9 +442,9 @@
 	json_object_set_new(all, "seconds", json_real(seconds));
 	json_object_set_new(all, "per_s", json_real(opt.count / seconds));
 	json_object_set_new(all, "p50_ms",
-			    json_real(load_percentile(load_took_us, 0.5)));
+			    json_real(load_percentile(load_duration_us, 0.5)));
 	json_object_set_new(all, "p99_ms",
-			    json_real(load_percentile(load_took_us, 0.99)));
+			    json_real(load_percentile(load_duration_us, 0.99)));
 	json_object_set_new(all, "first_p50_ms",
 			    json_real(load_percentile(load_first_us, 0.5)));
 	json_object_set_new(all, "first_p99_ms",
@@ -468,7 +470,7 @@
 	static pthread_t threads[LOAD_THREADS_MAX];
 	int i;
 
-	load_took_us = calloc((size_t)opt.count + 1, sizeof(int64_t));
+	load_duration_us = calloc((size_t)opt.count + 1, sizeof(int64_t));
 	load_first_us = calloc((size_t)opt.count + 1, sizeof(int64_t));
 	load_start_us = clk_now_us();
 	for (i = 0; i < opt.threads; i++)
@@ -483,7 +485,7 @@
 	return arg->count ? arg->ival[0] : absent;
 }
 
-/* The options as argtable reads them. */
+/* The command-line options for argtable. */
 struct load_args {
 	struct arg_str *kind;
 	struct arg_str *path;
@@ -510,24 +512,25 @@
 {
 	args->kind = arg_str1("k", "kind", "KIND",
 			      "stream, unary, booking or lookup");
-	args->path = arg_str1(NULL, "path", "PATH", "of the route");
-	args->name = arg_str0(NULL, "name", "NAME", "start of intents' names");
-	args->prompt = arg_str0(NULL, "prompt", "TEXT", "start of prompts");
+	args->path = arg_str1(NULL, "path", "PATH", "path of the route");
+	args->name = arg_str0(NULL, "name", "NAME", "prefix of intents' names");
+	args->prompt = arg_str0(NULL, "prompt", "TEXT", "prefix of prompts");
 	args->count = arg_int0("n", "count", "N", "requests");
-	args->threads = arg_int0("c", "concurrency", "N", "at once");
-	args->per_s = arg_int0("r", "rate", "N", "requests a second");
-	args->tokens = arg_int0(NULL, "tokens", "N", "an answer");
-	args->layers = arg_int0(NULL, "layers", "N", "of the model");
-	args->retries = arg_int0(NULL, "retries", "N", "a request");
-	args->deadline = arg_int0(NULL, "deadline-ms", "N", "sent");
-	args->record = arg_file0(NULL, "record", "FILE", "to add to");
+	args->threads =
+		arg_int0("c", "concurrency", "N", "concurrent requests");
+	args->per_s = arg_int0("r", "rate", "N", "requests per second");
+	args->tokens = arg_int0(NULL, "tokens", "N", "tokens per answer");
+	args->layers = arg_int0(NULL, "layers", "N", "layers of the model");
+	args->retries = arg_int0(NULL, "retries", "N", "retries per request");
+	args->deadline = arg_int0(NULL, "deadline-ms", "N", "deadline to send");
+	args->record = arg_file0(NULL, "record", "FILE", "append records");
 	args->json = arg_lit0("j", "json", "print one JSON object");
 	args->targets = arg_strn("t", "target", "IP:PORT", 1, 64, "routers");
 	args->accounts = arg_strn("a", "account", "KEY", 0, 64, "bearer keys");
 	args->end = arg_end(8);
 }
 
-static void load_take_args(const struct load_args *args)
+static void load_set_options(const struct load_args *args)
 {
 	opt.kind = args->kind->sval[0];
 	opt.path = args->path->sval[0];
@@ -555,14 +558,14 @@
 		arg_print_errors(stderr, args.end, "tool_load");
 		return 2;
 	}
-	load_take_args(&args);
+	load_set_options(&args);
 	if (args.record->count && fk_record_open(args.record->filename[0]) < 0)
 		return 1;
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 	load_start();
 	load_print(args.json->count > 0);
 	arg_freetable((void **)&args, LOAD_ARG_COUNT);
-	free(load_took_us);
+	free(load_duration_us);
 	free(load_first_us);
 	curl_global_cleanup();
 	return load_totals[LOAD_WRONG] ? 1 : 0;
--- a/regress/tool_peers.c
+++ b/regress/tool_peers.c
@@ -1,6 +1,6 @@
 /*
- * Routers that come one after the other: sends a router a message of a new
- * peer every few milliseconds, as many as are asked for.
+ * Simulates routers that join one after the other: sends a router the given
+ * number of messages, each from a new peer, one every EVERY_US.
  */
 #include <arpa/inet.h>
 #include <stdio.h>
--- a/regress/tool_ports.c
+++ b/regress/tool_ports.c
@@ -1,7 +1,7 @@
 /*
- * Prints the first of N neighbouring ports of the loopback that are free.  It
- * starts a block of its own, so that whoever locks the block by its first port
- * shares none of its ports.
+ * Prints the first of N consecutive free loopback ports.  It is always the
+ * first port of a block of PORTS_BLOCK ports, so a lock on that port number
+ * protects the whole range.
  */
 #include <arpa/inet.h>
 #include <stdbool.h>
@@ -11,7 +11,7 @@
 #include <unistd.h>
 
 #define PORTS_LOW   10000
-#define PORTS_HIGH  32000 /* above it the system picks ports of clients */
+#define PORTS_HIGH  32000 /* above it the kernel assigns ephemeral ports */
 #define PORTS_BLOCK 110
 #define PORTS_STEP  97
 
@@ -20,14 +20,14 @@
 	struct sockaddr_in addr = { .sin_family = AF_INET };
 	int on = 1;
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
-	bool taken;
+	bool in_use;
 
 	addr.sin_port = htons((uint16_t)port);
 	addr.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
-	taken = bind(fd, (struct sockaddr *)&addr, sizeof(addr)) < 0;
+	in_use = bind(fd, (struct sockaddr *)&addr, sizeof(addr)) < 0;
 	close(fd);
-	return !taken;
+	return !in_use;
 }
 
 int main(int argc, char **argv)
--- a/regress/tool_proxy.c
+++ b/regress/tool_proxy.c
@@ -1,8 +1,7 @@
 /*
- * A loopback proxy that harms what passes: it reads a word a line from its
- * standard input and acts by it from then on: pass, delay (100 ms), reset
- * (what is open and what comes), up or down (one direction is dropped),
- * silent (both are).
+ * A fault-injecting loopback proxy.  Each line of standard input sets the mode:
+ * pass, delay (100 ms), reset (open and new connections), up or down (drop the
+ * data of callers or of the target), silent (drop both).
  */
 
 #include <stdbool.h>
@@ -30,7 +29,7 @@
 	SILENT
 };
 
-/* One direction of a connection is two ends that know each other. */
+/* One side of a proxied connection: the caller's or the target's socket. */
 struct end {
 	struct bufferevent *bev;
 	struct pair *pair;
@@ -41,7 +40,7 @@
 struct pair {
 	struct cds_list_head node;
 	struct end ends[2];
-	struct event *later;
+	struct event *delay_timer;
 	bool closing;
 };
 
@@ -61,7 +60,7 @@
 			   SO_LINGER, &hard, sizeof(hard));
 		bufferevent_free(pair->ends[i].bev);
 	}
-	event_free(pair->later);
+	event_free(pair->delay_timer);
 	cds_list_del(&pair->node);
 	free(pair);
 }
@@ -77,7 +76,7 @@
 		bufferevent_write_buffer(end->other->bev, in);
 }
 
-static void on_later(evutil_socket_t fd, short what, void *arg)
+static void on_delay(evutil_socket_t fd, short what, void *arg)
 {
 	struct pair *pair = arg;
 
@@ -96,7 +95,7 @@
 
 	(void)bev;
 	if (mode == DELAY)
-		event_add(end->pair->later, &wait);
+		event_add(end->pair->delay_timer, &wait);
 	else
 		forward(end);
 }
@@ -109,9 +108,9 @@
 	(void)bev;
 	if (what & BEV_EVENT_CONNECTED)
 		return;
-	/* What is on its way arrives before the other side is closed. */
+	/* Close after a delay, so that buffered data still arrives. */
 	end->pair->closing = true;
-	event_add(end->pair->later, &wait);
+	event_add(end->pair->delay_timer, &wait);
 }
 
 static void on_accept(struct evconnlistener *listener, evutil_socket_t fd,
@@ -134,7 +133,7 @@
 	pair->ends[1].bev =
 		bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE);
 	pair->ends[0].is_caller = true;
-	pair->later = event_new(base, -1, 0, on_later, pair);
+	pair->delay_timer = event_new(base, -1, 0, on_delay, pair);
 	cds_list_add_tail(&pair->node, &pairs);
 	for (i = 0; i < 2; i++) {
 		pair->ends[i].pair = pair;
--- a/regress/tool_verify.c
+++ b/regress/tool_verify.c
@@ -1,9 +1,9 @@
 /*
- * Reads the record files of stand-ins and callers and reports every
- * contradiction: a delivered token whose layers didn't run once and in order
- * in one attempt, a booking with two effects, one that was told not-run and
- * yet ran, one that was told ran and didn't.  All must have appended to one
- * file, as the order of the lines counts.
+ * Reads the records of the stand-ins and callers and reports every
+ * contradiction: a delivered token whose layers did not run once and in order
+ * in one attempt, a booking with two effects, a booking reported as not-run
+ * that ran, and a booking reported as ran that did not.  All processes must
+ * append to the same file, because the order of the lines matters.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,14 +17,14 @@
 #define VER_LINE_MAX 1024
 #define VER_BUCKETS  65536
 
-/* One run of one token in one attempt. */
+/* The layers run for one token in one attempt. */
 struct ver_token {
 	struct cds_list_head node;
 	char request[FK_ID_MAX];
 	long attempt;
 	long index;
-	long next_layer; /* the layer that must come next */
-	bool broken;	 /* one was skipped, doubled or out of order */
+	long next_layer; /* expected next */
+	bool broken;	 /* skipped, repeated or out of order */
 };
 
 struct ver_intent {
@@ -32,10 +32,10 @@
 	char name[FK_ID_MAX];
 	long effects;
 	bool told_ran;
-	bool told_not_run; /* by the last answer */
+	bool told_not_run; /* in the last answer */
 };
 
-/* What a caller was told, checked once all lines are read. */
+/* An answer that a caller received, checked after all lines are read. */
 struct ver_answer {
 	struct cds_list_head node;
 	char request[FK_ID_MAX];
@@ -46,7 +46,7 @@
 static struct cds_list_head ver_tokens[VER_BUCKETS];
 static struct cds_list_head ver_intents[VER_BUCKETS];
 static CDS_LIST_HEAD(ver_answers);
-static long ver_faults;
+static long ver_contradictions;
 static long ver_token_count;
 static long ver_effect_count;
 static long ver_answer_count;
@@ -56,19 +56,19 @@
 	return fk_fold_start(name, (uint32_t)index) % VER_BUCKETS;
 }
 
-/* Copies the value of key=value out of a line; "" if it isn't there. */
+/* Copies the value of key=value from a line; "" if the key is missing. */
 static void ver_field(const char *line, const char *key, char *value,
 		      size_t size)
 {
-	char wanted[32];
+	char pattern[32];
 	const char *at;
 
-	snprintf(wanted, sizeof(wanted), " %s=", key);
-	at = strstr(line, wanted);
+	snprintf(pattern, sizeof(pattern), " %s=", key);
+	at = strstr(line, pattern);
 	value[0] = '\0';
 	if (!at)
 		return;
-	at += strlen(wanted);
+	at += strlen(pattern);
 	snprintf(value, size, "%.*s", (int)strcspn(at, " \n"), at);
 }
 
@@ -96,7 +96,7 @@
 	return intent;
 }
 
-/* A stage ran some layers for a token. */
+/* Handles a "step" line: a stage ran a range of layers for a token. */
 static void ver_step(const char *line)
 {
 	char request[FK_ID_MAX];
@@ -138,13 +138,13 @@
 	ver_effect_count++;
 }
 
-/* Whoever is told not-run may send again, so it must hold at this line. */
+/* A caller may retry after not-run, so no effect may precede this line. */
 static void ver_check_not_run(const struct ver_intent *intent)
 {
 	if (intent->effects == 0)
 		return;
 	printf("contradiction: %s was told not-run and ran\n", intent->name);
-	ver_faults++;
+	ver_contradictions++;
 }
 
 static void ver_booking(const char *line, const char *outcome)
@@ -172,7 +172,7 @@
 	ver_field(line, "outcome", outcome, sizeof(outcome));
 	if (strcmp(outcome, "wrong") == 0) {
 		printf("contradiction: a wrong answer: %s", line);
-		ver_faults++;
+		ver_contradictions++;
 	}
 	if (strcmp(kind, "booking") == 0)
 		ver_booking(line, outcome);
@@ -187,7 +187,7 @@
 	cds_list_add_tail(&answer->node, &ver_answers);
 }
 
-/* A delivered token must have one run that had all layers, once, in order. */
+/* A delivered token needs one attempt that ran all layers once, in order. */
 static void ver_check_token(const struct ver_answer *answer, long index)
 {
 	struct cds_list_head *bucket =
@@ -203,7 +203,7 @@
 	printf("contradiction: request %s token %ld: no attempt ran each "
 	       "layer once and in order\n",
 	       answer->request, index);
-	ver_faults++;
+	ver_contradictions++;
 }
 
 static void ver_check_intent(const struct ver_intent *intent)
@@ -211,14 +211,14 @@
 	if (intent->effects > 1) {
 		printf("contradiction: %s ran %ld times\n", intent->name,
 		       intent->effects);
-		ver_faults++;
+		ver_contradictions++;
 	}
 	if (intent->told_not_run)
 		ver_check_not_run(intent);
 	if (intent->told_ran && intent->effects == 0) {
 		printf("contradiction: %s was told ran and didn't\n",
 		       intent->name);
-		ver_faults++;
+		ver_contradictions++;
 	}
 }
 
@@ -271,6 +271,6 @@
 	ver_check();
 	fprintf(stderr, "%ld answers, %ld tokens run, %ld effects\n",
 		ver_answer_count, ver_token_count, ver_effect_count);
-	printf("%ld contradictions\n", ver_faults);
-	return ver_faults ? 1 : 0;
+	printf("%ld contradictions\n", ver_contradictions);
+	return ver_contradictions ? 1 : 0;
 }
