--- a/regress/check_matrix.c
+++ b/regress/check_matrix.c
@@ -13,34 +13,34 @@
 #include "log.h"
 
 /*
- * The fault matrix: two cores, a key-value table and endpoints in memory, in
- * virtual time.  A caller sends one request through the first core, a fault
- * strikes at one step of it, and the caller goes on as callers do: it sends
- * again, through the other core, until it has its answer or gives up.  Then
- * a checker compares what the endpoints ran with what the caller was told.
- * docs/FAULTS.md is the table of a run; FAULTS_WRITE=1 writes it.
+ * The fault matrix: two cores, a key-value table and endpoints, all in memory
+ * and in virtual time.  A caller sends a request through the first core, and
+ * one fault is injected at one step of the request.  The caller retries
+ * through the other core until it receives an answer or gives up.  A checker
+ * then compares what the endpoints ran with what the caller was told.
+ * docs/FAULTS.md holds the resulting tables; FAULTS_WRITE=1 writes it.
  */
 
-#define MX_MS	     MAG_US_PER_MS
-#define MX_TOKENS    8
-#define MX_LAYERS    4
-#define MX_FILLERS   3 /* requests that fill the endpoints */
-#define MX_ASKS	     16
-#define MX_ATTS	     64
-#define MX_CALLS     64
-#define MX_CELLS     16
-#define MX_EPS	     6
-#define MX_REPEATS   5
-#define MX_DEADLINE  3000 /* of a request, in ms */
-#define MX_OUTAGE    (1500 * MX_MS)
-#define MX_HANG	     (5000 * MX_MS) /* until a hung endpoint wakes */
-#define MX_LATE	     (2500 * MX_MS) /* until a hanging write lands */
-#define MX_WAKE	     (50 * MX_MS)
-#define MX_PAUSE     (4000 * MX_MS)
-#define MX_END	     (60 * MAG_US_PER_S)
-#define MX_STOP	     (60 * MAG_US_PER_S)
-#define MX_WALL_MS   INT64_C(1800000000000)
-#define MX_POISON_EP 2 /* most endpoints that one request may cost */
+#define MX_MS		    MAG_US_PER_MS
+#define MX_TOKENS	    8
+#define MX_LAYERS	    4
+#define MX_FILLERS	    3 /* requests that occupy the endpoints */
+#define MX_REQUESTS	    16
+#define MX_ATTEMPTS	    64
+#define MX_CALLS	    64
+#define MX_KV_ENTRIES	    16
+#define MX_ENDPOINTS	    6
+#define MX_REPEATS	    5
+#define MX_DEADLINE	    3000 /* of a request, ms */
+#define MX_OUTAGE	    (1500 * MX_MS)
+#define MX_HANG		    (5000 * MX_MS) /* duration of a hang */
+#define MX_LATE		    (2500 * MX_MS) /* delay of a late write */
+#define MX_WAKE		    (50 * MX_MS)
+#define MX_PAUSE	    (4000 * MX_MS)
+#define MX_END		    (60 * MAG_US_PER_S)
+#define MX_STOP		    (60 * MAG_US_PER_S)
+#define MX_WALL_MS	    INT64_C(1800000000000)
+#define MX_POISON_ENDPOINTS 2 /* a request may kill at most this many */
 
 #define MX_STEPS                                                               \
 	X(ACCEPT, "accept")                                                    \
@@ -103,32 +103,32 @@
 	ATT_DONE
 };
 
-struct mx_ep {
+struct mx_endpoint {
 	bool dead, wrong;
-	bool poisoned; /* the request's own doing */
+	bool poisoned; /* killed by the poison request */
 	int64_t hung_until, slow_until;
 };
 
-struct mx_ask {
+struct mx_request {
 	int router;
 	uint64_t req;
 	int key;
 	uint64_t incarnation;
-	int64_t sent_us, closed_us; /* closed: answered or given up */
+	int64_t sent_us, closed_us; /* closed: answered or abandoned */
 	int answers, status;
-	bool heard;   /* the caller was still there */
-	bool crossed; /* the last end carried another's ids */
+	bool received;	/* the answer came before closed_us */
+	bool wrong_ids; /* the last attempt ended with wrong ids */
 	enum mag_outcome outcome;
 	char body[32];
 	int seen[2 * MX_TOKENS], seen_count;
-	bool effect; /* an endpoint began it */
+	bool effect; /* an endpoint started the work */
 };
 
-struct mx_att {
+struct mx_attempt {
 	enum mx_phase phase;
-	int ask;
-	bool open, cancelled; /* its connection */
-	int eps[MAG_CHAIN_MAX];
+	int request;
+	bool open, cancelled; /* state of the connection */
+	int endpoints[MAG_CHAIN_MAX];
 	struct core_dispatch d;
 	uint32_t tokens;
 	int64_t at_us;
@@ -143,7 +143,7 @@
 	struct kv_reply reply;
 };
 
-struct mx_cell {
+struct mx_kv_entry {
 	char key[KV_KEY_MAX];
 	char *value;
 	uint64_t version;
@@ -152,31 +152,32 @@
 static struct core *cores[2];
 static uint64_t incarnations[2];
 static int64_t paused_until[2];
-static struct mx_ep eps[MX_EPS];
-static struct mx_ask asks[MX_ASKS];
-static struct mx_att atts[MX_ATTS];
+static struct mx_endpoint endpoints[MX_ENDPOINTS];
+static struct mx_request requests[MX_REQUESTS];
+static struct mx_attempt attempts[MX_ATTEMPTS];
 static struct mx_call calls[MX_CALLS];
-static struct mx_cell cells[MX_CELLS];
-static int ask_count, target, repeats, effects[MX_ASKS], effect_ask[MX_ASKS];
+static struct mx_kv_entry kv_entries[MX_KV_ENTRIES];
+static int request_count, target, repeats, effects[MX_REQUESTS],
+	effect_request[MX_REQUESTS];
 static int64_t now, kv_down_until, kv_slow_until;
 static bool stopped[2];
-static bool kv_lose, kv_hang, link_cut, poison, fired;
+static bool kv_lose_reply, kv_hang, link_cut, poison, injected;
 static enum mx_kind kind;
 static enum mx_step step;
 static enum mx_fault fault;
-static enum mx_step second_step; /* of a pair */
+static enum mx_step second_step; /* second fault of a pair */
 static enum mx_fault second;	 /* FAULT_NONE: no pair */
-static bool fired_second;
-static char verdict[256];
+static bool injected_second;
+static char violation[256];
 
-static void mx_strike(enum mx_step at, const struct mx_att *att);
-static void mx_inflict(enum mx_fault which, const struct mx_att *att);
+static void mx_reach_step(enum mx_step at, const struct mx_attempt *attempt);
+static void mx_inject(enum mx_fault which, const struct mx_attempt *attempt);
 
-static void mx_bad(const char *what, int ask)
+static void mx_violation(const char *what, int request)
 {
-	if (!verdict[0])
-		snprintf(verdict, sizeof(verdict), "%s (request %d)", what,
-			 ask + 1);
+	if (!violation[0])
+		snprintf(violation, sizeof(violation), "%s (request %d)", what,
+			 request + 1);
 }
 
 static struct cfg_set *mx_config(void)
@@ -221,7 +222,7 @@
 	return set;
 }
 
-static void mx_start(int router)
+static void mx_start_router(int router)
 {
 	struct core_settings set = {
 		.cluster = "c",
@@ -249,21 +250,21 @@
 	core_tick(cores[router], now);
 }
 
-/* A caller's request; key 0 is the one that the fault strikes. */
-static void mx_ask(int router, int key)
+/* Sends a caller's request; the fault hits the request with key 0. */
+static void mx_send_request(int router, int key)
 {
 	struct core_event event = { .type = CORE_EV_ARRIVAL };
 	struct core_arrival *a = &event.arrival;
-	struct mx_ask *ask = &asks[ask_count];
-
-	assert_true(ask_count < MX_ASKS);
-	memset(ask, 0, sizeof(*ask));
-	ask->router = router;
-	ask->incarnation = incarnations[router];
-	ask->key = key;
-	ask->sent_us = now;
-	ask->req = (uint64_t)++ask_count;
-	a->req = ask->req;
+	struct mx_request *request = &requests[request_count];
+
+	assert_true(request_count < MX_REQUESTS);
+	memset(request, 0, sizeof(*request));
+	request->router = router;
+	request->incarnation = incarnations[router];
+	request->key = key;
+	request->sent_us = now;
+	request->req = (uint64_t)++request_count;
+	a->req = request->req;
 	snprintf(a->account_key_hash, sizeof(a->account_key_hash), "%064d", 1);
 	snprintf(a->path, sizeof(a->path), "/s");
 	if (kind != KIND_MODEL)
@@ -274,18 +275,18 @@
 	a->allowance_ms = MX_DEADLINE;
 	a->wall_ms = MX_WALL_MS + now / MX_MS;
 	if (!cores[router])
-		ask->closed_us = now; /* connection refused */
+		request->closed_us = now; /* connection refused */
 	else
 		core_post(cores[router], &event);
 }
 
-static bool mx_alive(const struct mx_ask *ask)
+static bool mx_router_alive(const struct mx_request *request)
 {
-	return cores[ask->router] &&
-	       incarnations[ask->router] == ask->incarnation;
+	return cores[request->router] &&
+	       incarnations[request->router] == request->incarnation;
 }
 
-static void mx_kill(int router)
+static void mx_kill_router(int router)
 {
 	int i;
 
@@ -293,37 +294,38 @@
 		core_free(cores[router]);
 	cores[router] = NULL;
 	stopped[router] = true;
-	for (i = 0; i < MX_ATTS; i++) {
-		if (asks[atts[i].ask].router == router)
-			atts[i].open = false;
+	for (i = 0; i < MX_ATTEMPTS; i++) {
+		if (requests[attempts[i].request].router == router)
+			attempts[i].open = false;
 	}
-	for (i = 0; i < ask_count; i++) {
-		if (asks[i].router == router && !asks[i].closed_us)
-			asks[i].closed_us = now;
+	for (i = 0; i < request_count; i++) {
+		if (requests[i].router == router && !requests[i].closed_us)
+			requests[i].closed_us = now;
 	}
 }
 
-/* The endpoint that a fault strikes: the last stage of the attempt's chain. */
-static int mx_target(const struct mx_att *att)
+/* Returns the endpoint to fault: the last stage of the attempt's chain. */
+static int mx_target_endpoint(const struct mx_attempt *attempt)
 {
-	return att ? att->eps[att->d.stage_count - 1] : 0;
+	return attempt ? attempt->endpoints[attempt->d.stage_count - 1] : 0;
 }
 
-/* Lets each fault strike once, when the first request reaches its step. */
-static void mx_strike(enum mx_step at, const struct mx_att *att)
+/* Injects each fault once, when the target request reaches its step. */
+static void mx_reach_step(enum mx_step at, const struct mx_attempt *attempt)
 {
-	if (!fired && at == step) {
-		fired = true;
-		mx_inflict(fault, att);
-	} else if (fired && second && !fired_second && at == second_step) {
-		fired_second = true;
-		mx_inflict(second, att);
+	if (!injected && at == step) {
+		injected = true;
+		mx_inject(fault, attempt);
+	} else if (injected && second && !injected_second &&
+		   at == second_step) {
+		injected_second = true;
+		mx_inject(second, attempt);
 	}
 }
 
-static void mx_inflict(enum mx_fault which, const struct mx_att *att)
+static void mx_inject(enum mx_fault which, const struct mx_attempt *attempt)
 {
-	struct mx_ep *ep = &eps[mx_target(att)];
+	struct mx_endpoint *ep = &endpoints[mx_target_endpoint(attempt)];
 
 	switch (which) {
 	case FAULT_EP_KILLED:
@@ -343,9 +345,9 @@
 		break;
 	case FAULT_KILLED:
 	case FAULT_RESTARTED:
-		mx_kill(0);
+		mx_kill_router(0);
 		if (which == FAULT_RESTARTED)
-			mx_start(0);
+			mx_start_router(0);
 		break;
 	case FAULT_PAUSED:
 		paused_until[0] = now + MX_PAUSE;
@@ -357,7 +359,7 @@
 		kv_slow_until = now + MX_OUTAGE;
 		break;
 	case FAULT_KV_LOSE:
-		kv_lose = true;
+		kv_lose_reply = true;
 		break;
 	case FAULT_KV_HANG:
 		kv_hang = true;
@@ -366,7 +368,7 @@
 		poison = true;
 		break;
 	case FAULT_TWO:
-		mx_ask(1, 0);
+		mx_send_request(1, 0);
 		break;
 	case FAULT_NONE:
 	case FAULT_COUNT:
@@ -374,264 +376,271 @@
 	}
 }
 
-static void mx_end(struct mx_att *att, enum core_end end, int stage)
+static void mx_end_attempt(struct mx_attempt *attempt, enum core_end end,
+			   int stage)
 {
 	struct core_event event = { .type = CORE_EV_ENDED };
-	const struct mx_ask *ask = &asks[att->ask];
+	const struct mx_request *request = &requests[attempt->request];
 
-	att->phase = ATT_NONE;
-	if (!att->open || !mx_alive(ask))
+	attempt->phase = ATT_NONE;
+	if (!attempt->open || !mx_router_alive(request))
 		return;
-	asks[att->ask].crossed = end == CORE_END_WRONG;
-	event.ended.req = ask->req;
-	event.ended.attempt = att->d.attempt;
+	requests[attempt->request].wrong_ids = end == CORE_END_WRONG;
+	event.ended.req = request->req;
+	event.ended.attempt = attempt->d.attempt;
 	event.ended.end = end;
 	event.ended.stage = stage;
 	event.ended.status = end == CORE_END_WHOLE ? 201 : 0;
-	event.ended.tokens = att->tokens;
+	event.ended.tokens = attempt->tokens;
 	if (end == CORE_END_WHOLE && kind != KIND_MODEL &&
 	    asprintf(&event.ended.answer, "booked for %d",
-		     effect_ask[ask->key] + 1) > 0)
+		     effect_request[request->key] + 1) > 0)
 		event.ended.answer_len = strlen(event.ended.answer);
-	core_post(cores[ask->router], &event);
+	core_post(cores[request->router], &event);
 }
 
-/* The endpoint begins the work: this is the effect that counts. */
-static void mx_effect(struct mx_att *att)
+/* Records that an endpoint starts the work; this counts as the effect. */
+static void mx_record_effect(struct mx_attempt *attempt)
 {
-	struct mx_ask *ask = &asks[att->ask];
+	struct mx_request *request = &requests[attempt->request];
 
-	ask->effect = true;
+	request->effect = true;
 	if (kind == KIND_MODEL)
 		return;
-	if (kind == KIND_RESEND && effects[ask->key] > 0)
+	if (kind == KIND_RESEND && effects[request->key] > 0)
 		return;
-	effects[ask->key]++;
-	effect_ask[ask->key] = att->ask;
-	if (effects[ask->key] > 1)
-		mx_bad("ran twice", att->ask);
+	effects[request->key]++;
+	effect_request[request->key] = attempt->request;
+	if (effects[request->key] > 1)
+		mx_violation("ran twice", attempt->request);
 }
 
-/* One token from the last stage; the shell relays it to the caller. */
-static void mx_token(struct mx_att *att)
+/* Relays a token of the last stage to the caller and reports progress. */
+static void mx_deliver_token(struct mx_attempt *attempt)
 {
 	struct core_event event = { .type = CORE_EV_PROGRESS };
-	struct mx_ask *ask = &asks[att->ask];
+	struct mx_request *request = &requests[attempt->request];
 	uint32_t layer = 0;
 	int i;
 
-	for (i = 0; i < att->d.stage_count; i++) {
-		if (att->d.stages[i].first_layer != layer)
-			mx_bad("layers out of order", att->ask);
-		layer = att->d.stages[i].last_layer + 1;
+	for (i = 0; i < attempt->d.stage_count; i++) {
+		if (attempt->d.stages[i].first_layer != layer)
+			mx_violation("layers out of order", attempt->request);
+		layer = attempt->d.stages[i].last_layer + 1;
 	}
 	if (layer != MX_LAYERS)
-		mx_bad("layers left out", att->ask);
-	if (att->open && !att->cancelled && !ask->closed_us &&
-	    ask->seen_count < 2 * MX_TOKENS)
-		ask->seen[ask->seen_count++] = (int)att->tokens;
-	att->tokens++;
-	if (!att->open || !mx_alive(ask))
+		mx_violation("layers left out", attempt->request);
+	if (attempt->open && !attempt->cancelled && !request->closed_us &&
+	    request->seen_count < 2 * MX_TOKENS)
+		request->seen[request->seen_count++] = (int)attempt->tokens;
+	attempt->tokens++;
+	if (!attempt->open || !mx_router_alive(request))
 		return;
-	event.progress.req = ask->req;
-	event.progress.attempt = att->d.attempt;
-	event.progress.tokens = att->tokens;
-	core_post(cores[ask->router], &event);
+	event.progress.req = request->req;
+	event.progress.attempt = attempt->d.attempt;
+	event.progress.tokens = attempt->tokens;
+	core_post(cores[request->router], &event);
 }
 
-static bool mx_first_attempt(const struct mx_att *att)
+static bool mx_first_attempt(const struct mx_attempt *attempt)
 {
-	return att->ask == target && att->d.attempt == 1;
+	return attempt->request == target && attempt->d.attempt == 1;
 }
 
-/* Returns the first stage that is dead, or -1. */
-static int mx_dead_stage(const struct mx_att *att)
+/* Returns the index of the first dead stage, or -1. */
+static int mx_dead_stage(const struct mx_attempt *attempt)
 {
 	int i;
 
-	for (i = 0; i < att->d.stage_count; i++) {
-		if (eps[att->eps[i]].dead)
+	for (i = 0; i < attempt->d.stage_count; i++) {
+		if (endpoints[attempt->endpoints[i]].dead)
 			return i;
 	}
 	return -1;
 }
 
-static bool mx_waits(const struct mx_att *att, int64_t *step_us)
+static bool mx_is_blocked(const struct mx_attempt *attempt, int64_t *step_us)
 {
 	int i;
 
 	*step_us = 10 * MX_MS;
-	for (i = 0; i < att->d.stage_count; i++) {
-		if (eps[att->eps[i]].hung_until > now)
+	for (i = 0; i < attempt->d.stage_count; i++) {
+		if (endpoints[attempt->endpoints[i]].hung_until > now)
 			return true;
-		if (eps[att->eps[i]].slow_until > now)
+		if (endpoints[attempt->endpoints[i]].slow_until > now)
 			*step_us = 300 * MX_MS;
 	}
 	return false;
 }
 
-static void mx_poisoned(const struct mx_att *att)
+static void mx_poison_endpoint(const struct mx_attempt *attempt)
 {
-	eps[mx_target(att)].dead = true;
-	eps[mx_target(att)].poisoned = true;
+	endpoints[mx_target_endpoint(attempt)].dead = true;
+	endpoints[mx_target_endpoint(attempt)].poisoned = true;
 }
 
-static void mx_run(struct mx_att *att, int64_t step_us)
+static void mx_run_attempt(struct mx_attempt *attempt, int64_t step_us)
 {
-	bool first = mx_first_attempt(att);
+	bool first = mx_first_attempt(attempt);
 	int dead;
 
-	att->at_us = now + step_us;
-	if (att->phase == ATT_SENT) {
-		att->phase = ATT_RUNS;
-		mx_effect(att);
-		if (poison && asks[att->ask].key == 0)
-			mx_poisoned(att);
+	attempt->at_us = now + step_us;
+	if (attempt->phase == ATT_SENT) {
+		attempt->phase = ATT_RUNS;
+		mx_record_effect(attempt);
+		if (poison && requests[attempt->request].key == 0)
+			mx_poison_endpoint(attempt);
 		if (first)
-			mx_strike(STEP_FIRST, att);
-		dead = mx_dead_stage(att);
+			mx_reach_step(STEP_FIRST, attempt);
+		dead = mx_dead_stage(attempt);
 		if (dead >= 0)
-			mx_end(att, dead ? CORE_END_STAGE : CORE_END_CUT, dead);
+			mx_end_attempt(attempt,
+				       dead ? CORE_END_STAGE : CORE_END_CUT,
+				       dead);
 		return;
 	}
-	if (att->tokens < MX_TOKENS) {
+	if (attempt->tokens < MX_TOKENS) {
 		if (kind == KIND_MODEL)
-			mx_token(att);
+			mx_deliver_token(attempt);
 		else
-			att->tokens++;
-		if (first && att->tokens == MX_TOKENS / 2)
-			mx_strike(STEP_MID, att);
+			attempt->tokens++;
+		if (first && attempt->tokens == MX_TOKENS / 2)
+			mx_reach_step(STEP_MID, attempt);
 		return;
 	}
 	if (first)
-		mx_strike(STEP_LAST, att);
-	if (eps[mx_target(att)].wrong) {
-		eps[mx_target(att)].wrong = false;
-		mx_end(att, CORE_END_WRONG, 0);
+		mx_reach_step(STEP_LAST, attempt);
+	if (endpoints[mx_target_endpoint(attempt)].wrong) {
+		endpoints[mx_target_endpoint(attempt)].wrong = false;
+		mx_end_attempt(attempt, CORE_END_WRONG, 0);
 	} else {
-		mx_end(att, CORE_END_WHOLE, 0);
+		mx_end_attempt(attempt, CORE_END_WHOLE, 0);
 	}
 }
 
-/* Moves one attempt on at its endpoints. */
-static void mx_attempt(struct mx_att *att)
+/* Advances an attempt by one step at its endpoints. */
+static void mx_advance_attempt(struct mx_attempt *attempt)
 {
-	bool first = mx_first_attempt(att);
+	bool first = mx_first_attempt(attempt);
 	int64_t step_us;
-	int dead = mx_dead_stage(att);
+	int dead = mx_dead_stage(attempt);
 
-	if (att->phase == ATT_NONE || att->at_us > now)
+	if (attempt->phase == ATT_NONE || attempt->at_us > now)
 		return;
-	if (first && poison && att->phase == ATT_RUNS)
-		mx_poisoned(att);
-	if (att->phase == ATT_CONNECT) {
-		att->at_us = now + MX_MS;
+	if (first && poison && attempt->phase == ATT_RUNS)
+		mx_poison_endpoint(attempt);
+	if (attempt->phase == ATT_CONNECT) {
+		attempt->at_us = now + MX_MS;
 		if (dead == 0 || link_cut) {
 			link_cut = false;
-			mx_end(att, CORE_END_UNSENT, 0);
+			mx_end_attempt(attempt, CORE_END_UNSENT, 0);
 			return;
 		}
-		att->phase = ATT_SENT;
+		attempt->phase = ATT_SENT;
 		if (first)
-			mx_strike(STEP_SEND, att);
+			mx_reach_step(STEP_SEND, attempt);
 		return;
 	}
 	if (dead >= 0) {
-		mx_end(att, dead ? CORE_END_STAGE : CORE_END_CUT, dead);
+		mx_end_attempt(attempt, dead ? CORE_END_STAGE : CORE_END_CUT,
+			       dead);
 		return;
 	}
 	if (link_cut && first) {
-		struct mx_att rest = *att;
+		struct mx_attempt saved = *attempt;
 
 		link_cut = false;
-		mx_end(att, CORE_END_CUT, 0);
-		if (kind != KIND_MODEL) { /* the endpoint works on */
-			*att = rest;
-			att->open = false;
+		mx_end_attempt(attempt, CORE_END_CUT, 0);
+		if (kind != KIND_MODEL) { /* the endpoint continues */
+			*attempt = saved;
+			attempt->open = false;
 		}
 		return;
 	}
-	if (mx_waits(att, &step_us))
+	if (mx_is_blocked(attempt, &step_us))
 		return;
-	if (!att->open && kind == KIND_MODEL)
-		att->phase = ATT_NONE; /* the engine sees its reader gone */
+	if (!attempt->open && kind == KIND_MODEL)
+		attempt->phase = ATT_NONE; /* engine detects the disconnect */
 	else
-		mx_run(att, step_us);
+		mx_run_attempt(attempt, step_us);
 }
 
 static void mx_dispatch(int router, const struct core_dispatch *d)
 {
-	struct mx_att *att = atts;
+	struct mx_attempt *attempt = attempts;
 	int i;
 
-	while (att->phase != ATT_NONE)
-		att++;
-	assert_true(att < atts + MX_ATTS);
-	memset(att, 0, sizeof(*att));
-	att->phase = ATT_CONNECT;
-	att->ask = (int)d->req - 1;
-	att->open = true;
-	att->d = *d;
-	att->tokens = d->resume;
-	att->at_us = now + MX_MS;
+	while (attempt->phase != ATT_NONE)
+		attempt++;
+	assert_true(attempt < attempts + MX_ATTEMPTS);
+	memset(attempt, 0, sizeof(*attempt));
+	attempt->phase = ATT_CONNECT;
+	attempt->request = (int)d->req - 1;
+	attempt->open = true;
+	attempt->d = *d;
+	attempt->tokens = d->resume;
+	attempt->at_us = now + MX_MS;
 	for (i = 0; i < d->stage_count; i++)
-		att->eps[i] = d->stages[i].endpoint[1] - '0';
-	if (mx_first_attempt(att))
-		mx_strike(STEP_CONNECT, att);
+		attempt->endpoints[i] = d->stages[i].endpoint[1] - '0';
+	if (mx_first_attempt(attempt))
+		mx_reach_step(STEP_CONNECT, attempt);
 	(void)router;
 }
 
-/* The shell closes the connection; a booking at work isn't undone by it. */
+/* Closes the connection; a booking that has started continues. */
 static void mx_cancel(const struct core_cancel *cancel)
 {
-	struct mx_att *att;
+	struct mx_attempt *attempt;
 
-	for (att = atts; att < atts + MX_ATTS; att++) {
-		struct mx_att rest = *att;
+	for (attempt = attempts; attempt < attempts + MX_ATTEMPTS; attempt++) {
+		struct mx_attempt saved = *attempt;
 
-		if (att->phase == ATT_NONE || !att->open ||
-		    att->ask != (int)cancel->req - 1 ||
-		    att->d.attempt != cancel->attempt)
+		if (attempt->phase == ATT_NONE || !attempt->open ||
+		    attempt->request != (int)cancel->req - 1 ||
+		    attempt->d.attempt != cancel->attempt)
 			continue;
-		mx_end(att, CORE_END_CANCELLED, 0);
+		mx_end_attempt(attempt, CORE_END_CANCELLED, 0);
 		if (kind != KIND_MODEL) {
-			*att = rest;
-			att->open = false;
+			*attempt = saved;
+			attempt->open = false;
 		}
 	}
 }
 
 static void mx_answer(struct core_answer *answer)
 {
-	struct mx_ask *ask = &asks[answer->req - 1];
-
-	if (ask == &asks[target])
-		mx_strike(STEP_ANSWER, NULL);
-	if (++ask->answers > 1)
-		mx_bad("two answers", (int)answer->req - 1);
-	if (!ask->closed_us) {
-		ask->closed_us = now;
-		ask->heard = true;
-		ask->outcome = answer->outcome;
-		ask->status = answer->status;
+	struct mx_request *request = &requests[answer->req - 1];
+
+	if (request == &requests[target])
+		mx_reach_step(STEP_ANSWER, NULL);
+	if (++request->answers > 1)
+		mx_violation("two answers", (int)answer->req - 1);
+	if (!request->closed_us) {
+		request->closed_us = now;
+		request->received = true;
+		request->outcome = answer->outcome;
+		request->status = answer->status;
 		if (answer->kind == CORE_ANSWER_REPLAY)
-			snprintf(ask->body, sizeof(ask->body), "%.*s",
+			snprintf(request->body, sizeof(request->body), "%.*s",
 				 (int)answer->body_len, answer->body);
 		else if (answer->kind == CORE_ANSWER_RELAY)
-			snprintf(ask->body, sizeof(ask->body), "booked for %d",
-				 ask->crossed ? 0 : effect_ask[ask->key] + 1);
+			snprintf(request->body, sizeof(request->body),
+				 "booked for %d",
+				 request->wrong_ids
+					 ? 0
+					 : effect_request[request->key] + 1);
 	}
 	free(answer->body);
 }
 
-static struct mx_cell *mx_cell(const char *key)
+static struct mx_kv_entry *mx_kv_find(const char *key)
 {
-	struct mx_cell *cell = cells;
+	struct mx_kv_entry *entry = kv_entries;
 
-	while (cell->key[0] && strcmp(cell->key, key) != 0)
-		cell++;
-	snprintf(cell->key, sizeof(cell->key), "%s", key);
-	return cell;
+	while (entry->key[0] && strcmp(entry->key, key) != 0)
+		entry++;
+	snprintf(entry->key, sizeof(entry->key), "%s", key);
+	return entry;
 }
 
 static void mx_kv_call(int router, const struct kv_call *call)
@@ -648,13 +657,17 @@
 	c->call = *call;
 	c->reply.id = call->id;
 	if (router == 0 && call->op == KV_CAS)
-		mx_strike(asks[target].effect ? STEP_SETTLE : STEP_RESERVE,
-			  NULL);
+		mx_reach_step(requests[target].effect ? STEP_SETTLE
+						      : STEP_RESERVE,
+			      NULL);
 	c->apply_us = now + (kv_slow_until > now ? 300 * MX_MS : MX_MS);
 	c->reply_us = now + (kv_slow_until > now ? 600 * MX_MS : 2 * MX_MS);
 }
 
-/* The sender hears nothing; the write itself lands later, if it still can. */
+/*
+ * The caller of the write gets no reply before its deadline; the write is
+ * applied MX_LATE later, if its version still matches.
+ */
 static void mx_kv_hang(struct mx_call *c)
 {
 	struct mx_call *lost = calls;
@@ -667,14 +680,14 @@
 	lost->call.value = NULL;
 	lost->reply.status = KV_LOST;
 	lost->reply_us = c->call.deadline_us;
-	c->incarnation = 0; /* nobody waits for this one */
+	c->incarnation = 0; /* its reply is discarded */
 	c->call.deadline_us = MAG_NEVER;
 	c->apply_us = c->reply_us = now + MX_LATE;
 }
 
 static void mx_kv_apply(struct mx_call *c)
 {
-	struct mx_cell *cell = mx_cell(c->call.key);
+	struct mx_kv_entry *entry = mx_kv_find(c->call.key);
 
 	if (kv_hang && c->call.op == KV_CAS) {
 		kv_hang = false;
@@ -685,24 +698,24 @@
 	c->reply.status = KV_OK;
 	if (kv_down_until > now) {
 		c->reply.status = KV_UNSENT;
-	} else if (c->call.op == KV_GET && !cell->version) {
+	} else if (c->call.op == KV_GET && !entry->version) {
 		c->reply.status = KV_ABSENT;
 	} else if (c->call.op == KV_GET) {
-		c->reply.value = strdup(cell->value);
-		c->reply.len = strlen(cell->value);
-	} else if (c->call.version != cell->version) {
+		c->reply.value = strdup(entry->value);
+		c->reply.len = strlen(entry->value);
+	} else if (c->call.version != entry->version) {
 		c->reply.status = KV_CONFLICT;
 	} else {
-		free(cell->value);
-		cell->value = strndup(c->call.value, c->call.len);
-		cell->version++;
-		if (kv_lose) {
-			kv_lose = false;
+		free(entry->value);
+		entry->value = strndup(c->call.value, c->call.len);
+		entry->version++;
+		if (kv_lose_reply) {
+			kv_lose_reply = false;
 			c->reply.status = KV_LOST;
 			c->reply_us = c->call.deadline_us;
 		}
 	}
-	c->reply.version = cell->version;
+	c->reply.version = entry->version;
 	if (c->reply_us > c->call.deadline_us) {
 		c->reply_us = c->call.deadline_us;
 		c->reply.status = KV_LOST;
@@ -714,7 +727,7 @@
 	struct core_event event = { .type = CORE_EV_KV_REPLY };
 
 	if (c->router == 0 && c->call.op == KV_CAS)
-		mx_strike(STEP_PICK, NULL);
+		mx_reach_step(STEP_PICK, NULL);
 	event.kv = c->reply;
 	if (cores[c->router] && c->incarnation == incarnations[c->router])
 		core_post(cores[c->router], &event);
@@ -751,53 +764,53 @@
 	}
 }
 
-/* Quarantines spread between the instances within a millisecond here. */
+/* Spreads quarantines between the instances, within one step of 1 ms. */
 static void mx_spread(void)
 {
-	uint8_t print[MAG_DIGEST_BYTES];
+	uint8_t fingerprint[MAG_DIGEST_BYTES];
 	uint32_t lost;
 	int64_t until;
 	int i;
 
 	for (i = 0; i < 2; i++) {
-		while (cores[i] &&
-		       core_next_quarantine(cores[i], print, &lost, &until)) {
+		while (cores[i] && core_next_quarantine(cores[i], fingerprint,
+							&lost, &until)) {
 			if (cores[1 - i])
-				core_learn_quarantine(cores[1 - i], print, lost,
-						      until);
+				core_learn_quarantine(cores[1 - i], fingerprint,
+						      lost, until);
 		}
 	}
 }
 
-/* The caller: sends again until it has its answer, five times at most. */
-static void mx_caller(void)
+/* Resends the caller's request until it is answered, at most five times. */
+static void mx_retry(void)
 {
-	struct mx_ask *last = NULL;
+	struct mx_request *last = NULL;
 	int i;
 
-	for (i = 0; i < ask_count; i++) {
-		if (!asks[i].closed_us &&
-		    asks[i].sent_us + (MX_DEADLINE + 100) * MX_MS <= now)
-			asks[i].closed_us = now; /* gives up waiting */
-		if (asks[i].key == 0)
-			last = &asks[i];
+	for (i = 0; i < request_count; i++) {
+		if (!requests[i].closed_us &&
+		    requests[i].sent_us + (MX_DEADLINE + 100) * MX_MS <= now)
+			requests[i].closed_us = now; /* times out */
+		if (requests[i].key == 0)
+			last = &requests[i];
 	}
-	for (i = 0; i < ask_count; i++) {
-		if (asks[i].key == 0 && !asks[i].closed_us)
+	for (i = 0; i < request_count; i++) {
+		if (requests[i].key == 0 && !requests[i].closed_us)
 			return;
-		if (asks[i].key == 0 && asks[i].heard &&
-		    asks[i].outcome == MAG_RAN)
+		if (requests[i].key == 0 && requests[i].received &&
+		    requests[i].outcome == MAG_RAN)
 			return;
 	}
 	if (last && repeats < MX_REPEATS &&
 	    last->closed_us + 1200 * MX_MS <= now) {
 		repeats++;
 		i = fault == FAULT_RESTARTED ? 0 : 1 - last->router;
-		mx_ask(cores[i] ? i : 1 - i, 0);
+		mx_send_request(cores[i] ? i : 1 - i, 0);
 	}
 }
 
-static void mx_step_world(void)
+static void mx_step_all(void)
 {
 	int i;
 
@@ -809,8 +822,8 @@
 		    calls[i].reply_us <= now)
 			mx_kv_reply(&calls[i]);
 	}
-	for (i = 0; i < MX_ATTS; i++)
-		mx_attempt(&atts[i]);
+	for (i = 0; i < MX_ATTEMPTS; i++)
+		mx_advance_attempt(&attempts[i]);
 	for (i = 0; i < 2; i++) {
 		if (!cores[i] || paused_until[i] > now)
 			continue;
@@ -818,41 +831,43 @@
 		mx_actions(i);
 	}
 	mx_spread();
-	mx_caller();
+	mx_retry();
 }
 
-/* What was told against what ran. */
-static void mx_check_ask(int i)
+/* Compares the outcome that the caller was told with what ran. */
+static void mx_check_request(int i)
 {
-	const struct mx_ask *ask = &asks[i];
-	bool ran = ask->heard && ask->outcome == MAG_RAN;
-	char right[32];
+	const struct mx_request *request = &requests[i];
+	bool ran = request->received && request->outcome == MAG_RAN;
+	char expected[32];
 	int j;
 
-	if (ask->heard && ask->outcome == MAG_NOT_RUN) {
+	if (request->received && request->outcome == MAG_NOT_RUN) {
 		for (j = 0; j <= i; j++) {
-			bool earlier = kind != KIND_MODEL &&
-				       asks[j].key == ask->key &&
-				       asks[j].closed_us <= ask->sent_us;
+			bool earlier =
+				kind != KIND_MODEL &&
+				requests[j].key == request->key &&
+				requests[j].closed_us <= request->sent_us;
 
-			if ((j == i || earlier) && asks[j].effect)
-				mx_bad("told not-run, and it ran", i);
+			if ((j == i || earlier) && requests[j].effect)
+				mx_violation("told not-run, and it ran", i);
 		}
 	}
-	if (!ask->answers && mx_alive(ask))
-		mx_bad("no answer", i);
-	if (!ask->heard && mx_alive(ask) && paused_until[ask->router] == 0)
-		mx_bad("no answer in time", i);
+	if (!request->answers && mx_router_alive(request))
+		mx_violation("no answer", i);
+	if (!request->received && mx_router_alive(request) &&
+	    paused_until[request->router] == 0)
+		mx_violation("no answer in time", i);
 	if (!ran)
 		return;
-	snprintf(right, sizeof(right), "booked for %d",
-		 effect_ask[ask->key] + 1);
+	snprintf(expected, sizeof(expected), "booked for %d",
+		 effect_request[request->key] + 1);
 	if (kind != KIND_MODEL &&
-	    (!effects[ask->key] || strcmp(ask->body, right) != 0))
-		mx_bad("told another's answer", i);
+	    (!effects[request->key] || strcmp(request->body, expected) != 0))
+		mx_violation("told another's answer", i);
 	for (j = 0; kind == KIND_MODEL && j < MX_TOKENS; j++) {
-		if (ask->seen_count != MX_TOKENS || ask->seen[j] != j)
-			mx_bad("tokens lost, doubled or out of order", i);
+		if (request->seen_count != MX_TOKENS || request->seen[j] != j)
+			mx_violation("tokens lost, doubled or out of order", i);
 	}
 }
 
@@ -863,20 +878,21 @@
 	int dead = 0;
 	int i;
 
-	for (i = 0; i < ask_count; i++)
-		mx_check_ask(i);
-	for (i = 0; i < MX_EPS; i++)
-		dead += eps[i].poisoned;
+	for (i = 0; i < request_count; i++)
+		mx_check_request(i);
+	for (i = 0; i < MX_ENDPOINTS; i++)
+		dead += endpoints[i].poisoned;
 	/*
-	 * A router that is killed takes along what it knew of the losses, so
-	 * the other one counts from nothing.
+	 * A killed router loses its count of killed endpoints, so the other
+	 * router starts counting from zero.
 	 */
-	if (dead > MX_POISON_EP * (1 + (incarnations[0] > 1 || !cores[0])))
-		mx_bad("lost too many endpoints", 0);
+	if (dead >
+	    MX_POISON_ENDPOINTS * (1 + (incarnations[0] > 1 || !cores[0])))
+		mx_violation("lost too many endpoints", 0);
 	mx_stop();
 }
 
-/* A stop finishes what runs and ends, whatever happened before. */
+/* Checks that a stop finishes open requests and ends after any fault. */
 static void mx_stop(void)
 {
 	struct core_event stop = { .type = CORE_EV_STOP };
@@ -889,10 +905,10 @@
 			core_post(cores[i], &stop);
 	}
 	for (; now < end && !(stopped[0] && stopped[1]); now += MX_MS)
-		mx_step_world();
+		mx_step_all();
 	for (i = 0; i < 2; i++) {
 		if (cores[i] && !stopped[i])
-			mx_bad("a stopped instance doesn't end", 0);
+			mx_violation("a stopped instance doesn't end", 0);
 	}
 }
 
@@ -909,94 +925,94 @@
 		free(calls[i].call.value);
 		free(calls[i].reply.value);
 	}
-	for (i = 0; i < MX_CELLS; i++)
-		free(cells[i].value);
+	for (i = 0; i < MX_KV_ENTRIES; i++)
+		free(kv_entries[i].value);
 	memset(incarnations, 0, sizeof(incarnations));
 	memset(paused_until, 0, sizeof(paused_until));
-	memset(eps, 0, sizeof(eps));
-	memset(asks, 0, sizeof(asks));
-	memset(atts, 0, sizeof(atts));
+	memset(endpoints, 0, sizeof(endpoints));
+	memset(requests, 0, sizeof(requests));
+	memset(attempts, 0, sizeof(attempts));
 	memset(calls, 0, sizeof(calls));
-	memset(cells, 0, sizeof(cells));
+	memset(kv_entries, 0, sizeof(kv_entries));
 	memset(effects, 0, sizeof(effects));
-	memset(effect_ask, 0, sizeof(effect_ask));
-	ask_count = target = repeats = 0;
+	memset(effect_request, 0, sizeof(effect_request));
+	request_count = target = repeats = 0;
 	now = MAG_US_PER_S;
 	kv_down_until = kv_slow_until = 0;
-	kv_lose = kv_hang = link_cut = poison = fired = false;
-	fired_second = false;
-	verdict[0] = '\0';
+	kv_lose_reply = kv_hang = link_cut = poison = injected = false;
+	injected_second = false;
+	violation[0] = '\0';
 }
 
-/* True once the caller is done and nothing is under way anywhere. */
-static bool mx_quiet(void)
+/* Tells whether the caller is done and no attempt or call is pending. */
+static bool mx_is_idle(void)
 {
 	bool done = repeats == MX_REPEATS;
 	int i;
 
-	for (i = 0; i < ask_count; i++) {
-		if (!asks[i].closed_us)
+	for (i = 0; i < request_count; i++) {
+		if (!requests[i].closed_us)
 			return false;
-		done |= asks[i].key == 0 && asks[i].heard &&
-			asks[i].outcome == MAG_RAN;
+		done |= requests[i].key == 0 && requests[i].received &&
+			requests[i].outcome == MAG_RAN;
 	}
-	for (i = 0; i < MX_ATTS; i++)
-		done &= atts[i].phase == ATT_NONE;
+	for (i = 0; i < MX_ATTEMPTS; i++)
+		done &= attempts[i].phase == ATT_NONE;
 	for (i = 0; i < MX_CALLS; i++)
 		done &= !calls[i].used;
-	/* A router that wakes still has to do what piled up. */
+	/* A resumed router needs time to process its backlog. */
 	return done && paused_until[0] + MX_WAKE < now;
 }
 
-/* Runs one cell and writes what a reader needs to know of it. */
+/* Runs one cell of the matrix and writes its text: outcome and sends. */
 static bool mx_run_cell(char *text, size_t size)
 {
 	const char *end = "no answer";
-	int asked = 0;
+	int sent_count = 0;
 	int i;
 
 	mx_reset();
-	mx_start(0);
-	mx_start(1);
+	mx_start_router(0);
+	mx_start_router(1);
 	for (i = 1; step == STEP_ADMIT && i <= MX_FILLERS; i++) {
-		mx_ask(0, i); /* they fill the endpoints */
-		mx_step_world();
+		mx_send_request(0, i); /* occupies an endpoint */
+		mx_step_all();
 		now += MX_MS;
 	}
 	for (; now < MAG_US_PER_S + 20 * MX_MS && step == STEP_ADMIT;
 	     now += MX_MS)
-		mx_step_world();
-	target = ask_count;
-	mx_ask(0, 0);
-	mx_strike(STEP_ACCEPT, NULL);
-	for (i = 0; now < MX_END && !(i > 10 && mx_quiet());
+		mx_step_all();
+	target = request_count;
+	mx_send_request(0, 0);
+	mx_reach_step(STEP_ACCEPT, NULL);
+	for (i = 0; now < MX_END && !(i > 10 && mx_is_idle());
 	     now += MX_MS, i++) {
-		mx_step_world();
+		mx_step_all();
 		if (i == 0)
-			mx_strike(STEP_IDENTIFY, NULL);
+			mx_reach_step(STEP_IDENTIFY, NULL);
 		if (i == 5)
-			mx_strike(STEP_ADMIT, NULL);
+			mx_reach_step(STEP_ADMIT, NULL);
 	}
 	mx_check();
-	for (i = 0; i < ask_count; i++) {
-		if (asks[i].key != 0)
+	for (i = 0; i < request_count; i++) {
+		if (requests[i].key != 0)
 			continue;
-		asked++;
-		if (asks[i].heard && strcmp(end, "ran") != 0)
-			end = mag_outcome_name(asks[i].outcome);
+		sent_count++;
+		if (requests[i].received && strcmp(end, "ran") != 0)
+			end = mag_outcome_name(requests[i].outcome);
 	}
-	if (second && !fired_second)
-		fired = false;
-	if (!fired)
+	if (second && !injected_second)
+		injected = false;
+	if (!injected)
 		snprintf(text, size, "-");
-	else if (verdict[0])
+	else if (violation[0])
 		snprintf(text, size, "RED");
 	else
-		snprintf(text, size, "%s %d", end, asked);
-	return !verdict[0];
+		snprintf(text, size, "%s %d", end, sent_count);
+	return !violation[0];
 }
 
-/* One table: a fault a row, a step a column. */
+/* Writes a table with a row per fault and a column per step. */
 static void mx_table(FILE *out, int *counts)
 {
 	char reds[8192] = "";
@@ -1024,8 +1040,8 @@
 			if (!mx_run_cell(text, sizeof(text)))
 				snprintf(reds + len, sizeof(reds) - len,
 					 "- RED %s, %s: %s\n", fault_names[f],
-					 step_names[s], verdict);
-			counts[fired ? (verdict[0] ? 1 : 0) : 2]++;
+					 step_names[s], violation);
+			counts[injected ? (violation[0] ? 1 : 0) : 2]++;
 			fprintf(out, " %s |", text);
 		}
 	}
@@ -1033,8 +1049,9 @@
 }
 
 /*
- * With FAULTS_PAIRS set to a file: more pairs, every fault at every step
- * followed by one of these.  It takes minutes, so the page doesn't hold it.
+ * If FAULTS_PAIRS names a file, writes more pairs to it: every fault at every
+ * step followed by one of these faults.  This takes minutes, so the pairs are
+ * not part of docs/FAULTS.md.
  */
 static void mx_more_pairs(void)
 {
@@ -1064,7 +1081,7 @@
 	fclose(out);
 }
 
-static void mx_write(FILE *out, int *counts)
+static void mx_write_page(FILE *out, int *counts)
 {
 	int k;
 
@@ -1105,7 +1122,7 @@
 		counts[1], counts[2]);
 }
 
-/* The committed page must be what the run says, and show no red cell. */
+/* Compares docs/FAULTS.md with this run and requires that no cell is red. */
 static void test_matrix(void **state)
 {
 	int counts[3] = { 0 };
@@ -1116,7 +1133,7 @@
 	FILE *out = open_memstream(&text, &len);
 
 	(void)state;
-	mx_write(out, counts);
+	mx_write_page(out, counts);
 	fclose(out);
 	if (getenv("FAULTS_WRITE")) {
 		out = fopen("docs/FAULTS.md", "w");
