--- a/regress/proc/caller-gone.sh
+++ b/regress/proc/caller-gone.sh
@@ -1,6 +1,6 @@
-# A conductor closes the page in the middle of a long answer.  Engines that went
-# on would work for nobody, and everyone else would wait for it; the owner of
-# the endpoint would see load that no caller asked for.
+# A caller disconnects in the middle of a long answer.  The engines must stop:
+# otherwise they process tokens that nobody receives, other callers wait
+# longer, and the endpoint's owner sees load without a caller.
 . "$(dirname "$0")/lib.sh"
 init "$1"
 start_all 1
--- a/regress/proc/config-edits.sh
+++ b/regress/proc/config-edits.sh
@@ -1,7 +1,7 @@
-# An instance that the platform can't be reached from learns each change from a
-# peer.  If it came to another set than its peer, the same call would be served
-# by one and refused by the other, and nobody would see why.  One that joins
-# later, or missed many changes, takes the whole text.
+# An instance that cannot reach the platform receives each change as edits from
+# a peer.  If the edits led to a different set, one instance would serve a call
+# that the other refuses, without a visible reason.  An instance that joins
+# later, or missed many changes, fetches the whole text.
 . "$(dirname "$0")/lib.sh"
 init "$1"
 write_set
@@ -21,20 +21,21 @@
 	curl -s -m 2 "http://$(admin "$1")/metrics" |
 		sed -n "s/^magnolia_$2 //p"
 }
-holds() {
+has_applied() {
 	grep -q "revision=$2 " "$work/router-$1.err"
 }
-# change FROM TO REVISION: publishes the set with one word replaced.
+# change FROM TO REVISION: publishes the set with FROM replaced by TO and waits
+# until both routers have applied it.
 change() {
 	sed "s|$1|$2|" "$set" >"$work/next.json"
 	mv "$work/next.json" "$set"
 	apply || echo "apply failed"
-	until_ok holds 0 "$3"
-	until_ok holds 1 "$3"
+	until_ok has_applied 0 "$3"
+	until_ok has_applied 1 "$3"
 }
 lookups() {
 	for i in 0 1; do
-		ask GET "http://$(router $i)$1"
+		send_request GET "http://$(router $i)$1"
 	done
 }
 
--- a/regress/proc/drain.sh
+++ b/regress/proc/drain.sh
@@ -1,7 +1,6 @@
-# An operator drains an engine, and the platform's list shows another one as
-# leaving, while streams run without pause.  After a few seconds neither may
-# get new work: an engine that is switched off with new streams on it cuts
-# them.
+# During continuous load an operator drains an engine, and the platform's list
+# reports another one as leaving.  After a few seconds neither may receive new
+# work: an engine that is switched off with new streams on it cuts them.
 . "$(dirname "$0")/lib.sh"
 init "$1"
 start_all 2
--- a/regress/proc/fresh-instance.sh
+++ b/regress/proc/fresh-instance.sh
@@ -1,7 +1,7 @@
-# An instance is replaced while the platform's service is out.  It has no disk
-# and nothing to read the configuration from but its peers; without them it
-# must tell the balancer that it isn't ready, or callers would be sent to a
-# router that refuses them all.
+# An instance is replaced during an outage of the platform's service.  It has
+# no disk and can fetch the configuration only from its peers; without peers
+# it must report that it is not ready, or the load balancer would send callers
+# to a router that refuses them all.
 . "$(dirname "$0")/lib.sh"
 init "$1"
 write_set
@@ -24,7 +24,7 @@
 start_router 2
 sed -i 's/"peers":[^]]*\],//' "$work/router-2.json"
 signal router-2 KILL
-ended router-2
+wait_exit router-2
 start router-2 "$build/magnoliad" --settings "$work/router-2.json"
-until_ok answers "$(admin 2)/healthz"
+until_ok responds "$(admin 2)/healthz"
 curl -s -o /dev/null -w "%{http_code}\n" "http://$(admin 2)/readyz"
--- a/regress/proc/group-resend.sh
+++ b/regress/proc/group-resend.sh
@@ -1,7 +1,7 @@
-# Half of a service is migrated: one group of its endpoints runs a key of the
-# router's own once, the other knows no keys.  A booking that goes to the
-# migrated group loses its answer.  Asking again is safe there; a router that
-# looks at the whole service would leave the caller with "unknown".
+# Half of a service is migrated: one group of its endpoints honours the key
+# derived by the router, the other has no keys.  The answer of a booking at the
+# migrated group is lost.  A resend is safe there; a router that considers the
+# whole service would answer "unknown".
 . "$(dirname "$0")/lib.sh"
 init "$1"
 start_all 2
@@ -18,8 +18,8 @@
 }
 until_ok in_force 0
 until_ok in_force 1
-fault "127.0.0.1:$(port 3)" '{"fault":"lose_answer","count":1}'
-book 0 /hire third
-book 1 /hire third
-echo "effects: $(effects third)"
+inject_fault "127.0.0.1:$(port 3)" '{"fault":"lose_answer","count":1}'
+send_booking 0 /hire third
+send_booking 1 /hire third
+echo "effects: $(count_effects third)"
 verify
--- a/regress/proc/hung-stage.sh
+++ b/regress/proc/hung-stage.sh
@@ -1,6 +1,6 @@
-# An accelerator hangs while streams run through it: its connections stay up
-# and nothing comes.  A caller must see its stream go on after a short wait,
-# whole and right; a stream that stands still until its deadline is the fault.
+# An accelerator hangs while streams run through it: its connections stay open
+# but no data arrives.  Each stream must continue after a short delay, complete
+# and correct; the failure is a stream that stalls until its deadline.
 . "$(dirname "$0")/lib.sh"
 init "$1"
 start_all 1
--- a/regress/proc/idle-connections.sh
+++ b/regress/proc/idle-connections.sh
@@ -1,7 +1,7 @@
-# The balancer keeps connections open between requests, and each of them holds
-# a thread of the router while it waits for its next one.  With as many idle
-# connections as threads, a new caller would wait seconds for its first byte
-# while the router does nothing.
+# A load balancer keeps connections open between requests, and each of them
+# occupies a thread of the router while it waits for the next request.  With as
+# many idle connections as threads, a new caller would wait seconds for its
+# first byte although the router is idle.
 . "$(dirname "$0")/lib.sh"
 init "$1"
 write_set
@@ -13,7 +13,7 @@
 until_ok apply
 until_ok ready 0
 
-# Four connections that have had an answer and stay open.
+# Open four connections and leave them idle after their first answer.
 bash -c '
 for n in 1 2 3 4; do
 	eval "exec $((n + 3))<>/dev/tcp/127.0.0.1/$1"
--- a/regress/proc/killed-stage.sh
+++ b/regress/proc/killed-stage.sh
@@ -1,6 +1,6 @@
-# An accelerator dies while streams run through it.  A caller must see
-# its stream go on where it was, every token once and right; a visible cut, a
-# token twice or a restart from the first would be the fault.
+# An accelerator dies while streams run through it.  Each stream must continue
+# from its position with every token correct and delivered once; the failure
+# is a cut, a repeated token or a restart from the first token.
 . "$(dirname "$0")/lib.sh"
 init "$1"
 start_all 1
--- a/regress/proc/lib.sh
+++ b/regress/proc/lib.sh
@@ -1,24 +1,25 @@
-# Shared by the runs on real processes.  A script sources it and calls init
-# with the build folder; all that it starts is ended by its id at the end.
+# Functions for the tests with real processes.  A script sources this file and
+# calls init with the build directory; every process that it starts is killed
+# by its pid on exit.
 
-# Sets up a folder for the run and a free range of ports.
+# init BUILD_DIR: creates a work directory and reserves a range of ports.
 init() {
 	build=$1
 	work=$(mktemp -d)
 	pids=""
-	take_ports
+	lock_ports
 	platform=127.0.0.1:$base
 	record=$work/record
 	set=$work/set.json
 	: >"$record"
-	trap finish EXIT
+	trap cleanup EXIT
 	trap 'exit 1' HUP INT PIPE TERM
 }
 
-# Takes a block of free ports and keeps it locked until the run has ended:
-# another run that looked for ports at the same moment would see the same ones
-# free, and one of the two could not listen.
-take_ports() {
+# Reserves a block of free ports with a lock that is held until the script
+# exits.  Without the lock, two runs that search at the same time would find
+# the same ports free, and one of them could not listen.
+lock_ports() {
 	locks=${TMPDIR:-/tmp}/magnoliarail-ports
 	mkdir -p "$locks"
 	while :; do
@@ -28,17 +29,18 @@
 	done
 }
 
-# When a process began, in the system's ticks; nothing if there is none.
-began() {
+# start_time PID: prints a process's start time in clock ticks, or nothing if
+# it does not exist.
+start_time() {
 	sed 's/.*) //' "/proc/$1/stat" 2>/dev/null | cut -d' ' -f20
 }
 
-# Ends what is still running and removes the folder.  The id of a process that
-# has ended may be another's by now; the time that it began tells them apart.
-finish() {
+# Kills the remaining processes and removes the work directory.  A pid may have
+# been reused after its process exited; the start time identifies the process.
+cleanup() {
 	for entry in $pids; do
 		pid=${entry%:*}
-		[ "$(began "$pid")" = "${entry#*:}" ] || continue
+		[ "$(start_time "$pid")" = "${entry#*:}" ] || continue
 		kill -CONT "$pid" 2>/dev/null
 		kill -KILL "$pid" 2>/dev/null
 	done
@@ -47,63 +49,65 @@
 	rm -rf "$work"
 }
 
-# start NAME COMMAND...: runs it in the background; pid_of NAME is its id.
+# start NAME COMMAND...: runs a command in the background; pid_of NAME prints
+# its pid.
 start() {
 	name=$1
 	shift
 	"$@" >"$work/$name.log" 2>>"$work/$name.err" 3>&- &
 	echo $! >"$work/$name.pid"
-	pids="$pids $!:$(began $!)"
+	pids="$pids $!:$(start_time $!)"
 }
 
 pid_of() {
 	cat "$work/$1.pid"
 }
 
-# signal NAME SIGNAL: TERM asks for a stop; KILL is a crash; STOP a pause.
+# signal NAME SIGNAL: TERM requests a stop, KILL simulates a crash, STOP pauses
+# the process.
 signal() {
 	kill -"$2" "$(pid_of "$1")"
 	[ "$2" != STOP ] || until_ok stopped "$1"
 }
 
-# A signal is delivered after kill has returned; a thread that still ran could
-# take one more request.
+# stopped NAME: tells whether all threads have stopped.  A signal is delivered
+# after kill has returned, so a running thread could accept one more request.
 stopped() {
 	! grep -h '^State:' "/proc/$(pid_of "$1")"/task/*/status |
 		grep -qv 'T (stopped)'
 }
 
-# Waits for a process to end and returns its exit status.
-ended() {
+# wait_exit NAME: waits for a process and returns its exit status.
+wait_exit() {
 	wait "$(pid_of "$1")" 2>/dev/null
 }
 
-# until_ok COMMAND...: tries for ten seconds.
+# until_ok COMMAND...: repeats a command until it succeeds, for about 10 s.
 until_ok() {
 	tries=0
 	until "$@" >/dev/null 2>&1; do
 		tries=$((tries + 1))
-		[ $tries -lt 200 ] || { echo "gave up: $*"; return 1; }
+		[ $tries -lt 200 ] || { echo "timed out: $*"; return 1; }
 		sleep 0.05
 	done
 }
 
-answers() {
+responds() {
 	curl -s -m 1 -o /dev/null "http://$1"
 }
 
-fault() {
+inject_fault() {
 	curl -s -m 2 -o /dev/null -d "$2" "http://$1/control"
 }
 
 start_platform() {
 	start platform "$build/fake_platform" --port "$base" \
 		--state "$work/state.json" "$@"
-	until_ok answers "$platform/stats"
+	until_ok responds "$platform/stats"
 }
 
-# Ports of a run: 0 platform, 1..9 plain services, 10..29 engines, 30.. three
-# a router (callers, operators, peers).
+# port OFFSET: prints a port of this run.  Offsets: 0 platform, 1..9 plain
+# services, 10..29 engines, from 30 three per router (listen, admin, rpc).
 port() {
 	echo $((base + $1))
 }
@@ -124,7 +128,7 @@
 	echo 127.0.0.1:$(port $((32 + 3 * $1)))
 }
 
-# The hash that an account object holds of a bearer key (BLAKE2b-256).
+# key_hash KEY: prints the key_hash of a bearer key (BLAKE2b-256).
 key_hash() {
 	printf '%s' "$1" | b2sum -l 256 | cut -d' ' -f1
 }
@@ -139,8 +143,8 @@
 	EOF
 }
 
-# endpoint_plain NUMBER [STATE]: number 3 is of another service, which honours
-# a downstream key.
+# endpoint_plain NUMBER [STATE]: number 3 belongs to another service, which
+# honours a downstream key.
 endpoint_plain() {
 	service=exchange-app
 	key=none
@@ -153,7 +157,7 @@
 	EOF
 }
 
-# Writes the set of objects; $1 is the state of engine-0.
+# write_set [STATE]: writes the set of objects; STATE is that of engine-0.
 write_set() {
 	cat >"$set" <<-EOF
 	{"objects":[
@@ -188,12 +192,13 @@
 	EOF
 }
 
-# Starts an engine or a plain service, each a process that can be killed.
+# start_engine NUMBER, start_plain NUMBER: start an engine or a plain service
+# as a process of its own, so that it can be killed.
 start_engine() {
 	start engine-"$1" "$build/fake_engine" --port "$(engine_port "$1")" \
 		--set "$set" --record "$record" --platform "$platform" \
 		--threads "${engine_threads:-96}" ${poison:-}
-	until_ok answers "127.0.0.1:$(engine_port "$1")/v1/state"
+	until_ok responds "127.0.0.1:$(engine_port "$1")/v1/state"
 }
 
 start_plain() {
@@ -201,10 +206,11 @@
 	[ "$1" != 3 ] || keys=--keys
 	start exchange-"$1" "$build/fake_service" --port "$(port "$1")" \
 		--record "$record" $keys
-	until_ok answers "127.0.0.1:$(port "$1")/"
+	until_ok responds "127.0.0.1:$(port "$1")/"
 }
 
-# start_router NUMBER [PLATFORM]: its first peer is the router before it.
+# start_router NUMBER [PLATFORM]: its only configured peer is the router with
+# the previous number.
 start_router() {
 	peers=""
 	[ "$1" = 0 ] || peers="\"peers\":[\"$(peer $(($1 - 1)))\"],"
@@ -222,9 +228,9 @@
 	curl -sf -m 1 -o /dev/null "http://$(admin "$1")/readyz"
 }
 
-# list_routers COUNT: the platform's list of instances, which says in how many
-# parts a limit of the whole fleet is held.
-list_routers() {
+# register_routers COUNT: sets the platform's list of instances, which
+# determines into how many shares a limit of the whole fleet is divided.
+register_routers() {
 	rows=""
 	i=0
 	while [ $i -lt "$1" ]; do
@@ -237,13 +243,14 @@
 		-d "{\"instances\":[$rows]}"
 }
 
-# Publishes the set; what magctl says goes to the log.
+# Publishes the set; the output of magctl goes to magctl.log and magctl.err.
 apply() {
 	"$build/magctl" apply --platform "$platform" --replace "$set" \
 		>>"$work/magctl.log" 2>>"$work/magctl.err"
 }
 
-# start_all ROUTERS: the whole bench of a run, ready to serve.
+# start_all ROUTERS: starts the platform, the engines, the services and the
+# routers, and waits until the routers are ready.
 start_all() {
 	write_set
 	start_platform
@@ -254,7 +261,7 @@
 		start_plain $i
 	done
 	apply || echo "apply failed"
-	list_routers "$1"
+	register_routers "$1"
 	i=0
 	while [ $i -lt "$1" ]; do
 		start_router $i
@@ -267,7 +274,7 @@
 	done
 }
 
-# load KIND PATH OPTION...: prints how many requests came to what end.
+# load KIND PATH OPTION...: runs tool_load and prints the requests per outcome.
 load() {
 	kind=$1
 	path=$2
@@ -277,19 +284,19 @@
 		grep -E '^(requests|ran|not-run|unknown|cut|wrong) '
 }
 
-# Holds every token, effect and answer of the run against each other.
+# Checks all recorded tokens, effects and answers for contradictions.
 verify() {
 	"$build/tool_verify" "$record" 2>>"$work/verify.err"
 }
 
-# Counts the lines of a log that hold a pattern.
+# count_log NAME PATTERN: counts the matching lines of a process's log.
 count_log() {
 	grep -c "$2" "$work/$1.err"
 }
 
-# Sends one request by hand: prints status, outcome and whether the answer
-# says when to come back.  ask METHOD URL [CURL OPTION...]; $key is the bearer.
-ask() {
+# send_request METHOD URL [CURL OPTION...]: sends one request with the bearer
+# key $key; prints status, outcome and whether the answer has Retry-After.
+send_request() {
 	method=$1
 	shift
 	head=$(mktemp "$work/head.XXXXXX")
@@ -300,13 +307,13 @@
 		"$(sed -n 's/^Retry-After: [0-9].*/ retry-after/p' "$head")"
 }
 
-# book ROUTER PATH INTENT [CURL OPTION...]: one booking by hand; what it was
-# told goes to the record, for the checker.
-book() {
+# send_booking ROUTER PATH INTENT [CURL OPTION...]: sends one booking, prints
+# the answer and records it for tool_verify.
+send_booking() {
 	at=http://$(router "$1")$2
 	intent=$3
 	shift 3
-	told=$(ask POST "$at" -H "Idempotency-Key: $intent" \
+	told=$(send_request POST "$at" -H "Idempotency-Key: $intent" \
 		-d "{\"intent\":\"$intent\"}" "$@")
 	echo "$told"
 	outcome=$(echo "$told" | cut -d' ' -f2)
@@ -314,6 +321,7 @@
 		>>"$record"
 }
 
-effects() {
+# count_effects INTENT: counts the recorded effects of a booking.
+count_effects() {
 	grep -c "^effect .* intent=$1\$" "$record"
 }
--- a/regress/proc/magctl-load.sh
+++ b/regress/proc/magctl-load.sh
@@ -1,6 +1,6 @@
-# Two accounts call; an endpoint's owner asks whose callers loaded it, what the
-# service can do at most, and how a request would be routed now.  Counts that
-# were wrong here would have the owner blame someone else's callers.
+# Two accounts send requests; an endpoint's owner queries the load per account,
+# the bound of the service, and how a request would be routed now.  Wrong
+# counts would make the owner attribute the load to another account's callers.
 . "$(dirname "$0")/lib.sh"
 init "$1"
 start_all 2
@@ -8,16 +8,16 @@
 MAGNOLIA_ADMIN=$(admin 0),$(admin 1)
 export MAGNOLIA_PLATFORM MAGNOLIA_ADMIN
 for i in 1 2 3; do
-	book 0 /book "choir-$i"
+	send_booking 0 /book "choir-$i"
 done
-key=ringers-key book 1 /book ringers-1
-book 1 /book choir-4
-book 0 /book choir-1
-key=nobody book 0 /book nobody-1
+key=ringers-key send_booking 1 /book ringers-1
+send_booking 1 /book choir-4
+send_booking 0 /book choir-1
+key=nobody send_booking 0 /book nobody-1
 load stream /score --name tune --count 4 --concurrency 1 --tokens 5 \
 	--target "$(router 0)"
 echo "- shares"
-# Times differ from run to run, and so does who serves what; sums don't.
+# Times and the endpoint of each request vary between runs; the sums do not.
 "$build/magctl" shares >"$work/shares"
 awk 'NR == 1 { next }
 	$3 ~ /^(exchange|engine)-/ { at = $1 " " $2; runs[at] += $4
--- a/regress/proc/magctl.sh
+++ b/regress/proc/magctl.sh
@@ -1,6 +1,6 @@
-# The operators' tool against two routers and a platform: a first set, a
-# change, a race, a lost answer, an outage.  What an operator sees at each
-# step, and the exit code that a script can rely on.
+# Runs magctl against two routers and a platform: a first set, a change, a
+# concurrent change, a lost answer, an outage.  Prints the output and the exit
+# code of each command, which scripts rely on.
 . "$(dirname "$0")/lib.sh"
 init "$1"
 cd "$(dirname "$0")/../.." || exit 1
@@ -12,7 +12,7 @@
 export MAGNOLIA_PLATFORM MAGNOLIA_ADMIN USER
 
 start platform "$B"/fake_platform --port "$base"
-until_ok answers "$platform/stats"
+until_ok responds "$platform/stats"
 for i in 1 2; do
 	at=$((28 + 3 * i))
 	start r$i "$B"/magnoliad --cluster t --instance r$i \
@@ -20,11 +20,11 @@
 		--admin "127.0.0.1:$(port $((at + 1)))" \
 		--rpc "127.0.0.1:$(port $((at + 2)))" --platform "$platform" \
 		--shutdown-notice-ms 0
-	until_ok answers "127.0.0.1:$(port $((at + 1)))/healthz"
+	until_ok responds "127.0.0.1:$(port $((at + 1)))/healthz"
 done
 
-# Runs the tool and tells the exit code; ids, times and ports differ from run
-# to run.
+# run ARGUMENT...: runs magctl and prints its output and exit code; ids, times
+# and ports, which vary between runs, are replaced.
 run() {
 	echo "\$ magctl $*" | sed "s|$D/||g"
 	"$B"/magctl "$@" >"$D/out" 2>"$D/err"
@@ -72,11 +72,11 @@
 run history --count many
 run nosuch
 signal platform TERM
-ended platform
+wait_exit platform
 run get --timeout-ms 300
 run apply "$D/changed.json" --timeout-ms 300
 run status | cut -c 1-57
-# The first instance hangs; what the second one holds has to be seen all the
-# same, or an operator would take the whole fleet for lost.
+# The first instance hangs; the status of the second one must still be shown,
+# or the operator would assume that the whole fleet is lost.
 signal r1 STOP
 run status | cut -c 1-57
--- a/regress/proc/new-instance.sh
+++ b/regress/proc/new-instance.sh
@@ -1,7 +1,7 @@
 # The platform's list of instances is empty, and later the platform is down
 # when another instance starts.  Accounts have limits for the whole fleet; an
-# instance that can't tell its part of them must still serve, else every
-# caller hears that it is over its limit until the platform is back.
+# instance that cannot determine its share of them must still serve, otherwise
+# every caller is refused as over its limit until the platform returns.
 . "$(dirname "$0")/lib.sh"
 init "$1"
 write_set
@@ -16,7 +16,7 @@
 until_ok ready 0
 
 lookup() {
-	ask GET "http://$(router "$1")/lookup"
+	send_request GET "http://$(router "$1")/lookup"
 }
 
 echo "- an instance that the list lacks"
@@ -25,7 +25,7 @@
 lookup 0
 echo "- one that starts while the platform is down"
 signal platform TERM
-ended platform
+wait_exit platform
 start_router 1
 until_ok ready 1
 sleep 1
--- a/regress/proc/older-head.sh
+++ b/regress/proc/older-head.sh
@@ -1,19 +1,19 @@
-# The platform's service returns from an outage with an older state.  No
-# router may go back to the older set: a drained engine would get work again.
+# The platform's service returns from an outage with an older state.  No router
+# may revert to the older set: a drained engine would receive work again.
 . "$(dirname "$0")/lib.sh"
 init "$1"
 start_all 2
-fault "$platform" '{"fault":"snapshot","count":1}'
-answers "$platform/stats"
+inject_fault "$platform" '{"fault":"snapshot","count":1}'
+responds "$platform/stats"
 write_set drain
 apply
-held() {
+has_applied() {
 	grep -q 'config-applied revision=2 ' "$work/router-$1.err"
 }
-until_ok held 0
-until_ok held 1
-fault "$platform" '{"fault":"rewind","count":1}'
-answers "$platform/stats"
+until_ok has_applied 0
+until_ok has_applied 1
+inject_fault "$platform" '{"fault":"rewind","count":1}'
+responds "$platform/stats"
 sleep 2
 before=$(wc -l <"$record")
 load stream /score --name tune --count 12 --concurrency 4 --tokens 4 \
--- a/regress/proc/paused-drain.sh
+++ b/regress/proc/paused-drain.sh
@@ -1,7 +1,7 @@
-# A router is paused, an engine is drained meanwhile, and the platform's
-# service goes away before the router wakes.  It wakes with the old set in
-# force, and nothing but its peer can tell it of the drain; until it knows, it
-# sends work to an engine that may be switched off.
+# An engine is drained while a router is paused, and the platform's service
+# fails before the router resumes.  The router resumes with the old set and can
+# learn of the drain only from its peer; until then it sends work to an engine
+# that may be switched off.
 . "$(dirname "$0")/lib.sh"
 init "$1"
 start_all 2
@@ -15,7 +15,7 @@
 }
 until_ok new_set
 signal platform TERM
-ended platform
+wait_exit platform
 signal router-1 CONT
 sleep 3
 before=$(wc -l <"$record")
--- a/regress/proc/pf.sh
+++ b/regress/proc/pf.sh
@@ -1,14 +1,14 @@
-# The client of the platform's service: what each operation returns, and what
-# it may claim when the service fails.
+# Tests the client of the platform's service: the result of each operation, and
+# the status that it reports when the service fails.
 #
-# An answer can be lost after the write has taken effect, and a write can take
-# effect after its caller gave up.  Both must come back as lost; were one
-# called unsent, the router would tell a caller that a booking wasn't run that
-# may yet run.  Only when no connection was made is a call unsent.
+# An answer can be lost after the write took effect, and a write can take
+# effect after its caller gave up.  Both must be reported as lost.  If one were
+# reported as unsent, the router would answer not-run for a booking that may
+# still run.  A call is unsent only if no connection was made.
 . "$(dirname "$0")/lib.sh"
 init "$1"
 
-# Calls go in one process, so that it sees the service fail and return.
+# One process executes all calls, so that it sees the service fail and return.
 mkfifo "$work/calls"
 start kv sh -c "'$build/tool_kv' $platform <'$work/calls' >'$work/kv.out'"
 exec 3>"$work/calls"
@@ -48,7 +48,7 @@
 call loads
 
 echo "- the answer is lost after the write"
-fault "$platform" '{"fault":"lose_after_write","count":1}'
+inject_fault "$platform" '{"fault":"lose_after_write","count":1}'
 call cas ledger/0/0 0 booking
 call get ledger/0/0
 
@@ -60,13 +60,13 @@
 call get ledger/0/1
 
 echo "- over the service's rate"
-fault "$platform" '{"fault":"limit_per_s","value":0}'
+inject_fault "$platform" '{"fault":"limit_per_s","value":0}'
 call get ledger/0/1
-fault "$platform" '{"fault":"limit_per_s","count":0}'
+inject_fault "$platform" '{"fault":"limit_per_s","count":0}'
 
 echo "- the service is down, and returns"
 signal platform TERM
-ended platform
+wait_exit platform
 call cas ledger/0/1 1 again
 call cas ledger/0/1 1 again
 call cas ledger/0/1 1 again
@@ -76,7 +76,7 @@
 call get ledger/0/1
 
 exec 3>&-
-ended kv
+wait_exit kv
 sed -n 's/.*: \(900[0-9] [a-z-]*\).*/\1/p' "$work/kv.err"
 
 echo "- over this instance's own budget"
--- a/regress/proc/reformatted.sh
+++ b/regress/proc/reformatted.sh
@@ -1,7 +1,7 @@
-# A booking is sent again by another version of the caller's library, which
-# writes the same fields in another order.  Compared byte for byte it would be
-# taken for another booking under a used key, and the caller would get 422 in
-# place of its answer.  A changed amount is another booking.
+# Another version of the caller's library resends a booking with the same
+# fields in another order.  A byte-by-byte comparison would treat it as another
+# booking under a used key, and the caller would receive 422 in place of its
+# answer.  A changed value is another booking.
 . "$(dirname "$0")/lib.sh"
 init "$1"
 start_all 1
@@ -17,4 +17,4 @@
 send '{ "day": "friday", "intent": "bells", "set": 4 }'
 echo "- another set"
 send '{"intent":"bells","set":5,"day":"friday"}'
-echo "effects: $(effects bells)"
+echo "effects: $(count_effects bells)"
--- a/regress/proc/settings.sh
+++ b/regress/proc/settings.sh
@@ -1,5 +1,5 @@
-# A settings file with a wrong type, a misspelt name and two listeners at one
-# address: the router names all of it, starts nothing, and exits with 2.
+# A settings file has a wrong type, a misspelt name and two listeners with the
+# same address: the router reports all three, starts nothing and exits with 2.
 B=$1
 D=$(mktemp -d)
 trap 'rm -rf "$D"' EXIT
--- a/regress/proc/slow-not-hung.sh
+++ b/regress/proc/slow-not-hung.sh
@@ -1,7 +1,7 @@
 # The accelerators are slow, as when too many streams share them, and the next
-# token takes longer than the progress timeout though nothing hangs.  A router
-# that takes this for a hang sends the stream elsewhere, where its work is made
-# again; callers see streams given up that only had to wait.
+# token takes longer than the progress timeout although nothing hangs.  A
+# router that treats this as a hang moves the stream to another worker, which
+# repeats its work, and fails streams that only had to wait.
 . "$(dirname "$0")/lib.sh"
 init "$1"
 write_set
@@ -9,7 +9,7 @@
 for i in 0 1 2 3 4 5; do
 	start engine-$i "$build/fake_engine" --port "$(engine_port $i)" \
 		--set "$set" --record "$record" --speed 0.06
-	until_ok answers "127.0.0.1:$(engine_port $i)/v1/state"
+	until_ok responds "127.0.0.1:$(engine_port $i)/v1/state"
 done
 start_plain 1
 start_plain 2
--- a/regress/proc/stop-under-load.sh
+++ b/regress/proc/stop-under-load.sh
@@ -1,6 +1,5 @@
-# A rehearsal evening, and an instance is replaced: two hundred streams and
-# bookings are open when it is asked to stop.  None may be cut off, and the
-# process must end by itself with status 0.
+# An instance is stopped while 200 streams and bookings are open.  None may be
+# cut off, and the process must exit by itself with status 0.
 . "$(dirname "$0")/lib.sh"
 init "$1"
 write_set
@@ -17,8 +16,8 @@
 threads=300
 start_router 0
 until_ok ready 0
-fault "127.0.0.1:$(port 1)" '{"fault":"delay_ms","value":2000}'
-fault "127.0.0.1:$(port 2)" '{"fault":"delay_ms","value":2000}'
+inject_fault "127.0.0.1:$(port 1)" '{"fault":"delay_ms","value":2000}'
+inject_fault "127.0.0.1:$(port 2)" '{"fault":"delay_ms","value":2000}'
 load stream /score --name tune --count 120 --concurrency 120 --tokens 30 \
 	--target "$(router 0)" >"$work/streams" &
 streams=$!
@@ -32,7 +31,7 @@
 signal router-0 TERM
 wait $streams
 wait $bookings
-ended router-0
+wait_exit router-0
 echo "exit status $?"
 echo "- streams"
 cat "$work/streams"
--- a/regress/proc/thin.sh
+++ b/regress/proc/thin.sh
@@ -1,5 +1,6 @@
-# A set of objects is published, a router takes it up, a streamed answer comes
-# through a chain of three stages and a booking has its one effect.
+# End-to-end test: a set of objects is published, a router applies it, a
+# streamed answer passes through a chain of three stages, and a booking has
+# exactly one effect.
 . "$(dirname "$0")/lib.sh"
 init "$1"
 start_all 1
