--- a/bench/sim_stage.c
+++ b/bench/sim_stage.c
@@ -9,7 +9,7 @@
 #define SIM_CONNECT_US	    (300 * MAG_US_PER_MS) /* connect timeout */
 #define SIM_PROGRESS_US	    (100 * MAG_US_PER_MS)
 #define SIM_REPORT_EVERY_US MAG_US_PER_S
-#define SIM_REBUILD	    20 /* cached tokens rebuilt at the cost of one token */
+#define SIM_REBUILD	    20 /* cached tokens rebuilt per token of work */
 
 static int sim_stream_alloc(struct sim *sim);
 static void sim_stream_free(struct sim *sim, int at);
