--- a/bench/bench_ledger.c
+++ b/bench/bench_ledger.c
@@ -99,7 +99,7 @@
 static void sim_issue(const struct sim_case *c, int router,
 		      struct kv_call *call);
 static void sim_apply(struct sim_call *call);
-static void sim_drain(const struct sim_case *c, int router);
+static void sim_collect_results(const struct sim_case *c, int router);
 static void sim_run_calls(void);
 static void sim_settle_bookings(void);
 static void sim_add_booking(const struct sim_case *c);
@@ -235,6 +235,7 @@
 	bucket_us[read] += cost;
 }
 
+/* Executes a call on the stored values, as the service would. */
 static void sim_apply(struct sim_call *call)
 {
 	struct sim_value *v = sim_value(call->call.key);
@@ -259,7 +260,8 @@
 	call->reply.version = v->version;
 }
 
-static void sim_drain(const struct sim_case *c, int router)
+/* Processes the results of a router's ledger and issues its next calls. */
+static void sim_collect_results(const struct sim_case *c, int router)
 {
 	struct ldg_result result;
 	struct kv_call call;
@@ -297,6 +299,7 @@
 	}
 }
 
+/* Settles the bookings that ran for SERVICE_US; checks the last 8192. */
 static void sim_settle_bookings(void)
 {
 	static const char answer[] = "{\"booking\":\"chimes-7731\"}";
@@ -392,7 +395,7 @@
 		for (i = 0; i < c->routers; i++) {
 			if (ldg_next_deadline(routers[i]) <= sim_now)
 				ldg_tick(routers[i], sim_now);
-			sim_drain(c, (int)i);
+			sim_collect_results(c, (int)i);
 		}
 	}
 	sim_measure(c, f);
--- a/bench/bench_pipeline.c
+++ b/bench/bench_pipeline.c
@@ -24,8 +24,8 @@
 struct scenario {
 	const char *name;
 	double load;
-	bool even;
-	enum sim_retry_policy callers;
+	bool equal_demand;
+	enum sim_retry_policy retry_policy;
 	struct sim_fault faults[SIM_FAULTS_MAX]; /* relative to FAULT_US */
 	int fault_count;
 	bool prefixes;	    /* prompts share prefixes */
@@ -49,7 +49,7 @@
 	{ .name = "steady-80", .load = 0.8 },
 	{ .name = "steady-100", .load = 1.0 },
 	{ .name = "steady-150", .load = 1.5 },
-	{ .name = "steady-300", .load = 3.0, .even = true },
+	{ .name = "steady-300", .load = 3.0, .equal_demand = true },
 	{ .name = "lose-at-80",
 	  .load = 0.8,
 	  .faults = { { 0, SIM_KILL, SIM_LARGEST, 0 } },
@@ -96,7 +96,7 @@
 	  .recovery = true },
 	{ .name = "greedy",
 	  .load = 0.8,
-	  .even = true,
+	  .equal_demand = true,
 	  .faults = { { 0, SIM_DEMAND, 0, 10 } },
 	  .fault_count = 1 },
 	{ .name = "two-at-once",
@@ -111,7 +111,7 @@
 	  .cache_lost = 0.3 },
 	{ .name = "retry-storm",
 	  .load = 0.9,
-	  .callers = SIM_RETRY_AT_ONCE,
+	  .retry_policy = SIM_RETRY_AT_ONCE,
 	  .faults = { { 0, SIM_SLOW, SIM_ALL, 0.05 },
 		      { 3 * MAG_US_PER_S, SIM_SLOW, SIM_ALL, 1 } },
 	  .fault_count = 2,
@@ -119,7 +119,7 @@
 	  .recover_us = 3 * MAG_US_PER_S },
 	{ .name = "storm",
 	  .load = 0.9,
-	  .callers = SIM_RETRY_AT_ONCE,
+	  .retry_policy = SIM_RETRY_AT_ONCE,
 	  .faults = { { 0, SIM_DEMAND, -1, 5 },
 		      { 5 * MAG_US_PER_S, SIM_DEMAND, -1, 1 } },
 	  .fault_count = 2 },
@@ -167,15 +167,15 @@
 /* Returns the fraction of requests answered in time, account 0 excluded. */
 static double others_answered(const struct sim_result *r)
 {
-	double kept = 0;
-	double asked = 0;
+	double answered = 0;
+	double requested = 0;
 	int i;
 
 	for (i = 1; i < SIM_ACCOUNTS; i++) {
-		kept += r->answered_in_time[i];
-		asked += r->requested[i];
+		answered += r->answered_in_time[i];
+		requested += r->requested[i];
 	}
-	return asked > 0 ? kept / asked : 0;
+	return requested > 0 ? answered / requested : 0;
 }
 
 /*
@@ -214,9 +214,9 @@
 		.policy = variant->policy,
 		.no_budgets = variant->no_budgets,
 		.no_resume = variant->no_resume,
-		.retry_policy = scenario->callers,
+		.retry_policy = scenario->retry_policy,
 		.load = scenario->load,
-		.equal_demand = scenario->even,
+		.equal_demand = scenario->equal_demand,
 		.prefixes = scenario->prefixes,
 		.no_affinity = variant->no_affinity,
 		.cache_lost = scenario->cache_lost,
--- a/bench/bench_served.c
+++ b/bench/bench_served.c
@@ -22,8 +22,8 @@
 #define LINE_BYTES  65536
 #define TEXT_BYTES  256
 #define CENTRES_MAX 32
-/* The placer logs LOG_PLR_COVER every two seconds. */
-#define COVER_S 3
+/* The placer logs LOG_PLR_COVER, the source of capacity, every two seconds. */
+#define CAPACITY_MAX_AGE_S 3
 
 enum cause {
 	SERVED,
@@ -114,7 +114,7 @@
 
 	for (i = 0; i < centre_count; i++) {
 		if (centres[i].has_capacity &&
-		    second - centres[i].second <= COVER_S)
+		    second - centres[i].second <= CAPACITY_MAX_AGE_S)
 			return true;
 	}
 	return false;
--- a/bench/sim.h
+++ b/bench/sim.h
@@ -253,6 +253,6 @@
 void sim_post(struct sim *sim, int router, const struct core_event *event);
 void sim_tick(struct sim *sim, int router);
 int sim_routers(struct sim *sim);
-void sim_learn_quarantine(struct sim *sim, int news);
+void sim_learn_quarantine(struct sim *sim, int quarantine);
 
 #endif /* SIM_H */
--- a/bench/sim_caller.c
+++ b/bench/sim_caller.c
@@ -35,12 +35,12 @@
 {
 	struct sim_call *old = &sim->calls[at];
 	uint32_t tokens = old->tokens;
-	int returns = old->retries;
+	int retries = old->retries;
 	bool poison = old->poison;
 	struct sim_call *call = sim_call_new(sim, old->account);
 
 	call->tokens = tokens;
-	call->retries = returns + 1;
+	call->retries = retries + 1;
 	call->poison = poison;
 	sim_send(sim, call);
 }
--- a/bench/sim_router.c
+++ b/bench/sim_router.c
@@ -95,29 +95,32 @@
 /* Schedules the delivery of a router's new quarantines to the others. */
 static void sim_spread_quarantines(struct sim *sim, int router)
 {
-	struct sim_quarantine *news = &sim->quarantines[sim->quarantine_count];
+	struct sim_quarantine *quarantine =
+		&sim->quarantines[sim->quarantine_count];
 
 	while (sim->quarantine_count < SIM_QUARANTINES_MAX &&
-	       core_next_quarantine(sim->cores[router], news->fingerprint,
-				    &news->endpoints_lost, &news->until_us)) {
-		news->router = router;
+	       core_next_quarantine(sim->cores[router], quarantine->fingerprint,
+				    &quarantine->endpoints_lost,
+				    &quarantine->until_us)) {
+		quarantine->router = router;
 		sim_schedule(sim, sim->now + SIM_QUARANTINE_LAG_US,
 			     SIM_EV_QUARANTINE, sim->quarantine_count++, 0);
-		news++;
+		quarantine++;
 	}
 }
 
 /* Delivers a quarantine to all routers but its origin. */
-void sim_learn_quarantine(struct sim *sim, int at)
+void sim_learn_quarantine(struct sim *sim, int index)
 {
-	const struct sim_quarantine *news = &sim->quarantines[at];
+	const struct sim_quarantine *quarantine = &sim->quarantines[index];
 	int i;
 
 	for (i = 0; i < sim->settings.routers; i++) {
-		if (i != news->router)
-			core_learn_quarantine(sim->cores[i], news->fingerprint,
-					      news->endpoints_lost,
-					      news->until_us);
+		if (i != quarantine->router)
+			core_learn_quarantine(sim->cores[i],
+					      quarantine->fingerprint,
+					      quarantine->endpoints_lost,
+					      quarantine->until_us);
 	}
 }
 
