--- a/bench/sim_router.c
+++ b/bench/sim_router.c
@@ -5,18 +5,18 @@
 #include "sim.h"
 
 #define SIM_PROGRESS_TIMEOUT_US (500 * MAG_US_PER_MS)
-#define SIM_NEWS_US		(500 * MAG_US_PER_MS) /* between instances */
+#define SIM_QUARANTINE_LAG_US	(500 * MAG_US_PER_MS) /* between instances */
 #define SIM_FIRST_TIMEOUT_US	(1500 * MAG_US_PER_MS)
 
 static int sim_configure(struct sim *sim, int router, const char *json);
-static void sim_spread(struct sim *sim, int router);
+static void sim_spread_quarantines(struct sim *sim, int router);
 static void sim_actions(struct sim *sim, int router);
 static void sim_kv(struct sim *sim, int router, struct kv_call *call);
 
-/* Makes the routers' cores with their configuration. */
+/* Creates and configures the routers' cores. */
 int sim_routers(struct sim *sim)
 {
-	char *json = sim_world_json(sim);
+	char *json = sim_config_json(sim);
 	int err = 0;
 	int i;
 
@@ -48,21 +48,21 @@
 	return err;
 }
 
-/* Gives a router an event and lets it act. */
+/* Posts an event to a router and runs its tick. */
 void sim_post(struct sim *sim, int router, const struct core_event *event)
 {
 	core_post(sim->cores[router], event);
 	sim_tick(sim, router);
 }
 
-/* Runs a router's tick, carries out what it asks, and notes its next one. */
+/* Runs a router's tick, executes its actions and schedules the next tick. */
 void sim_tick(struct sim *sim, int router)
 {
 	int64_t next;
 
 	core_tick(sim->cores[router], sim->now);
 	sim_actions(sim, router);
-	sim_spread(sim, router);
+	sim_spread_quarantines(sim, router);
 	next = core_next_deadline(sim->cores[router]);
 	if (next == MAG_NEVER)
 		return;
@@ -71,10 +71,10 @@
 	if (sim->tick_at[router] <= next && sim->tick_at[router] > sim->now)
 		return;
 	sim->tick_at[router] = next;
-	sim_at(sim, next, SIM_EV_TICK, router, 0);
+	sim_schedule(sim, next, SIM_EV_TICK, router, 0);
 }
 
-/* Puts the set of objects into force on one router. */
+/* Applies the configuration on one router; prints its faults on failure. */
 static int sim_configure(struct sim *sim, int router, const char *json)
 {
 	struct core_event event = { .type = CORE_EV_CONFIG };
@@ -92,35 +92,39 @@
 	return 0;
 }
 
-/* Sends what a router learnt of poisonous requests to the others. */
-static void sim_spread(struct sim *sim, int router)
+/* Schedules the delivery of a router's new quarantines to the others. */
+static void sim_spread_quarantines(struct sim *sim, int router)
 {
-	struct sim_news *news = &sim->news[sim->news_count];
-
-	while (sim->news_count < SIM_NEWS_MAX &&
-	       core_next_quarantine(sim->cores[router], news->print,
-				    &news->lost, &news->until_us)) {
-		news->router = router;
-		sim_at(sim, sim->now + SIM_NEWS_US, SIM_EV_NEWS,
-		       sim->news_count++, 0);
-		news++;
+	struct sim_quarantine *quarantine =
+		&sim->quarantines[sim->quarantine_count];
+
+	while (sim->quarantine_count < SIM_QUARANTINES_MAX &&
+	       core_next_quarantine(sim->cores[router], quarantine->fingerprint,
+				    &quarantine->endpoints_lost,
+				    &quarantine->until_us)) {
+		quarantine->router = router;
+		sim_schedule(sim, sim->now + SIM_QUARANTINE_LAG_US,
+			     SIM_EV_QUARANTINE, sim->quarantine_count++, 0);
+		quarantine++;
 	}
 }
 
-/* The other routers hear of a poisonous request. */
-void sim_learn(struct sim *sim, int at)
+/* Delivers a quarantine to all routers but its origin. */
+void sim_learn_quarantine(struct sim *sim, int index)
 {
-	const struct sim_news *news = &sim->news[at];
+	const struct sim_quarantine *quarantine = &sim->quarantines[index];
 	int i;
 
 	for (i = 0; i < sim->settings.routers; i++) {
-		if (i != news->router)
-			core_merge_quarantine(sim->cores[i], news->print,
-					      news->lost, news->until_us);
+		if (i != quarantine->router)
+			core_merge_quarantine(sim->cores[i],
+					      quarantine->fingerprint,
+					      quarantine->endpoints_lost,
+					      quarantine->until_us);
 	}
 }
 
-/* Carries out all actions of a router. */
+/* Executes all pending actions of a router. */
 static void sim_actions(struct sim *sim, int router)
 {
 	struct core_action action;
@@ -146,7 +150,7 @@
 	}
 }
 
-/* No request here is keyed; a call of the ledger finds nothing. */
+/* No request has an idempotency key, so every ledger call finds no record. */
 static void sim_kv(struct sim *sim, int router, struct kv_call *call)
 {
 	struct core_event event = { .type = CORE_EV_KV_REPLY };
--- a/bench/sim_stage.c
+++ b/bench/sim_stage.c
@@ -5,14 +5,14 @@
 
 #define SIM_HOP_NEAR_US	    200 /* one way within a data centre */
 #define SIM_HOP_FAR_US	    800
-#define SIM_RESET_US	    1000 /* until a reset connection is noticed */
+#define SIM_RESET_US	    1000 /* until a connection reset is detected */
 #define SIM_CONNECT_US	    (300 * MAG_US_PER_MS) /* connect timeout */
 #define SIM_PROGRESS_US	    (100 * MAG_US_PER_MS)
 #define SIM_REPORT_EVERY_US MAG_US_PER_S
-#define SIM_REBUILD	    20 /* tokens of cache rebuilt for one token's work */
+#define SIM_REBUILD	    20 /* cached tokens rebuilt per token of work */
 
-static int sim_stream_take(struct sim *sim);
-static void sim_stream_drop(struct sim *sim, int at);
+static int sim_stream_alloc(struct sim *sim);
+static void sim_stream_free(struct sim *sim, int at);
 static void sim_end(struct sim *sim, int at, enum core_end end, int stage,
 		    int64_t when);
 static bool sim_reaches(const struct sim *sim, int centre, int other);
@@ -22,12 +22,12 @@
 static void sim_progress(struct sim *sim, const struct sim_stream *s);
 static void sim_kill(struct sim *sim, int stage);
 
-/* Starts an attempt on its chain, or refuses it. */
+/* Starts an attempt on its chain, or schedules its failure. */
 void sim_dispatch(struct sim *sim, int router,
 		  const struct core_dispatch *dispatch)
 {
 	struct sim_call *call = sim_call_of(sim, dispatch->req);
-	int at = sim_stream_take(sim);
+	int at = sim_stream_alloc(sim);
 	struct sim_stream *s = &sim->streams[at];
 	struct sim_stage *first;
 	int i;
@@ -60,12 +60,12 @@
 		sim_end(sim, at, CORE_END_REFUSED, 0,
 			sim->now + SIM_HOP_FAR_US);
 	} else {
-		sim_at(sim, sim->now + SIM_HOP_NEAR_US, SIM_EV_TOKEN, at,
-		       s->generation);
+		sim_schedule(sim, sim->now + SIM_HOP_NEAR_US, SIM_EV_TOKEN, at,
+			     s->generation);
 	}
 }
 
-/* Stops an attempt as the router asked. */
+/* Cancels an attempt at the router's request. */
 void sim_cancel(struct sim *sim, int router, const struct core_cancel *cancel)
 {
 	struct sim_call *call = sim_call_of(sim, cancel->req);
@@ -82,7 +82,7 @@
 	}
 }
 
-/* A token arrives at the stage where its stream stands. */
+/* Handles the arrival of a token at its stream's current stage. */
 void sim_token(struct sim *sim, int at, uint32_t generation)
 {
 	struct sim_stream *s = &sim->streams[at];
@@ -113,17 +113,17 @@
 		sim_delivered(sim, at, done);
 		return;
 	}
-	/* A token sent into a cut link never arrives. */
+	/* A token sent over a partitioned link is lost. */
 	if (!sim_reaches(sim, stage->centre,
 			 sim->stages[s->stage[s->at]].centre))
 		return;
 	done += stage->centre == sim->stages[s->stage[s->at]].centre
 			? SIM_HOP_NEAR_US
 			: SIM_HOP_FAR_US;
-	sim_at(sim, done, SIM_EV_TOKEN, at, generation);
+	sim_schedule(sim, done, SIM_EV_TOKEN, at, generation);
 }
 
-/* Tells the router that an attempt ended. */
+/* Reports the end of an attempt to its router. */
 void sim_ended(struct sim *sim, int at, uint32_t generation)
 {
 	struct core_event event = { .type = CORE_EV_ENDED };
@@ -138,11 +138,11 @@
 	event.ended.stage = s->end_stage;
 	event.ended.status = s->end == CORE_END_COMPLETE ? 200 : 503;
 	event.ended.tokens = s->next;
-	sim_stream_drop(sim, at);
+	sim_stream_free(sim, at);
 	sim_post(sim, router, &event);
 }
 
-/* Makes a fault happen. */
+/* Injects a fault and computes the bound again. */
 void sim_fault(struct sim *sim, const struct sim_fault *fault)
 {
 	int target =
@@ -157,7 +157,7 @@
 	case SIM_HANG:
 		stage->hung = true;
 		break;
-	case SIM_REVIVE:
+	case SIM_RESTORE:
 		stage->dead = false;
 		stage->hung = false;
 		break;
@@ -171,7 +171,7 @@
 		}
 		break;
 	case SIM_CUT:
-	case SIM_JOIN:
+	case SIM_RECONNECT:
 		sim->cut[target] = fault->kind == SIM_CUT;
 		break;
 	case SIM_REPORTS:
@@ -190,13 +190,13 @@
 	sim->result->bound_after = sim_bound(sim);
 }
 
-/* Posts what each stage reported some time ago to every router. */
+/* Posts the load reports to every router, SIM_REPORT_LAG_US old. */
 void sim_report(struct sim *sim)
 {
 	int r;
 	int i;
 
-	sim_at(sim, sim->now + SIM_REPORT_EVERY_US, SIM_EV_REPORT, 0, 0);
+	sim_schedule(sim, sim->now + SIM_REPORT_EVERY_US, SIM_EV_REPORT, 0, 0);
 	for (i = 0; sim->reports && i < sim->stage_count; i++) {
 		struct core_event event = { .type = CORE_EV_LOAD };
 		const struct sim_stage *s = &sim->stages[i];
@@ -213,8 +213,8 @@
 	}
 }
 
-/* Takes a free stream. */
-static int sim_stream_take(struct sim *sim)
+/* Allocates a stream, from the free list if it has one. */
+static int sim_stream_alloc(struct sim *sim)
 {
 	struct sim_stream *s;
 	uint32_t generation = 0;
@@ -224,11 +224,11 @@
 		sim->stream_free = sim->streams[at].call;
 		generation = sim->streams[at].generation;
 	} else {
-		if (sim->stream_count == sim->stream_room) {
-			sim->stream_room = 2 * sim->stream_room + 64;
-			sim->streams =
-				realloc(sim->streams,
-					(size_t)sim->stream_room * sizeof(*s));
+		if (sim->stream_count == sim->stream_capacity) {
+			sim->stream_capacity = 2 * sim->stream_capacity + 64;
+			sim->streams = realloc(sim->streams,
+					       (size_t)sim->stream_capacity *
+						       sizeof(*s));
 		}
 		at = sim->stream_count++;
 	}
@@ -239,8 +239,8 @@
 	return at;
 }
 
-/* Gives a stream's places on its stages back. */
-static void sim_stream_drop(struct sim *sim, int at)
+/* Frees a stream and its concurrency slots on its stages. */
+static void sim_stream_free(struct sim *sim, int at)
 {
 	struct sim_stream *s = &sim->streams[at];
 	int i;
@@ -253,7 +253,10 @@
 	sim->stream_free = at;
 }
 
-/* Ends a stream: nothing of it moves any more, the router hears later. */
+/*
+ * Ends a stream: its pending events become stale at once, the router receives
+ * the end at the given time.
+ */
 static void sim_end(struct sim *sim, int at, enum core_end end, int stage,
 		    int64_t when)
 {
@@ -262,16 +265,16 @@
 	s->generation++;
 	s->end = end;
 	s->end_stage = stage;
-	sim_at(sim, when, SIM_EV_ENDED, at, s->generation);
+	sim_schedule(sim, when, SIM_EV_ENDED, at, s->generation);
 }
 
-/* Tells whether packets pass between two data centres. */
+/* Tells whether two data centres are connected. */
 static bool sim_reaches(const struct sim *sim, int centre, int other)
 {
 	return centre == other || (!sim->cut[centre] && !sim->cut[other]);
 }
 
-/* Serves one token at a stage; returns when it leaves. */
+/* Serves one token at a stage; returns its departure time. */
 static int64_t sim_serve(struct sim *sim, struct sim_stream *s)
 {
 	struct sim_stage *stage = &sim->stages[s->stage[s->at]];
@@ -280,7 +283,7 @@
 	int64_t at = sim->now;
 
 	if (s->rebuild && s->at == s->count - 1) {
-		/* Counted once, at the last stage, as a bound on its cost. */
+		/* Charged once, at the last stage, as an upper bound. */
 		work += work * s->rebuild / SIM_REBUILD;
 		s->rebuild = 0;
 	}
@@ -291,11 +294,11 @@
 	at = sim_queue(&stage->free_us, at, work) + stage->step_us;
 	if (s->at + 1 < s->count)
 		at = sim_queue(&stage->out_free_us, at, link);
-	sim->result->made += 1.0 / s->count;
+	sim->result->tokens_processed += 1.0 / s->count;
 	return at;
 }
 
-/* Waits for a server and takes some of its time; returns when it is done. */
+/* Occupies a FIFO server for some seconds; returns the completion time. */
 static int64_t sim_queue(int64_t *free_us, int64_t from, double seconds)
 {
 	if (*free_us < from)
@@ -304,7 +307,7 @@
 	return *free_us;
 }
 
-/* A token leaves the last stage. */
+/* Handles a token that leaves the last stage. */
 static void sim_delivered(struct sim *sim, int at, int64_t when)
 {
 	struct sim_stream *s = &sim->streams[at];
@@ -325,10 +328,10 @@
 		s = &sim->streams[at];
 	}
 	if (s->used)
-		sim_at(sim, when, SIM_EV_TOKEN, at, s->generation);
+		sim_schedule(sim, when, SIM_EV_TOKEN, at, s->generation);
 }
 
-/* Tells the router how far a stream is and how long its hops took. */
+/* Reports a stream's progress and its hop latencies to the router. */
 static void sim_progress(struct sim *sim, const struct sim_stream *s)
 {
 	struct core_event event = { .type = CORE_EV_PROGRESS };
@@ -341,7 +344,10 @@
 	sim_post(sim, s->router, &event);
 }
 
-/* Kills a stage: every stream through it is cut, not only those in it. */
+/*
+ * Kills a stage: every stream with this stage in its chain ends, not only
+ * those whose token is at it.
+ */
 static void sim_kill(struct sim *sim, int stage)
 {
 	int i;
