--- a/src/plc.c
+++ b/src/plc.c
@@ -10,7 +10,7 @@
 static void plc_set_engine(struct plc *plc, struct plc_engine *engine,
 			   int endpoint);
 static int plc_index_centres(struct plc *plc, const struct cfg_set *set);
-static int plc_centre_index(const struct plc *plc, const char *name);
+static int plc_data_centre_index(const struct plc *plc, const char *name);
 static void plc_check_lease(struct plc *plc, int64_t now);
 static void plc_lease_granted(struct plc *plc, uint64_t fence, int64_t now);
 static void plc_reset_engine(struct plc_engine *engine, int64_t now);
@@ -63,7 +63,7 @@
 		return;
 	free(plc->engines);
 	free(plc->orders);
-	free(plc->centres);
+	free(plc->data_centres);
 	free(plc);
 }
 
@@ -262,7 +262,7 @@
 	memcpy(engine->name, from->name, MAG_NAME_MAX);
 	memcpy(engine->address, from->address, MAG_ADDR_MAX);
 	engine->service = from->service;
-	engine->centre = plc_centre_index(plc, from->data_centre);
+	engine->data_centre = plc_data_centre_index(plc, from->data_centre);
 	engine->local =
 		strcmp(from->data_centre, plc->settings.data_centre) == 0;
 	engine->checks_fencing = from->checks_fencing;
@@ -280,31 +280,31 @@
 /* Numbers the data centres in the order in which endpoints name them. */
 static int plc_index_centres(struct plc *plc, const struct cfg_set *set)
 {
-	const char **centres =
-		calloc(set->endpoint_count + 1, sizeof(*centres));
+	const char **data_centres =
+		calloc(set->endpoint_count + 1, sizeof(*data_centres));
 	size_t i;
 
-	if (!centres)
+	if (!data_centres)
 		return PLC_E_MEMORY;
-	free(plc->centres);
-	plc->centres = centres;
-	plc->centre_count = 0;
+	free(plc->data_centres);
+	plc->data_centres = data_centres;
+	plc->data_centre_count = 0;
 	for (i = 0; i < set->endpoint_count; i++) {
 		const char *name = set->endpoints[i].data_centre;
 
-		if (plc_centre_index(plc, name) == plc->centre_count)
-			centres[plc->centre_count++] = name;
+		if (plc_data_centre_index(plc, name) == plc->data_centre_count)
+			data_centres[plc->data_centre_count++] = name;
 	}
 	return PLC_OK;
 }
 
 /* Returns a data centre's index, or their count if it has none yet. */
-static int plc_centre_index(const struct plc *plc, const char *name)
+static int plc_data_centre_index(const struct plc *plc, const char *name)
 {
 	int i;
 
-	for (i = 0; i < plc->centre_count; i++) {
-		if (strcmp(plc->centres[i], name) == 0)
+	for (i = 0; i < plc->data_centre_count; i++) {
+		if (strcmp(plc->data_centres[i], name) == 0)
 			break;
 	}
 	return i;
--- a/src/plc_int.h
+++ b/src/plc_int.h
@@ -44,8 +44,8 @@
 	char name[MAG_NAME_MAX];
 	char address[MAG_ADDR_MAX];
 	int service;
-	int centre; /* index into plc.centres */
-	bool local; /* in this data centre: this instance may order it */
+	int data_centre; /* index into plc.data_centres */
+	bool local;	 /* in this data centre: this instance may order it */
 	bool leaving;
 	bool checks_fencing;
 	struct plc_range declared; /* range declared by the operators */
@@ -71,8 +71,8 @@
 	struct plc_settings settings;
 	char holder[2 * MAG_NAME_MAX];
 	const struct cfg_set *set;
-	const char **centres; /* their names, which the set owns */
-	int centre_count;
+	const char **data_centres; /* their names, which the set owns */
+	int data_centre_count;
 	struct plc_engine *engines;
 	size_t engine_count;
 	enum plc_lease_state lease;
--- a/src/plc_want.c
+++ b/src/plc_want.c
@@ -10,8 +10,8 @@
 	uint32_t layers;
 	struct flow_stage *stages; /* one per engine of the fleet */
 	int count;
-	bool *joined;
-	int centres;
+	bool *reachable;
+	int data_centre_count;
 };
 
 static int plc_snapshot_init(struct plc_snapshot *snapshot,
@@ -119,39 +119,42 @@
 	snapshot->plc = plc;
 	snapshot->layers = plc->set->services[service].layers;
 	snapshot->count = (int)plc->engine_count;
-	snapshot->centres = 1;
+	snapshot->data_centre_count = 1;
 	snapshot->stages =
 		calloc(plc->engine_count + 1, sizeof(*snapshot->stages));
-	snapshot->joined = NULL;
+	snapshot->reachable = NULL;
 	if (!snapshot->stages)
 		return PLC_E_MEMORY;
 	for (i = 0; i < plc->engine_count; i++) {
 		struct plc_range range;
 
-		if (plc->engines[i].centre >= snapshot->centres)
-			snapshot->centres = plc->engines[i].centre + 1;
+		if (plc->engines[i].data_centre >= snapshot->data_centre_count)
+			snapshot->data_centre_count =
+				plc->engines[i].data_centre + 1;
 		if (plc->engines[i].service == service &&
 		    plc_expected_range(&plc->engines[i], &range))
 			plc_set_stage(snapshot, i, &range);
 		else
 			plc_set_stage(snapshot, i, NULL);
 	}
-	snapshot->joined = malloc((size_t)snapshot->centres *
-				  (size_t)snapshot->centres * sizeof(bool));
-	if (!snapshot->joined) {
+	snapshot->reachable =
+		malloc((size_t)snapshot->data_centre_count *
+		       (size_t)snapshot->data_centre_count * sizeof(bool));
+	if (!snapshot->reachable) {
 		plc_snapshot_free(snapshot);
 		return PLC_E_MEMORY;
 	}
-	for (i = 0; i < (size_t)snapshot->centres * (size_t)snapshot->centres;
+	for (i = 0; i < (size_t)snapshot->data_centre_count *
+				(size_t)snapshot->data_centre_count;
 	     i++)
-		snapshot->joined[i] = true;
+		snapshot->reachable[i] = true;
 	return PLC_OK;
 }
 
 static void plc_snapshot_free(struct plc_snapshot *snapshot)
 {
 	free(snapshot->stages);
-	free(snapshot->joined);
+	free(snapshot->reachable);
 }
 
 /*
@@ -186,7 +189,7 @@
 	struct flow_stage *stage = &snapshot->stages[i];
 	uint32_t declared = engine->declared.last - engine->declared.first + 1;
 
-	stage->data_centre = engine->centre;
+	stage->data_centre = engine->data_centre;
 	stage->link_rate = engine->link_tokens_per_s;
 	if (!range) {
 		stage->rate = 0;
@@ -234,8 +237,9 @@
 	struct flow_net_input in = { .layers = snapshot->layers,
 				     .stages = snapshot->stages,
 				     .stage_count = snapshot->count,
-				     .data_centre_count = snapshot->centres,
-				     .reachable = snapshot->joined };
+				     .data_centre_count =
+					     snapshot->data_centre_count,
+				     .reachable = snapshot->reachable };
 
 	return flow_net_max_flow(&in);
 }
