--- a/src/core.h
+++ b/src/core.h
@@ -51,7 +51,7 @@
 	uint32_t prompt_tokens;
 	uint32_t max_tokens;
 	uint64_t prefix_hash;
-	uint32_t timeout_ms; /* stated by the caller, 0 if it stated none */
+	uint32_t timeout_ms; /* sent by the caller, 0 if it sent none */
 	int64_t wall_ms;
 };
 
--- a/src/core_int.h
+++ b/src/core_int.h
@@ -133,7 +133,8 @@
 int req_choose_chain(struct core *core, struct core_req *req,
 		     struct pick_chain *chain);
 void req_end_attempt(struct core *core, struct core_req *req,
-		     enum pick_result_kind kind, int at_stage, uint32_t silent);
+		     enum pick_result_kind kind, int at_stage,
+		     uint32_t silent_stages);
 void req_avoid_endpoint(struct core_req *req, int endpoint);
 void req_cancel(struct core *core, struct core_req *req, bool probe);
 bool req_may_retry(struct core *core, struct core_req *req, int endpoint);
--- a/src/core_show.c
+++ b/src/core_show.c
@@ -61,12 +61,13 @@
 int core_show_explain(struct core *core, const char *service, FILE *out)
 {
 	int index = core->set ? cfg_find_service(core->set, service) : -1;
-	struct pick_request want = { .group = "" };
+	struct pick_request request = { .group = "" };
 
 	if (index < 0)
 		return -1;
-	want.service = index;
-	return pick_explain_request(core->pick, &want, core->now, out) ? -1 : 0;
+	request.service = index;
+	return pick_explain_request(core->pick, &request, core->now, out) ? -1
+									  : 0;
 }
 
 /* Builds one row: the bound, the worst single loss and what binds the bound. */
--- a/src/ep_probe.c
+++ b/src/ep_probe.c
@@ -24,7 +24,7 @@
 	const struct core_dispatch *dispatch = call->request->dispatch;
 	CURL *probes[MAG_CHAIN_MAX];
 	CURLM *multi = curl_multi_init();
-	uint32_t silent;
+	uint32_t silent_stages;
 	int i;
 
 	if (!multi)
@@ -32,7 +32,7 @@
 	for (i = 0; i < dispatch->stage_count; i++)
 		probes[i] = probe_start(multi, &dispatch->stages[i]);
 	probe_wait(multi);
-	silent = probe_find_silent(multi, probes, dispatch->stage_count);
+	silent_stages = probe_find_silent(multi, probes, dispatch->stage_count);
 	for (i = 0; i < dispatch->stage_count; i++) {
 		if (!probes[i])
 			continue;
@@ -40,7 +40,7 @@
 		curl_easy_cleanup(probes[i]);
 	}
 	curl_multi_cleanup(multi);
-	return silent;
+	return silent_stages;
 }
 
 static CURL *probe_start(CURLM *multi, const struct core_stage *stage)
@@ -74,7 +74,7 @@
 /* A stage that sends any response is alive, whatever the status. */
 static uint32_t probe_find_silent(CURLM *multi, CURL *const *probes, int count)
 {
-	uint32_t silent = 0;
+	uint32_t silent_stages = 0;
 	CURLMsg *msg;
 	int left;
 	int i;
@@ -84,10 +84,10 @@
 			continue;
 		for (i = 0; i < count; i++) {
 			if (probes[i] == msg->easy_handle)
-				silent |= 1U << i;
+				silent_stages |= 1U << i;
 		}
 	}
-	return silent;
+	return silent_stages;
 }
 
 static size_t probe_discard_body(char *bytes, size_t size, size_t count,
--- a/src/flow_net.c
+++ b/src/flow_net.c
@@ -183,18 +183,18 @@
  */
 static void flow_net_find_components(struct flow_solver *solver)
 {
-	int centres = solver->in->data_centre_count;
+	int count = solver->in->data_centre_count;
 	bool changed = true;
 	int a;
 	int b;
 
-	for (a = 0; a < centres; a++)
+	for (a = 0; a < count; a++)
 		solver->component[a] = a;
 	while (changed) {
 		changed = false;
-		for (a = 0; a < centres; a++) {
-			for (b = 0; b < centres; b++) {
-				if (!solver->in->reachable[a * centres + b] ||
+		for (a = 0; a < count; a++) {
+			for (b = 0; b < count; b++) {
+				if (!solver->in->reachable[a * count + b] ||
 				    solver->component[b] <=
 					    solver->component[a])
 					continue;
@@ -302,10 +302,10 @@
 	memset(outflow, 0, (size_t)in->data_centre_count * sizeof(*outflow));
 	memset(inflow, 0, (size_t)in->data_centre_count * sizeof(*inflow));
 	for (e = 0; e < net->stage_count; e++) {
-		int centre = in->stages[e].data_centre;
+		int data_centre = in->stages[e].data_centre;
 
-		outflow[centre] += net->outflow[k * net->stage_count + e];
-		inflow[centre] += net->inflow[k * net->stage_count + e];
+		outflow[data_centre] += net->outflow[k * net->stage_count + e];
+		inflow[data_centre] += net->inflow[k * net->stage_count + e];
 	}
 	for (a = 0; a < in->data_centre_count; a++) {
 		double local = outflow[a] < inflow[a] ? outflow[a] : inflow[a];
--- a/src/ldg_int.h
+++ b/src/ldg_int.h
@@ -212,7 +212,7 @@
 		       uint32_t *last);
 char *ldg_json_write_head(uint32_t first, uint32_t last);
 
-/* ldg_evaluate.c */
+/* ldg_judge.c */
 bool ldg_owns(const struct ldg_att *att, const struct ldg_rec *rec);
 enum ldg_verdict ldg_evaluate(const struct ldg *ldg, const struct ldg_att *att,
 			      const struct ldg_rec *rec, int64_t now);
--- a/src/lim.c
+++ b/src/lim.c
@@ -23,8 +23,8 @@
 static void lim_sum_demand(struct lim *lim, const struct peer *peer);
 static uint32_t lim_count_parts(struct lim *lim, const struct peer *peer);
 static void lim_add_link(struct lim *lim, int link, bool local);
-static void lim_use_chief_totals(struct lim *lim, const struct peer *peer,
-				 int chief);
+static void lim_use_aggregator_totals(struct lim *lim, const struct peer *peer,
+				      int aggregator);
 static void lim_update_window(struct lim *lim, const struct peer *peer,
 			      int64_t now);
 static double lim_usable_fraction(const struct lim_row *row);
@@ -350,7 +350,7 @@
 	}
 	lim->part_count = listed;
 	if (peer_aggregator(peer) >= 0)
-		lim_use_chief_totals(lim, peer, peer_aggregator(peer));
+		lim_use_aggregator_totals(lim, peer, peer_aggregator(peer));
 	if (lim->part_count < lim->group_size)
 		lim->part_count = lim->group_size;
 }
@@ -404,19 +404,19 @@
  * would use this instance's part.  In that case this instance uses the part
  * of one instance only.
  */
-static void lim_use_chief_totals(struct lim *lim, const struct peer *peer,
-				 int chief)
+static void lim_use_aggregator_totals(struct lim *lim, const struct peer *peer,
+				      int aggregator)
 {
 	const struct lim_link *state = NULL;
-	uint32_t listed = peer_link_listed_count(peer, chief);
+	uint32_t listed = peer_link_listed_count(peer, aggregator);
 	size_t i;
 
-	if ((size_t)chief < lim->link_count)
-		state = &lim->links[chief];
+	if ((size_t)aggregator < lim->link_count)
+		state = &lim->links[aggregator];
 	lim->group_size = 1;
 	if (state && state->received && state->sends_totals &&
-	    peer_link_agrees(peer, chief)) {
-		lim->group_size = peer_link_group_size(peer, chief);
+	    peer_link_agrees(peer, aggregator)) {
+		lim->group_size = peer_link_group_size(peer, aggregator);
 		lim->part_count = listed; /* the bridge's list is newer */
 	} else if (listed > lim->part_count) {
 		lim->part_count = listed;
--- a/src/pick_health.c
+++ b/src/pick_health.c
@@ -21,7 +21,7 @@
 			       int64_t now);
 static void pick_health_silent_stages(struct pick *pick,
 				      const struct pick_chain *chain,
-				      uint32_t silent, int64_t now);
+				      uint32_t silent_stages, int64_t now);
 static void pick_health_stalled(struct pick *pick,
 				const struct pick_chain *chain, int64_t now);
 static bool pick_is_silent(const struct pick *pick, int e, int64_t now);
@@ -187,14 +187,14 @@
  */
 static void pick_health_silent_stages(struct pick *pick,
 				      const struct pick_chain *chain,
-				      uint32_t silent, int64_t now)
+				      uint32_t silent_stages, int64_t now)
 {
 	int i;
 
 	for (i = 0; i < chain->count; i++) {
 		int e = chain->stages[i].endpoint;
 
-		if ((silent & (1U << i)) && e >= 0 && e < pick->ep_count)
+		if ((silent_stages & (1U << i)) && e >= 0 && e < pick->ep_count)
 			pick_health_failed(pick, e, true, now);
 	}
 }
--- a/src/pub_objects.c
+++ b/src/pub_objects.c
@@ -55,7 +55,7 @@
 {
 	const char *kind = json_string_value(json_object_get(object, "kind"));
 	const char *name = json_string_value(json_object_get(object, "name"));
-	size_t room = objects->capacity ? 2 * objects->capacity : 64;
+	size_t capacity = objects->capacity ? 2 * objects->capacity : 64;
 	struct pub_object *grown;
 	struct pub_object *entry;
 
@@ -63,11 +63,11 @@
 	    strlen(name) >= MAG_NAME_MAX)
 		return PUB_E_DAMAGED;
 	if (objects->count == objects->capacity) {
-		grown = realloc(objects->list, room * sizeof(*grown));
+		grown = realloc(objects->list, capacity * sizeof(*grown));
 		if (!grown)
 			return PUB_E_MEMORY;
 		objects->list = grown;
-		objects->capacity = room;
+		objects->capacity = capacity;
 	}
 	entry = &objects->list[objects->count];
 	entry->kind = (enum cfg_kind)pub_kind_by_name(kind);
--- a/src/req_end.c
+++ b/src/req_end.c
@@ -9,7 +9,7 @@
 			   const struct core_ended *ended,
 			   enum pick_result_kind kind);
 static int find_stalled_stage(const struct core *core, struct core_req *req,
-			      uint32_t silent);
+			      uint32_t silent_stages);
 static int guess_stalled_stage(const struct core *core, struct core_req *req);
 static void refuse_failed(struct core *core, struct core_req *req);
 static int endpoint_at_stage(const struct core_req *req, int stage);
@@ -156,13 +156,13 @@
  * all of them from now on.
  */
 static int find_stalled_stage(const struct core *core, struct core_req *req,
-			      uint32_t silent)
+			      uint32_t silent_stages)
 {
 	int stage = -1;
 	int i;
 
 	for (i = 0; i < req->chain.count; i++) {
-		if (!(silent & (1U << i)))
+		if (!(silent_stages & (1U << i)))
 			continue;
 		req_avoid_endpoint(req, req->chain.stages[i].endpoint);
 		stage = i;
--- a/src/req_run.c
+++ b/src/req_run.c
@@ -17,7 +17,7 @@
 int req_choose_chain(struct core *core, struct core_req *req,
 		     struct pick_chain *chain)
 {
-	struct pick_request want = {
+	struct pick_request request = {
 		.service = req->service,
 		.group = "",
 		.avoid = req->avoid,
@@ -32,11 +32,11 @@
 	if (req->service < 0)
 		return PICK_E_NO_CHAIN;
 	if (req->route >= 0 && req->account >= 0)
-		want.group =
+		request.group =
 			cfg_route_group(core->set, req->route, req->account);
 	if (req->has_last_chain && !core->settings.no_resume)
-		want.resume_from = &req->last_chain;
-	return pick_choose(core->pick, &want, core->now, chain);
+		request.resume_from = &req->last_chain;
+	return pick_choose(core->pick, &request, core->now, chain);
 }
 
 /* Returns the time available per remaining token until the deadline. */
@@ -110,12 +110,13 @@
 
 /* Reports the end of the current attempt to pick and releases its chain. */
 void req_end_attempt(struct core *core, struct core_req *req,
-		     enum pick_result_kind kind, int at_stage, uint32_t silent)
+		     enum pick_result_kind kind, int at_stage,
+		     uint32_t silent_stages)
 {
 	struct pick_result result = {
 		.kind = kind,
 		.failed_stage = at_stage,
-		.silent_stages = silent,
+		.silent_stages = silent_stages,
 		.tokens = req->tokens - req->tokens_before_attempt,
 		.duration_us = core->now - req->dispatched_us,
 	};
--- a/src/rev.c
+++ b/src/rev.c
@@ -98,11 +98,12 @@
 }
 
 /*
- * Applies edits from a peer that start at revision have.  Otherwise as
+ * Applies edits from a peer that start at base_revision.  Otherwise as
  * rev_offer; PUB_E_BASE if the revision held is another one by now.
  */
-int rev_offer_edits(struct rev *rev, const struct cfg_set *base, uint64_t have,
-		    const char *edits, struct cfg_set **set)
+int rev_offer_edits(struct rev *rev, const struct cfg_set *base,
+		    uint64_t base_revision, const char *edits,
+		    struct cfg_set **set)
 {
 	char *copy = strdup(edits);
 	char *edit = copy;
@@ -112,7 +113,7 @@
 	int err = copy ? PUB_OK : PUB_E_MEMORY;
 
 	*set = NULL;
-	if (have != rev->revision || !rev->text)
+	if (base_revision != rev->revision || !rev->text)
 		err = PUB_E_BASE;
 	while (err == PUB_OK && edit) {
 		char *end = strstr(edit, "\n\n");
@@ -156,26 +157,30 @@
 }
 
 /*
- * Returns the edits from revision have to the one held; the caller frees them.
- * NULL if an edit is not stored or if they exceed REV_EDITS_BYTES.
+ * Returns the edits that lead from from_revision to the revision held; the
+ * caller frees them.  NULL if an edit is not stored or if they exceed
+ * REV_EDITS_BYTES.
  */
-char *rev_edits(const struct rev *rev, uint64_t have)
+char *rev_edits(const struct rev *rev, uint64_t from_revision)
 {
 	const struct rev_edit *edit;
 	char *text = NULL;
 	size_t len = 0;
 	FILE *out;
 
-	if (have >= rev->revision || !rev_find_edit(rev, have))
+	if (from_revision >= rev->revision ||
+	    !rev_find_edit(rev, from_revision))
 		return NULL;
 	out = open_memstream(&text, &len);
 	if (!out)
 		return NULL;
-	while (have < rev->revision && (edit = rev_find_edit(rev, have))) {
+	while (from_revision < rev->revision &&
+	       (edit = rev_find_edit(rev, from_revision))) {
 		fprintf(out, "%s%s", ftell(out) > 0 ? "\n" : "", edit->text);
-		have = edit->to_revision;
+		from_revision = edit->to_revision;
 	}
-	if (fclose(out) == 0 && have == rev->revision && len <= REV_EDITS_BYTES)
+	if (fclose(out) == 0 && from_revision == rev->revision &&
+	    len <= REV_EDITS_BYTES)
 		return text;
 	free(text);
 	return NULL;
