--- a/spec/ticket.pml
+++ b/spec/ticket.pml
@@ -20,7 +20,7 @@
 byte runs;
 mtype told[ATTEMPTS];
 bool reported_not_run[ATTEMPTS]; /* told not-run: must not run any more */
-bool in_ledger;			/* the key has a record in the store */
+bool in_ledger;			/* the key has a stored record */
 
 inline answer_caller(i, what)
 {
--- a/src/core.c
+++ b/src/core.c
@@ -325,8 +325,9 @@
 
 /*
  * Activates a configuration.  A revision older than the active one can come
- * from a store that was restored from an old backup, or from a peer that lags
- * behind.  It is dropped, because an accepted configuration is never reverted.
+ * from a platform that was restored from an old backup, or from a peer that
+ * lags behind.  It is dropped, because an accepted configuration is never
+ * reverted.
  */
 static void on_config(struct core *core, struct core_event *event)
 {
@@ -397,7 +398,7 @@
 	core->stopping = true;
 }
 
-/* Emits the ledger's store calls and passes its verdicts to the requests. */
+/* Emits the ledger's calls and passes its verdicts to the requests. */
 static void ledger_system(struct core *core)
 {
 	struct kv_call call;
--- a/src/core.h
+++ b/src/core.h
@@ -3,9 +3,9 @@
 
 /*
  * The deterministic core of a router.  It uses no clock, socket or thread.
- * The code that does input and output around it (the shells) posts typed
- * events and executes typed actions; core_tick runs the systems over the
- * tables in a fixed order.  A core belongs to one thread.
+ * The I/O code around it posts typed events and executes typed actions;
+ * core_tick runs the systems over the tables in a fixed order.  A core belongs
+ * to one thread.
  */
 
 #include <stdbool.h>
@@ -55,7 +55,7 @@
 	int64_t wall_ms;
 };
 
-/* How an attempt ended, as seen by the shell that carried it. */
+/* How an attempt ended, as seen by the I/O code that made it. */
 enum core_end {
 	CORE_END_COMPLETE,	/* the complete answer was received */
 	CORE_END_NOT_CONNECTED, /* the connection was never established */
@@ -73,7 +73,7 @@
 	uint32_t attempt;
 	enum core_end end;
 	int stage; /* for CORE_END_STAGE: the failed stage, from 0 */
-	uint32_t silent_stages; /* bits of stages that did not respond */
+	uint32_t silent_stages; /* bit set: did not respond to the probe */
 	int status;		/* HTTP status of the endpoint, 0 if none */
 	uint32_t tokens; /* delivered to the caller so far by all attempts */
 	char *answer; /* for the record, NULL if too long; the core frees it */
@@ -136,7 +136,7 @@
 	};
 };
 
-/* One stage of a dispatched chain, with all that the shell needs. */
+/* One stage of a dispatched chain, with all that the I/O code needs. */
 struct core_stage {
 	char endpoint[MAG_NAME_MAX];
 	char address[MAG_ADDR_MAX];
@@ -173,7 +173,7 @@
 	int status;
 	uint32_t retry_after_s; /* 0: no Retry-After */
 	char why[CORE_WHY_MAX];
-	char *body; /* for CORE_ANSWER_REPLAY; the shell frees it */
+	char *body; /* for CORE_ANSWER_REPLAY; the I/O code frees it */
 	size_t body_len;
 };
 
--- a/src/core_int.h
+++ b/src/core_int.h
@@ -66,7 +66,8 @@
 	bool has_last_chain;
 	int avoid[CORE_AVOID_MAX];
 	int avoid_count;
-	int stalled[MAG_CHAIN_MAX]; /* unblamed endpoints of the last stall */
+	int stalled[MAG_CHAIN_MAX]; /* endpoints of the last stalled chain,
+				       except the one that was blamed */
 	int stalled_count;
 	bool idempotent;
 	bool keyed;	 /* a record in the ledger decides whether it may run */
--- a/src/ctl.h
+++ b/src/ctl.h
@@ -22,7 +22,7 @@
 	CTL_USAGE = 1,	  /* invalid command line or input file */
 	CTL_FAULTS = 2,	  /* the set is not valid; nothing was published */
 	CTL_CONFLICT = 3, /* another change came first, or no base given */
-	CTL_DOWN = 4,	  /* the service or the instances don't answer */
+	CTL_DOWN = 4,	  /* the platform or the instances don't answer */
 	CTL_UNKNOWN = 5,  /* the change may be in force */
 	CTL_REFUSED = 6,  /* damaged, stale, not stored, too large */
 	CTL_PENDING = 7,  /* not all instances hold the revision */
@@ -74,7 +74,7 @@
 	enum ctl_exit (*run)(const struct ctl_args *args);
 };
 
-/* A client of the platform's service that limits the time of each call. */
+/* A client of the platform that limits the time of each call. */
 struct ctl_store {
 	struct pf *pf;
 	struct kv_backend backend;
--- a/src/ctl_fleet.c
+++ b/src/ctl_fleet.c
@@ -9,9 +9,9 @@
 #define CTL_QUERY_US (1 * MAG_US_PER_S) /* for all instances together */
 #define CTL_PATH_MAX 256
 
-/* The revisions held by the instances and by the service. */
+/* The revisions held by the instances and by the platform. */
 struct ctl_fleet {
-	int head_err; /* result of reading the service's head */
+	int head_err; /* result of reading the platform's head */
 	uint64_t revision;
 	size_t holders;
 	json_t *rows;
@@ -70,7 +70,7 @@
 	return holders;
 }
 
-/* magctl status: the revisions of each instance and of the service. */
+/* magctl status: the revisions of each instance and of the platform. */
 enum ctl_exit ctl_status(const struct ctl_args *args)
 {
 	struct ctl_answer answers[CTL_ADDRESSES_MAX];
@@ -82,7 +82,7 @@
 	ctl_query_instances(&args->admin, "/admin/status",
 			    ctl_query_deadline(args->deadline_us), answers);
 	/*
-	 * Without the service, compares with the newest revision that any
+	 * Without the platform, compares with the newest revision that any
 	 * instance holds.
 	 */
 	for (i = 0; i < count && fleet.head_err != PUB_OK; i++) {
@@ -143,7 +143,7 @@
 	return n > 0 ? (uint64_t)n : 0;
 }
 
-/* Reads the revision in the service; PUB_E_ABSENT without its address. */
+/* Reads the revision on the platform; PUB_E_ABSENT without its address. */
 static int ctl_read_head_revision(const struct ctl_args *args,
 				  uint64_t *revision)
 {
--- a/src/ctl_store.c
+++ b/src/ctl_store.c
@@ -9,7 +9,7 @@
 static void ctl_store_call(void *ctx, const struct kv_call *call,
 			   struct kv_reply *reply);
 
-/* Opens a client of the platform's service; false if out of memory. */
+/* Opens a client of the platform; false if out of memory. */
 bool ctl_store_open(struct ctl_store *store, const struct ctl_args *args)
 {
 	const char *addresses[CTL_ADDRESSES_MAX];
@@ -40,7 +40,7 @@
 
 /*
  * Makes a call with a deadline of its own.  With only the deadline of the
- * command, a service that hangs in the first call would leave no time to find
+ * command, a platform that hangs in the first call would leave no time to find
  * out whether that call took effect.
  */
 static void ctl_store_call(void *ctx, const struct kv_call *call,
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -321,9 +321,9 @@
 
 /*
  * Sets this instance's part of the fleet's budget of calls to the platform.
- * The service's rate limits don't grow with the fleet.  If each instance had a
- * budget of its own, a growing fleet would exceed them, and bookings would be
- * refused first.
+ * The platform's rate limits don't grow with the fleet.  If each instance had a
+ * budget of its own, a growing fleet would exceed them, and reservations would
+ * be refused first.
  */
 static void on_role(struct daemon *daemon, const struct inst_role *role)
 {
@@ -349,7 +349,7 @@
 		front_deliver(daemon->front, action);
 }
 
-/* Passes a reply of the platform's service to the core. */
+/* Passes a reply of the platform to the core. */
 static void on_kv_reply(void *ctx, const struct kv_reply *reply)
 {
 	struct daemon *daemon = ctx;
--- a/src/ep.h
+++ b/src/ep.h
@@ -44,7 +44,7 @@
 enum ep_poll_result {
 	EP_CONTINUE,
 	EP_CANCEL,
-	EP_PROBE, /* probe the stages; cancel if one does not answer */
+	EP_PROBE, /* probe the stages; cancel if one does not respond */
 };
 
 /* Callbacks of a running attempt. */
@@ -54,7 +54,7 @@
 			 const uint32_t *hop_us, int hop_count);
 	/* Called repeatedly; decides whether the attempt continues. */
 	enum ep_poll_result (*poll)(void *ctx);
-	/* Every stage answered the probe; the attempt continues. */
+	/* Every stage responded to the probe; the attempt continues. */
 	void (*on_stages_alive)(void *ctx);
 	void *ctx;
 };
@@ -62,7 +62,7 @@
 struct ep_answer {
 	enum core_end end;
 	int failed_stage;
-	uint32_t silent_stages; /* mask of those without an answer */
+	uint32_t silent_stages; /* bit set: did not respond to the probe */
 	int status;
 	char content_type[EP_TYPE_MAX];
 	char *headers; /* plain: header lines to relay; the caller frees it */
--- a/src/ep_int.h
+++ b/src/ep_int.h
@@ -31,7 +31,7 @@
 			     size_t len);
 	/* Sets how the attempt ended; called after the transfer. */
 	void (*finish)(struct ep_call *call, CURLcode code);
-	/* Probes each stage; returns a mask of those without an answer. */
+	/* Probes each stage; returns a mask of those that did not respond. */
 	uint32_t (*probe)(struct ep_call *call);
 	/* Tells the endpoint that the attempt is cancelled. */
 	void (*cancel)(struct ep_call *call);
--- a/src/ep_plain.c
+++ b/src/ep_plain.c
@@ -65,7 +65,7 @@
 /*
  * A response is valid only if it is complete and has the ids of this attempt.
  * Otherwise an endpoint or a relay that mixes up responses would give one
- * caller the booking of another.  A service that echoes no ids is accepted:
+ * caller the response to another.  A service that echoes no ids is accepted:
  * a request that must not run twice has a connection of its own.
  */
 static void plain_finish(struct ep_call *call, CURLcode code)
@@ -104,7 +104,7 @@
 	(void)call;
 }
 
-/* A plain service has no probe; its only stage counts as not answering. */
+/* A plain service has no probe; its only stage counts as not responding. */
 static uint32_t plain_probe(struct ep_call *call)
 {
 	(void)call;
--- a/src/ep_probe.c
+++ b/src/ep_probe.c
@@ -17,7 +17,7 @@
  * its connections open, and the stages before it merely wait.  If one of those
  * were blamed, the next chain would include the stage that hangs, and the
  * caller would wait for it again.  Returns a bit mask of the stages that did
- * not answer.
+ * not respond.
  */
 uint32_t ep_engine_probe(struct ep_call *call)
 {
--- a/src/fleet.c
+++ b/src/fleet.c
@@ -250,7 +250,7 @@
 	return true;
 }
 
-/* Returns the next call to the platform's service; false if none. */
+/* Returns the next call to the platform; false if none. */
 bool fleet_next_call(struct fleet *fleet, struct kv_call *call)
 {
 	if (fleet->list_pending) {
@@ -333,7 +333,7 @@
 
 /*
  * Returns one instance's part of the calls that all instances together may
- * make to the platform's service, at least one.  Equal parts need no messages
+ * make to the platform, at least one.  Equal parts need no messages
  * between instances, so they remain valid across any network partition.
  */
 uint32_t fleet_call_part(uint32_t fleet_calls_per_s, uint32_t listed)
--- a/src/fleet.h
+++ b/src/fleet.h
@@ -108,7 +108,7 @@
 bool fleet_next_send(struct fleet *fleet, char address[MAG_ADDR_MAX],
 		     struct peer_msg *msg);
 
-/* Calls to the platform's service; call ids are unique within one fleet. */
+/* Calls to the platform; call ids are unique within one fleet. */
 bool fleet_next_call(struct fleet *fleet, struct kv_call *call);
 int fleet_reply(struct fleet *fleet, const struct kv_reply *reply, int64_t now);
 
--- a/src/front_req.c
+++ b/src/front_req.c
@@ -171,7 +171,7 @@
 	return result;
 }
 
-/* Reports that all stages answered the probe, so the core waits longer. */
+/* Reports that all stages responded to the probe, so the core waits longer. */
 static void on_stages_alive(void *ctx)
 {
 	struct front_req *req = ctx;
--- a/src/inst.c
+++ b/src/inst.c
@@ -4,8 +4,8 @@
 #include "inst.h"
 
 /*
- * The module that makes a call to the platform's service assigns its id.  This
- * bit distinguishes the fleet's ids from the core's.
+ * The module that makes a call to the platform assigns its id.  This bit
+ * distinguishes the fleet's ids from the core's.
  */
 #define INST_FLEET_CALL_BIT (UINT64_C(1) << 63)
 /* Interval at which the callers' demand on the limits goes to the fleet. */
--- a/src/inst.h
+++ b/src/inst.h
@@ -53,7 +53,7 @@
 	struct peer_msg msg;
 };
 
-/* The role of this instance in the calls to the platform's service. */
+/* The role of this instance in the calls to the platform. */
 struct inst_role {
 	bool bridge;	       /* watches the head record for its data centre */
 	uint32_t listed_count; /* that share the call budget; 0: unknown */
--- a/src/ldg_seg.c
+++ b/src/ldg_seg.c
@@ -7,7 +7,7 @@
 						  const uint8_t *intent);
 static void ldg_seg_remove(struct ldg_seg *seg, struct ldg_rec *rec);
 
-/* Creates an empty segment in memory; version 0: not in the store. */
+/* Creates an empty segment in memory; version 0: not on the platform. */
 struct ldg_seg *ldg_seg_new(uint32_t number)
 {
 	struct ldg_seg *seg = calloc(1, sizeof(*seg));
--- a/src/lim.c
+++ b/src/lim.c
@@ -450,12 +450,12 @@
 	}
 	for (i = 0; i < lim->row_count; i++) {
 		struct lim_row *row = &lim->rows[i];
-		double part = lim_fraction(row->announced, row->total,
-					   lim->group_size, lim->part_count,
-					   lim_size(row));
+		double fraction = lim_fraction(row->announced, row->total,
+					       lim->group_size, lim->part_count,
+					       lim_size(row));
 
-		if (next || part < row->slot_min[lim->slot])
-			row->slot_min[lim->slot] = part;
+		if (next || fraction < row->slot_min[lim->slot])
+			row->slot_min[lim->slot] = fraction;
 	}
 }
 
--- a/src/lim.h
+++ b/src/lim.h
@@ -3,10 +3,10 @@
 
 /*
  * Limits that apply to the whole fleet, divided among its instances.  Of n
- * listed instances each is entitled to 1/n of a limit.  Instances that reach
- * each other pool their entitlements and divide the pool by demand, so the
- * shares on all sides of a network partition add up to the limit.
- * Deterministic: the caller passes the time in.
+ * listed instances each has a part of 1/n of a limit.  Instances that reach
+ * each other pool their parts and divide the pool by demand, so the shares on
+ * all sides of a network partition add up to the limit.  Deterministic: the
+ * caller passes the time in.
  */
 
 #include <stdbool.h>
--- a/src/loop.h
+++ b/src/loop.h
@@ -4,7 +4,7 @@
 /*
  * Event loop: the thread that owns the instance (core and fleet).  It receives
  * events from all threads, runs a tick when there is an event or a deadline is
- * due, and delivers the resulting actions to the I/O modules.
+ * due, and delivers the resulting actions to the I/O code.
  */
 
 #include "inst.h"
--- a/src/pace.h
+++ b/src/pace.h
@@ -2,7 +2,7 @@
 #define PACE_H
 
 /*
- * Times of calls to the platform's service: periods with a small random
+ * Times of calls to the platform: periods with a small random
  * jitter, and exponential backoff with a large one after a failure.
  * Deterministic: the caller passes the seed and the time in.
  */
--- a/src/pf.c
+++ b/src/pf.c
@@ -118,7 +118,7 @@
 };
 
 /*
- * Creates a client of the service at the given "ip:port" addresses, which are
+ * Creates a client of the platform at the given "ip:port" addresses, which are
  * copied; at most PF_ADDRESSES_MAX are used.  Does not connect yet.  Returns
  * NULL if out of memory, if there is no address or if one is too long.  Calls
  * curl_global_init, so create the first client before any thread starts.
@@ -347,7 +347,7 @@
 	return KV_NO_ANSWER;
 }
 
-/* Converts the service's response to the reply. */
+/* Converts the platform's response to the reply. */
 static enum kv_status pf_status_of_response(struct pf_request *req, CURL *curl)
 {
 	struct kv_reply *reply = req->reply;
@@ -402,7 +402,7 @@
 	return 0;
 }
 
-/* Long-polls a key: the service delays the GET until the version differs. */
+/* Long-polls a key: the platform delays the GET until the version differs. */
 static int pf_prepare_watch(struct pf_request *req, const char *address)
 {
 	int64_t wait_ms =
@@ -478,8 +478,8 @@
  * Asks the gate to admit a call and, if calls are paced, waits for the budget.
  * A ledger whose swap is refused for lack of budget must read before it may
  * report not-run, and those reads use up the budget that the swaps need: at 100
- * calls per second, 24 callers got 12 bookings per second and 8 reads for each
- * booking.  While a call waits, the reservations behind it can join one swap.
+ * calls per second, 24 callers got 12 reservations per second and 8 reads for
+ * each reservation.  While a call waits, those behind it can join one swap.
  */
 static enum pf_gate_verdict pf_admit_paced(struct pf *pf, int64_t deadline_us)
 {
@@ -505,7 +505,7 @@
 	return verdict;
 }
 
-/* Records a call's result and logs when the service goes down or returns. */
+/* Records a call's result and logs an outage of the platform or its end. */
 static void pf_record_result(struct pf *pf, enum kv_status status)
 {
 	bool reached = status != KV_NOT_SENT && status != KV_NO_ANSWER;
--- a/src/pf_async.h
+++ b/src/pf_async.h
@@ -1,7 +1,7 @@
 #ifndef PF_ASYNC_H
 #define PF_ASYNC_H
 
-/* Thread pool for calls to the platform's service. */
+/* Thread pool for calls to the platform. */
 
 #include "kv.h"
 
--- a/src/pf_gate.c
+++ b/src/pf_gate.c
@@ -43,12 +43,12 @@
 }
 
 /*
- * Decides whether a call may be sent.  While the service is down, one call per
+ * Decides whether a call may be sent.  While the platform is down, one call per
  * pause is sent as a probe and the others fail immediately, so callers learn of
  * the outage without waiting for a timeout.  Each instance draws its own random
  * pauses, so that the fleet does not return in one burst that would overload
- * the service again.  Such a burst would show as rate-limited calls right after
- * the event platform-reachable.
+ * the platform again.  Such a burst would show as rate-limited calls right
+ * after the event platform-reachable.
  */
 enum pf_gate_verdict pf_gate_admit(struct pf_gate *gate, int64_t now)
 {
@@ -73,7 +73,7 @@
 }
 
 /*
- * Records whether a call reached the service.  Returns true if gate->down has
+ * Records whether a call reached the platform.  Returns true if gate->down has
  * changed.
  */
 bool pf_gate_record_result(struct pf_gate *gate, bool reached, int64_t now)
--- a/src/pf_gate.h
+++ b/src/pf_gate.h
@@ -2,9 +2,9 @@
 #define PF_GATE_H
 
 /*
- * Decides whether a call to the platform's service may be sent now.  Applies a
- * budget of calls per second, and pauses after failures.  Deterministic: the
- * caller serializes access and passes the time.
+ * Decides whether a call to the platform may be sent now.  Applies a budget of
+ * calls per second, and pauses after failures.  Deterministic: the caller
+ * serializes access and passes the time.
  */
 
 #include <stdbool.h>
@@ -24,7 +24,7 @@
 	uint32_t consecutive_failures; /* since the last response */
 	int64_t retry_at_us;	       /* when down: time of the next probe */
 	uint64_t rng_state;
-	bool down; /* the service is considered unreachable */
+	bool down; /* the platform is considered unreachable */
 };
 
 void pf_gate_init(struct pf_gate *gate, uint64_t seed);
--- a/src/pick.h
+++ b/src/pick.h
@@ -74,7 +74,7 @@
 struct pick_result {
 	enum pick_result_kind kind;
 	int failed_stage;	/* the stage at fault, or -1 */
-	uint32_t silent_stages; /* bit set: did not answer when queried */
+	uint32_t silent_stages; /* bit set: did not respond to the probe */
 	uint32_t tokens;
 	int64_t first_token_us; /* from dispatch, 0 without a token */
 	int64_t duration_us;
--- a/src/pick_health.c
+++ b/src/pick_health.c
@@ -182,8 +182,8 @@
 }
 
 /*
- * Counts a failure of each stage that did not answer when queried; such a stage
- * certainly hangs.
+ * Counts a failure of each stage of a stalled stream that did not respond to
+ * the probe; such a stage certainly hangs.
  */
 static void pick_health_silent_stages(struct pick *pick,
 				      const struct pick_chain *chain,
--- a/src/pub.h
+++ b/src/pub.h
@@ -32,14 +32,14 @@
 enum pub_err {
 	PUB_OK = 0,
 	PUB_E_ABSENT = -1,    /* nothing was ever published */
-	PUB_E_DOWN = -2,      /* no answer from the service; nothing changed */
-	PUB_E_UNKNOWN = -3,   /* no answer to the swap; it may be in force */
+	PUB_E_DOWN = -2,      /* no reply from the platform; nothing changed */
+	PUB_E_UNKNOWN = -3,   /* no reply to the swap; it may be in force */
 	PUB_E_CONFLICT = -4,  /* another change was published first */
 	PUB_E_INVALID = -5,   /* the set is not valid */
 	PUB_E_DAMAGED = -6,   /* the stored configuration can't be read */
 	PUB_E_BASE = -7,      /* no base revision, or not the one held */
 	PUB_E_STALE = -8,     /* older than a revision already read */
-	PUB_E_SIZE = -9,      /* too large for the service, or for an edit */
+	PUB_E_SIZE = -9,      /* too large for the platform, or for an edit */
 	PUB_E_GONE = -10,     /* that past revision is no longer stored */
 	PUB_E_REJECTED = -11, /* an offer or edit that fails its checks */
 	PUB_E_MEMORY = -12,
@@ -71,7 +71,7 @@
 	uint64_t revision;	/* holds the change, or is in force */
 	bool already_published; /* by an earlier try with the same id */
 	bool unchanged;		/* the set is already in force */
-	size_t writes;		/* write calls to the service */
+	size_t writes;		/* write calls to the platform */
 	size_t written_bytes;	/* bytes in these calls */
 	json_t *difference; /* PUB_E_CONFLICT, PUB_E_BASE: as from pub_diff */
 	struct cfg_faults *faults; /* PUB_E_INVALID */
@@ -111,7 +111,7 @@
 int pub_history(struct pub *pub, int64_t deadline_us,
 		struct pub_change *changes, size_t max, size_t *count);
 
-/* Exchange between instances, without the service. */
+/* Exchange between instances, without the platform. */
 bool pub_accepts_revision(uint64_t current, uint64_t offered);
 int pub_digest(const char *text, size_t len, char digest[PUB_DIGEST_HEX]);
 int pub_check_offer(uint64_t current, uint64_t offered, const char *digest,
--- a/src/pub_apply.c
+++ b/src/pub_apply.c
@@ -16,7 +16,7 @@
 	uint64_t version;		  /* of the head's key */
 	struct pub_head next;		  /* replaces the head */
 	bool damaged;			  /* the set in force can't be read */
-	bool unresolved; /* a swap got no answer, its result is unknown */
+	bool unresolved; /* a swap got no reply, its result is unknown */
 };
 
 /* Internal: the head changed; read it and try again. */
@@ -44,7 +44,7 @@
 
 /*
  * Publishes a whole set.  On PUB_OK result->revision holds it.  The change id
- * makes the request idempotent: if an answer was lost, the same request with
+ * makes the request idempotent: if a reply was lost, the same request with
  * the same id can be repeated and is published only once.  The caller must
  * clear the result in every case.
  */
@@ -122,11 +122,11 @@
 }
 
 /*
- * Searches for the change id.  After a swap without an answer, or if the
+ * Searches for the change id.  After a swap without a reply, or if the
  * operator says that an earlier try may be in force, past heads are searched
  * too, because other changes may have been published since.
  *
- * A swap of this run that got no answer can't take effect any more: the head
+ * A swap of this run that got no reply can't take effect any more: the head
  * has changed since, so its expected version no longer matches.  A swap of an
  * earlier run still can, because the head may be the one that it replaces.  A
  * request with the resume flag is therefore never reported as "nothing
@@ -379,7 +379,7 @@
 }
 
 /*
- * Replaces the head by compare-and-swap.  A swap without an answer may have
+ * Replaces the head by compare-and-swap.  A swap without a reply may have
  * taken effect or may do so later.  It is sent again, which is safe: all of
  * them expect the same version, so only one can succeed.  After a conflict the
  * caller reads the head again and finds out by the change id whether one of its
--- a/src/pub_chunk.c
+++ b/src/pub_chunk.c
@@ -70,7 +70,7 @@
 /*
  * Reads the chunks that are not in the cache.  If one fails, the chunks read so
  * far stay in the cache and the next try continues from there.  Without this, a
- * set could never be read completely from a service that fails every hundredth
+ * set could never be read completely from a platform that fails every hundredth
  * call.
  */
 static int pub_load_chunks(struct pub *pub, int64_t deadline_us,
--- a/src/pub_head.c
+++ b/src/pub_head.c
@@ -18,7 +18,7 @@
 
 /*
  * Parses a head record and validates all of it, because other tools can write
- * to the service as well.  Returns PUB_E_DAMAGED if it is not valid.
+ * to the platform as well.  Returns PUB_E_DAMAGED if it is not valid.
  */
 int pub_head_parse(struct pub_head *head, const char *text, size_t len)
 {
--- a/src/pub_int.h
+++ b/src/pub_int.h
@@ -52,15 +52,15 @@
 	size_t change_count;
 };
 
-/* State of one publisher or reader of the service. */
+/* State of one publisher or reader of the configuration. */
 struct pub {
 	struct kv_backend backend;
 	uint64_t next_call_id;
 	uint64_t highest_revision;	    /* read or published */
 	char highest_change_id[PUB_ID_MAX]; /* change that made it */
-	uint64_t head_version; /* store version of the head's key */
-	json_t *cache;	       /* chunk texts by digest */
-	int last_result;       /* PUB_OK or error of the last pub_read */
+	uint64_t head_version;		    /* version of the head's key */
+	json_t *cache;			    /* chunk texts by digest */
+	int last_result; /* PUB_OK or error of the last pub_read */
 };
 
 /* pub_objects.c */
--- a/src/pub_kv.c
+++ b/src/pub_kv.c
@@ -35,7 +35,7 @@
 
 /*
  * Creates a key that only ever gets one value, such as a past head under its
- * revision.  Hence the write is repeated if its answer was lost, and a conflict
+ * revision.  Hence the write is repeated if its reply was lost, and a conflict
  * counts as success because the existing value is the same.
  */
 int pub_create(struct pub *pub, const char *key, const char *value,
--- a/src/pub_read.c
+++ b/src/pub_read.c
@@ -36,7 +36,7 @@
 	return err_texts[-(int)err];
 }
 
-/* Returns a reader and publisher for a service, NULL if out of memory. */
+/* Returns a reader and publisher for a platform, NULL if out of memory. */
 struct pub *pub_new(struct kv_backend backend)
 {
 	struct pub *pub = calloc(1, sizeof(*pub));
@@ -65,7 +65,7 @@
  * in chunk order: sorting 10,000 of them for each change would cost more than
  * the rest of the function.
  *
- * After an outage the service may return an older head.  An instance that
+ * After an outage the platform may return an older head.  An instance that
  * adopted it would undo changes that operators were told are in force.  A head
  * below the highest revision read or published so far is therefore PUB_E_STALE
  * and changes nothing.
@@ -91,7 +91,7 @@
 /*
  * Waits until the head differs from the one that was read last, or until the
  * deadline.  Returns PUB_OK if it differs, PUB_E_ABSENT if it is the same when
- * the wait ends, PUB_E_DOWN if the service does not answer.
+ * the wait ends, PUB_E_DOWN if the platform does not reply.
  */
 int pub_watch(struct pub *pub, int64_t deadline_us)
 {
@@ -201,7 +201,7 @@
 
 /*
  * Returns true if a head is older than one that was read before.  If the
- * service returns an older head after an outage, new publications can reach a
+ * platform returns an older head after an outage, new publications can reach a
  * revision number that other content already had.  So for an equal revision the
  * change that made it has to be the same too.
  */
--- a/src/req_run.c
+++ b/src/req_run.c
@@ -138,7 +138,7 @@
 	core->running--;
 }
 
-/* Asks the shell to cancel the current attempt and the endpoint's work. */
+/* Asks the I/O code to cancel the current attempt and the endpoint's work. */
 void req_cancel(struct core *core, struct core_req *req, bool probe)
 {
 	struct core_cancel *cancel;
--- a/src/rev.c
+++ b/src/rev.c
@@ -5,7 +5,7 @@
 #include "rev.h"
 
 #define REV_EDITS	32    /* edits stored for peers */
-#define REV_EDITS_BYTES 65536 /* most in one answer to a peer */
+#define REV_EDITS_BYTES 65536 /* most in one reply to a peer */
 
 /* The edit from one revision to a later one. */
 struct rev_edit {
--- a/src/set.h
+++ b/src/set.h
@@ -48,7 +48,7 @@
 	char listen[MAG_ADDR_MAX];     /* for callers */
 	char admin[MAG_ADDR_MAX];      /* for operators and the balancer */
 	char rpc[MAG_ADDR_MAX];	       /* for peers */
-	struct set_addresses platform; /* of the platform's service */
+	struct set_addresses platform; /* of the platform (key-value service) */
 	struct set_addresses peers;    /* rpc addresses to contact first */
 	uint32_t threads;	       /* most concurrent callers */
 	uint32_t body_max_bytes;       /* of a caller's request */
--- a/src/watch.c
+++ b/src/watch.c
@@ -222,7 +222,7 @@
  * Bridges watch the head of the configuration; the others receive a new
  * revision from them and only poll from time to time.  A waiting watch counts
  * as a call: with 700 instances, one watch each would use most of the calls
- * that the service accepts.
+ * that the platform accepts.
  */
 void watch_set_role(struct watch *watch, bool bridge, uint32_t instances)
 {
@@ -257,7 +257,8 @@
 		}
 		/*
 		 * After an outage all instances retry at the same time; the
-		 * jitter spreads their calls to stay within the service's rate.
+		 * jitter spreads their calls to stay within the platform's
+		 * rate limit.
 		 */
 		sleep_until(watch, clk_now_us() + backoff_us / 2 +
 					   rand_r(&watch->seed) % backoff_us);
