--- a/src/cfg_copy.c
+++ b/src/cfg_copy.c
@@ -38,7 +38,7 @@
 	return CFG_OK;
 }
 
-/* Copies a table.  Returns NULL only without memory, not if it is empty. */
+/* Copies a table.  Returns NULL only if out of memory, not if it is empty. */
 void *cfg_copy_table(const void *table, size_t count, size_t size)
 {
 	void *copy = calloc(count ? count : 1, size);
--- a/src/cfg_msg.c
+++ b/src/cfg_msg.c
@@ -22,7 +22,7 @@
 static const struct cfg_msg_entry cfg_msgs[] = { CFG_MSGS };
 #undef CFG_MSG
 
-/* Returns an empty list of faults, or NULL if memory runs out. */
+/* Returns an empty list of faults, or NULL if out of memory. */
 struct cfg_faults *cfg_faults_new(void)
 {
 	struct cfg_faults *faults = calloc(1, sizeof(*faults));
--- a/src/core.c
+++ b/src/core.c
@@ -178,7 +178,7 @@
 }
 
 /*
- * Returns the active configuration, NULL before the first.  The pointer is
+ * Returns the configuration in force, NULL before the first.  The pointer is
  * valid until the next tick.
  */
 const struct cfg_set *core_config(const struct core *core)
@@ -220,7 +220,7 @@
 	return adm_demand(core->adm, limit, core->now);
 }
 
-/* Returns the active revision, 0 before the first configuration. */
+/* Returns the revision in force, 0 before the first configuration. */
 uint64_t core_revision(const struct core *core)
 {
 	return core->set ? core->set->revision : 0;
@@ -324,9 +324,9 @@
 }
 
 /*
- * Activates a configuration.  A revision older than the active one can come
- * from a platform that was restored from an old backup, or from a peer that
- * lags behind.  It is dropped, because an accepted configuration is never
+ * Puts a configuration in force.  A revision older than the one in force can
+ * come from a platform that was restored from an old backup, or from a peer
+ * that lags behind.  It is dropped, because an accepted configuration is never
  * reverted.
  */
 static void on_config(struct core *core, struct core_event *event)
--- a/src/fleet.c
+++ b/src/fleet.c
@@ -60,8 +60,8 @@
 static void fleet_apply_role(struct fleet *fleet);
 
 /*
- * Creates one instance's view of the fleet.  Returns NULL when memory is
- * short or the data centre's name is too long.
+ * Creates one instance's view of the fleet.  Returns NULL if out of memory or
+ * if the data centre's name is too long.
  */
 struct fleet *fleet_new(const struct fleet_settings *settings, int64_t now)
 {
@@ -95,7 +95,7 @@
 
 /*
  * Applies the configuration set in force, which must remain valid until the
- * next call.  When memory is short, returns FLEET_E_MEMORY and retains the old
+ * next call.  If out of memory, returns FLEET_E_MEMORY and retains the old
  * limits.
  */
 int fleet_config(struct fleet *fleet, const struct cfg_set *set, int64_t now)
--- a/src/flt.c
+++ b/src/flt.c
@@ -18,7 +18,7 @@
 static bool flt_grow(struct flt_list *list);
 static void flt_replace_unprintable(char *text);
 
-/* Creates an empty list; returns NULL without memory. */
+/* Creates an empty list; returns NULL if out of memory. */
 struct flt_list *flt_new(void)
 {
 	return calloc(1, sizeof(struct flt_list));
@@ -37,7 +37,7 @@
 	free(list);
 }
 
-/* Adds a message; marks the list as incomplete without memory for it. */
+/* Adds a message; marks the list as incomplete if out of memory. */
 void flt_add(struct flt_list *list, const char *fmt, ...)
 {
 	char text[FLT_TEXT_MAX];
--- a/src/inst.c
+++ b/src/inst.c
@@ -47,7 +47,7 @@
 	[FLEET_UPDATE_REVISION] = on_revision,
 };
 
-/* Creates an instance; returns NULL if memory is short. */
+/* Creates an instance; returns NULL if out of memory. */
 struct inst *inst_new(const struct inst_settings *settings, int64_t now)
 {
 	struct inst *inst = calloc(1, sizeof(*inst));
--- a/src/lim.c
+++ b/src/lim.c
@@ -30,7 +30,7 @@
 static double lim_usable_fraction(const struct lim_row *row);
 
 /*
- * Creates an empty table of limits; returns NULL without memory.
+ * Creates an empty table of limits; returns NULL if out of memory.
  * instances_max is the largest number of instances that the site runs.
  * Limits are divided by it while no list of instances is known.
  */
--- a/src/ord.c
+++ b/src/ord.c
@@ -67,7 +67,7 @@
 	return ord;
 }
 
-/* Queues an order.  Returns 0, or -1 if memory is short. */
+/* Queues an order.  Returns 0, or -1 if out of memory. */
 int ord_post(struct ord *ord, const struct plc_order *order)
 {
 	struct ord_node *node = malloc(sizeof(*node));
--- a/src/peer.c
+++ b/src/peer.c
@@ -23,7 +23,7 @@
 static int peer_count_drop(int err);
 
 /*
- * Creates the membership of one instance.  Returns NULL when memory is short.
+ * Creates the membership of one instance.  Returns NULL if out of memory.
  */
 struct peer *peer_new(const struct peer_settings *settings, int64_t now)
 {
--- a/src/plc.c
+++ b/src/plc.c
@@ -36,7 +36,7 @@
 static void plc_load_done(struct plc *plc, struct plc_engine *engine,
 			  const struct plc_order_result *result, int64_t now);
 
-/* Creates the placement of one data centre; returns NULL without memory. */
+/* Creates the placement of one data centre; returns NULL if out of memory. */
 struct plc *plc_new(const struct plc_settings *settings, int64_t now)
 {
 	struct plc *plc = calloc(1, sizeof(*plc));
--- a/src/shr.c
+++ b/src/shr.c
@@ -58,7 +58,7 @@
 	"stage_us",
 };
 
-/* Creates an empty table; returns NULL without memory. */
+/* Creates an empty table; returns NULL if out of memory. */
 struct shr *shr_new(void)
 {
 	struct shr *shr = calloc(1, sizeof(*shr));
--- a/src/spread.c
+++ b/src/spread.c
@@ -55,7 +55,7 @@
 static bool spread_supersedes(const struct spread_record *record,
 			      const struct peer_record *rec, int64_t until_us);
 
-/* Creates a log of at most max_records; returns NULL without memory. */
+/* Creates a log of at most max_records; returns NULL if out of memory. */
 struct spread *spread_new(uint32_t max_records)
 {
 	struct spread *spread = calloc(1, sizeof(*spread));
@@ -361,7 +361,7 @@
 
 /*
  * Returns the state of a link, which is reset for a new incarnation of the
- * peer; NULL without memory.
+ * peer; NULL if out of memory.
  */
 static struct spread_link *spread_link(struct spread *spread,
 				       const struct peer *peer, int link)
--- a/src/watch.c
+++ b/src/watch.c
@@ -56,7 +56,7 @@
 static json_t *fetch_list(struct watch *watch, enum kv_op op,
 			  const char *field);
 
-/* Starts the threads that follow the platform; returns NULL without memory. */
+/* Starts threads that follow the platform; returns NULL if out of memory. */
 struct watch *watch_start(const struct watch_settings *settings,
 			  const struct kv_backend *backend, struct loop *loop,
 			  struct front *front)
