--- a/src/inst.c
+++ b/src/inst.c
@@ -4,8 +4,8 @@
 #include "inst.h"
 
 /*
- * The module that makes a call to the platform's service assigns its id.  This
- * bit distinguishes the fleet's ids from the core's.
+ * The module that makes a call to the platform assigns its id.  This bit
+ * distinguishes the fleet's ids from the core's.
  */
 #define INST_FLEET_CALL_BIT (UINT64_C(1) << 63)
 /* Interval at which the callers' demand on the limits goes to the fleet. */
@@ -47,7 +47,7 @@
 	[FLEET_UPDATE_REVISION] = on_revision,
 };
 
-/* Creates an instance; returns NULL if memory is short. */
+/* Creates an instance; returns NULL if out of memory. */
 struct inst *inst_new(const struct inst_settings *settings, int64_t now)
 {
 	struct inst *inst = calloc(1, sizeof(*inst));
--- a/src/lim.c
+++ b/src/lim.c
@@ -23,14 +23,14 @@
 static void lim_sum_demand(struct lim *lim, const struct peer *peer);
 static uint32_t lim_count_parts(struct lim *lim, const struct peer *peer);
 static void lim_add_link(struct lim *lim, int link, bool local);
-static void lim_use_chief_totals(struct lim *lim, const struct peer *peer,
-				 int chief);
+static void lim_use_aggregator_totals(struct lim *lim, const struct peer *peer,
+				      int aggregator);
 static void lim_update_window(struct lim *lim, const struct peer *peer,
 			      int64_t now);
 static double lim_usable_fraction(const struct lim_row *row);
 
 /*
- * Creates an empty table of limits; returns NULL without memory.
+ * Creates an empty table of limits; returns NULL if out of memory.
  * instances_max is the largest number of instances that the site runs.
  * Limits are divided by it while no list of instances is known.
  */
@@ -350,7 +350,7 @@
 	}
 	lim->part_count = listed;
 	if (peer_aggregator(peer) >= 0)
-		lim_use_chief_totals(lim, peer, peer_aggregator(peer));
+		lim_use_aggregator_totals(lim, peer, peer_aggregator(peer));
 	if (lim->part_count < lim->group_size)
 		lim->part_count = lim->group_size;
 }
@@ -404,19 +404,19 @@
  * would use this instance's part.  In that case this instance uses the part
  * of one instance only.
  */
-static void lim_use_chief_totals(struct lim *lim, const struct peer *peer,
-				 int chief)
+static void lim_use_aggregator_totals(struct lim *lim, const struct peer *peer,
+				      int aggregator)
 {
 	const struct lim_link *state = NULL;
-	uint32_t listed = peer_link_listed_count(peer, chief);
+	uint32_t listed = peer_link_listed_count(peer, aggregator);
 	size_t i;
 
-	if ((size_t)chief < lim->link_count)
-		state = &lim->links[chief];
+	if ((size_t)aggregator < lim->link_count)
+		state = &lim->links[aggregator];
 	lim->group_size = 1;
 	if (state && state->received && state->sends_totals &&
-	    peer_link_agrees(peer, chief)) {
-		lim->group_size = peer_link_group_size(peer, chief);
+	    peer_link_agrees(peer, aggregator)) {
+		lim->group_size = peer_link_group_size(peer, aggregator);
 		lim->part_count = listed; /* the bridge's list is newer */
 	} else if (listed > lim->part_count) {
 		lim->part_count = listed;
@@ -450,12 +450,12 @@
 	}
 	for (i = 0; i < lim->row_count; i++) {
 		struct lim_row *row = &lim->rows[i];
-		double part = lim_fraction(row->announced, row->total,
-					   lim->group_size, lim->part_count,
-					   lim_size(row));
+		double fraction = lim_fraction(row->announced, row->total,
+					       lim->group_size, lim->part_count,
+					       lim_size(row));
 
-		if (next || part < row->slot_min[lim->slot])
-			row->slot_min[lim->slot] = part;
+		if (next || fraction < row->slot_min[lim->slot])
+			row->slot_min[lim->slot] = fraction;
 	}
 }
 
