--- a/spec/copy.pml
+++ b/spec/copy.pml
@@ -1,8 +1,8 @@
 /*
  * The age of the configuration while the store is restored from an older
- * backup (src/era.c, edge_fresh).  A key is removed at any moment.  The backup
- * may lack that change; the operator then writes it again within SETTLE of the
- * restore.
+ * backup (src/era.c, era_is_authoritative).  A key is removed at any moment.
+ * The backup may lack that change; the operator then writes it again within
+ * SETTLE of the restore.
  *
  * Property: a router that still holds the old configuration never considers it
  * confirmed at a moment after the change.
--- a/src/attest.h
+++ b/src/attest.h
@@ -19,7 +19,7 @@
 
 #include "mag.h"
 
-/* One router's statement to another on the configuration. */
+/* One router's claim to another on the configuration. */
 struct attest_claim {
 	uint32_t session; /* of the receiver; 0: no message from it yet */
 	int64_t echo_us;  /* newest clock reading received from it */
--- a/src/chn.c
+++ b/src/chn.c
@@ -18,9 +18,9 @@
  *
  * Load pattern: a worker is lost, and all streams of its data centre restart
  * within milliseconds.  If all went to the single cheapest chain, the last of
- * them would wait until all prompts before it had been read there.  The price
- * includes the prompts that are queued at each worker, so the streams spread
- * over the chains of all data centres.
+ * them would wait for the prefill of all prompts before it.  The price includes
+ * the prefill that is queued at each worker, so the streams spread over the
+ * chains of all data centres.
  */
 int chn_choose(const struct chn_request *request,
 	       const struct chn_worker *workers, int count,
@@ -41,14 +41,14 @@
 
 /*
  * Finds the cheapest continuation of a chain whose first hop stays.  Workers
- * that retain their layers cost only their time per token; others first read
- * the whole stream so far through their layers.  The returned chain begins
- * after the first hop, whose worker must not be in the list.
+ * that retain their layers cost only their time per token; others first
+ * prefill the whole stream so far through their layers.  The returned chain
+ * begins after the first hop, whose worker must not be in the list.
  *
  * Load pattern: a worker dies, and all streams of a data centre lose the same
- * layers at once.  A restarted stream has its prompt read by every worker, a
- * repaired one only by the new worker.  The prompt reading queued at a worker
- * is therefore part of its price.
+ * layers at once.  Every worker repeats the prefill of a restarted stream, only
+ * the new worker that of a repaired one.  The prefill queued at a worker is
+ * therefore part of its price.
  */
 int chn_repair(const struct chn_request *request,
 	       const struct chn_first_hop *first,
--- a/src/chn.h
+++ b/src/chn.h
@@ -49,9 +49,9 @@
 	/* In a repair: layers of this stream that the worker already runs. */
 	int retained_from;
 	int retained_to;
-	/* Time to read (prefill) the stream's tokens through one layer. */
+	/* Prefill time of the stream's tokens through one layer. */
 	double prefill_us;
-	/* Time to read the prompts that are queued there already. */
+	/* Prefill time of the prompts that are queued there already. */
 	double prefill_backlog_us;
 };
 
@@ -67,8 +67,8 @@
 	/* Price of a first worker outside the instance's data centre. */
 	double remote_entry_us;
 	/*
-	 * The stream's events are due, so the time to read its prompt is part
-	 * of the price.
+	 * The stream's events are due, so the time of its prefill is part of
+	 * the price.
 	 */
 	bool price_prefill;
 };
--- a/src/edge_follow.c
+++ b/src/edge_follow.c
@@ -154,33 +154,33 @@
 {
 	char text[EDGE_WHY_MAX];
 	char why[EDGE_WHY_MAX];
-	struct rt_set *fresh;
+	struct rt_set *decoded;
 
 	if (item->deleted)
 		return;
-	if (pl_config_decode(item->value, item->len, &fresh, why,
+	if (pl_config_decode(item->value, item->len, &decoded, why,
 			     sizeof(why))) {
 		jlog(LOG_RT_BAD, "\"why\":\"%s\"",
 		     jlog_sanitize(text, sizeof(text), why));
 		return;
 	}
-	edge->store_version = fresh->version;
+	edge->store_version = decoded->version;
 	if (!edge->workers.listing)
 		edge->era.config_written = true;
-	if (edge->rt && fresh->version <= edge->rt->version) {
-		rt_drop(fresh);
+	if (edge->rt && decoded->version <= edge->rt->version) {
+		rt_drop(decoded);
 		return;
 	}
 	jlog(LOG_RT_TAKEN,
 	     "\"version\":%lld,\"before\":%lld,\"routes\":%d,\"services\":%d,"
 	     "\"accounts\":%d,\"revision\":%lld",
-	     (long long)fresh->version,
-	     edge->rt ? (long long)edge->rt->version : -1LL, fresh->route_count,
-	     fresh->service_count, fresh->account_count,
-	     (long long)item->revision);
+	     (long long)decoded->version,
+	     edge->rt ? (long long)edge->rt->version : -1LL,
+	     decoded->route_count, decoded->service_count,
+	     decoded->account_count, (long long)item->revision);
 	rt_drop(edge->rt);
-	edge->rt = fresh;
-	hs_set_limits(edge->callers, &fresh->limits);
+	edge->rt = decoded;
+	hs_set_limits(edge->callers, &decoded->limits);
 }
 
 /* Returns how many connections this router may open to one worker. */
--- a/src/edge_main.c
+++ b/src/edge_main.c
@@ -287,7 +287,7 @@
 static void edge_reload(struct edge_run *run, int64_t now)
 {
 	char why[EDGE_WHY_MAX];
-	struct eset fresh;
+	struct eset loaded;
 	struct stat st;
 
 	if (!run->hup_seen && now < run->settings_next_us)
@@ -300,12 +300,12 @@
 		return;
 	run->hup_seen = false;
 	run->settings_time = st.st_mtim;
-	if (eset_load(run->settings_path, &fresh, why, sizeof(why))) {
+	if (eset_load(run->settings_path, &loaded, why, sizeof(why))) {
 		jlog(LOG_SET_BAD, "\"why\":\"%s\",\"kept\":true", why);
 		return;
 	}
 	/* Addresses change only at a restart, limits at once. */
-	run->edge.set = fresh;
+	run->edge.set = loaded;
 	jlog(LOG_SET_RELOADED, "\"path\":\"%s\"", run->settings_path);
 }
 
--- a/src/eq_answer.c
+++ b/src/eq_answer.c
@@ -12,9 +12,9 @@
  */
 #define EQ_INTERVAL_WEIGHT 8
 
-static bool eq_on_headers(void *user, const struct hc_response *answer);
+static bool eq_on_headers(void *user, const struct hc_response *response);
 static void eq_apply_limit(const struct eq *eq,
-			   const struct hc_response *answer);
+			   const struct hc_response *response);
 static void eq_on_body(void *user, const void *bytes, size_t len);
 static void eq_on_end(void *user, enum hc_result end);
 static void eq_forward_events(struct eq *eq, const void *bytes, size_t len);
@@ -70,17 +70,17 @@
 /*
  * Skips an answer that names another request: this request's answer may follow.
  */
-static bool eq_on_headers(void *user, const struct hc_response *answer)
+static bool eq_on_headers(void *user, const struct hc_response *response)
 {
 	struct eq *eq = user;
 
-	pl_response_decode(answer->status, answer->headers, &eq->answer);
+	pl_response_decode(response->status, response->headers, &eq->answer);
 	if (eq->answer.attempt_id && eq->request.attempt_id &&
 	    strcmp(eq->answer.attempt_id, eq->request.attempt_id) != 0)
 		return false;
-	eq_apply_limit(eq, answer);
+	eq_apply_limit(eq, response);
 	eq->answered = true;
-	eq->status = answer->status;
+	eq->status = response->status;
 	eq->at_fault[0] = '\0';
 	if (eq->answer.at_fault &&
 	    strlen(eq->answer.at_fault) < sizeof(eq->at_fault))
@@ -90,22 +90,21 @@
 		eq->garbled = true;
 	if (eq->state != EQ_STREAMING) {
 		evbuffer_drain(eq->fields, evbuffer_get_length(eq->fields));
-		pl_response_fields(answer->headers, eq->fields);
+		pl_response_fields(response->headers, eq->fields);
 		evbuffer_add(eq->fields, "", 1);
 	}
 	return true;
 }
 
 /*
- * Applies the rate limit that the first worker's answer states, or the absence
- * of one.
+ * Applies the rate limit in the first worker's answer, or the absence of one.
  */
 static void eq_apply_limit(const struct eq *eq,
-			   const struct hc_response *answer)
+			   const struct hc_response *response)
 {
-	bool sound = answer->status / 100 == 2 && eq->answer.sealed;
+	bool sound = response->status / 100 == 2 && eq->answer.sealed;
 
-	wkp_apply_limit(eq->edge, eq->hops[0].worker, answer,
+	wkp_apply_limit(eq->edge, eq->hops[0].worker, response,
 			sound ? WK_ANSWER_SUCCESS : WK_ANSWER_OTHER,
 			eq->sent_us);
 }
--- a/src/eq_chain.c
+++ b/src/eq_chain.c
@@ -34,7 +34,9 @@
 
 static bool eq_is_covered(struct edge *edge, const struct rt_service *service,
 			  int64_t now);
-static void eq_fill_want(struct eq *eq, struct chn_request *want, int64_t now);
+static void eq_fill_chain_request(struct eq *eq,
+				  struct chn_request *chain_request,
+				  int64_t now);
 static int eq_list_candidates(struct eq *eq, const struct eq_hop *first,
 			      int64_t now);
 static void eq_add_prefill(const struct eq *eq, int index, int layers,
@@ -53,15 +55,15 @@
 enum eq_choice eq_choose_chain(struct eq *eq, int64_t now)
 {
 	struct edge *edge = eq->edge;
-	struct chn_request want;
+	struct chn_request chain_request;
 	struct chn_chain chain;
 	int count;
 	int rc;
 	int i;
 
-	eq_fill_want(eq, &want, now);
+	eq_fill_chain_request(eq, &chain_request, now);
 	count = eq_list_candidates(eq, NULL, now);
-	rc = chn_choose(&want, eq_candidates, count, &chain);
+	rc = chn_choose(&chain_request, eq_candidates, count, &chain);
 	if (rc)
 		return rc == CHN_E_NO_CHAIN ? EQ_NO_WORKER : EQ_BUSY;
 	edge->crossing_budget_bytes -= eq_crossing_bytes(eq, chain.crossings);
@@ -83,16 +85,17 @@
 	struct edge *edge = eq->edge;
 	const struct eq_hop *hop = &eq->hops[0];
 	struct chn_first_hop first;
-	struct chn_request want;
+	struct chn_request chain_request;
 	struct chn_chain replacement;
 	int count;
 
 	first.to = hop->to;
 	first.centre =
 		edge_data_centre_index(edge, hop->worker->entry.data_centre);
-	eq_fill_want(eq, &want, now);
+	eq_fill_chain_request(eq, &chain_request, now);
 	count = eq_list_candidates(eq, hop, now);
-	if (chn_repair(&want, &first, eq_candidates, count, &replacement) ||
+	if (chn_repair(&chain_request, &first, eq_candidates, count,
+		       &replacement) ||
 	    replacement.count >= CHN_HOPS_MAX)
 		return false;
 	edge->crossing_budget_bytes -=
@@ -190,20 +193,24 @@
 	return chn_covers_layers(eq_candidates, count, service->engine.layers);
 }
 
-static void eq_fill_want(struct eq *eq, struct chn_request *want, int64_t now)
+static void eq_fill_chain_request(struct eq *eq,
+				  struct chn_request *chain_request,
+				  int64_t now)
 {
 	struct room_request request = eq_room_request(eq);
 	struct edge *edge = eq->edge;
 
-	want->layers = eq->service->engine.layers;
-	want->centre = edge_data_centre_index(edge, edge->set.data_centre);
-	want->tokens = room_mean_tokens(&request);
-	want->hop_us = CHN_HOP_US;
-	want->centre_us = EQ_CROSSING_US;
-	want->remote_entry_us = EQ_REMOTE_US;
-	want->price_prefill = eq->state == EQ_STREAMING;
-	want->yields = eq->last_event < 0 && now >= eq->target_deadline_us;
-	want->may_cross_centres =
+	chain_request->layers = eq->service->engine.layers;
+	chain_request->centre =
+		edge_data_centre_index(edge, edge->set.data_centre);
+	chain_request->tokens = room_mean_tokens(&request);
+	chain_request->hop_us = CHN_HOP_US;
+	chain_request->centre_us = EQ_CROSSING_US;
+	chain_request->remote_entry_us = EQ_REMOTE_US;
+	chain_request->price_prefill = eq->state == EQ_STREAMING;
+	chain_request->yields =
+		eq->last_event < 0 && now >= eq->target_deadline_us;
+	chain_request->may_cross_centres =
 		edge_may_cross_data_centres(edge, &eq->service->engine, now);
 }
 
--- a/src/eq_repair.c
+++ b/src/eq_repair.c
@@ -39,7 +39,7 @@
 	struct evbuffer *body;
 };
 
-static bool eq_repair_headers(void *user, const struct hc_response *answer);
+static bool eq_repair_headers(void *user, const struct hc_response *response);
 static void eq_repair_body(void *user, const void *bytes, size_t len);
 static void eq_repair_end(void *user, enum hc_result end);
 static bool eq_is_first_alive(const struct wk *wk, int64_t now);
@@ -132,13 +132,13 @@
 			      eq->hops[0].worker->entry.address, body);
 }
 
-static bool eq_repair_headers(void *user, const struct hc_response *answer)
+static bool eq_repair_headers(void *user, const struct hc_response *response)
 {
 	struct eq_repair *repair = user;
 
-	wkp_apply_limit(repair->eq->edge, repair->eq->hops[0].worker, answer,
+	wkp_apply_limit(repair->eq->edge, repair->eq->hops[0].worker, response,
 			WK_ANSWER_OTHER, repair->eq->repaired_us);
-	repair->status = answer->status;
+	repair->status = response->status;
 	return true;
 }
 
--- a/src/eset.c
+++ b/src/eset.c
@@ -68,7 +68,7 @@
 int eset_load(const char *path, struct eset *set, char *why, int why_size)
 {
 	const struct eset_field *field;
-	struct eset fresh = { 0 };
+	struct eset parsed = { 0 };
 	json_error_t error;
 	json_t *root;
 	size_t i;
@@ -83,7 +83,7 @@
 	for (i = 0; i < MAG_ARRAY_SIZE(eset_fields); i++) {
 		field = &eset_fields[i];
 		if (eset_parse_field(field, json_object_get(root, field->name),
-				     &fresh)) {
+				     &parsed)) {
 			snprintf(why, (size_t)why_size,
 				 "settings: %s: missing or malformed",
 				 field->name);
@@ -92,7 +92,7 @@
 		}
 	}
 	json_decref(root);
-	*set = fresh;
+	*set = parsed;
 	return ESET_OK;
 }
 
--- a/src/hint.c
+++ b/src/hint.c
@@ -494,22 +494,22 @@
 static void hint_update_demand(struct hint *hint, int64_t now)
 {
 	uint64_t requests = hint->edge->met.counters[MET_REQUESTS];
-	double passed_us = (double)(now - hint->demand_us);
-	double weight = passed_us / HINT_DEMAND_SMOOTHING_US;
+	double elapsed_us = (double)(now - hint->demand_us);
+	double weight = elapsed_us / HINT_DEMAND_SMOOTHING_US;
 	double rate;
 
-	if (passed_us <= 0)
+	if (elapsed_us <= 0)
 		return;
 	if (weight > 1)
 		weight = 1;
-	rate = (double)(requests - hint->requests) * MAG_US_PER_S / passed_us;
+	rate = (double)(requests - hint->requests) * MAG_US_PER_S / elapsed_us;
 	hint->demand += weight * (rate - hint->demand);
 	hint->requests = requests;
 	hint->demand_us = now;
 	hint->self.demand = hint->demand;
 }
 
-/* Sets this router's part of each limit that a worker has announced. */
+/* Sets this router's part of each limit that a worker has advertised. */
 static void hint_update_limit_parts(struct hint *hint, int64_t now)
 {
 	const struct hint_router *routers = NULL;
@@ -528,7 +528,7 @@
 	}
 }
 
-/* Returns this router's part of the limit that a worker has announced. */
+/* Returns this router's part of the limit that a worker has advertised. */
 double hint_own_limit_part(const struct hint *hint, const struct wk *wk,
 			   int64_t now)
 {
--- a/src/hint_limit.c
+++ b/src/hint_limit.c
@@ -1,7 +1,7 @@
 #include "hint_limit.h"
 
 /*
- * Lists the known limits, with the time since the worker announced each.  If
+ * Lists the known limits, with the time since the worker advertised each.  If
  * they do not all fit, the next message starts where this one ends.
  */
 void hint_limit_collect(const struct wk_table *table, int64_t now, int *next,
--- a/src/hint_limit.h
+++ b/src/hint_limit.h
@@ -2,10 +2,10 @@
 #define HINT_LIMIT_H
 
 /*
- * Rate limits that workers announce, relayed between routers, and the part of
+ * Rate limits that workers advertise, relayed between routers, and the part of
  * each limit that a router may use.  Pure.
  *
- * Load pattern: a worker announces a limit in its answers to some routers; the
+ * Load pattern: a worker advertises a limit in its answers to some routers; the
  * other routers of its data centre would keep sending until it refuses them as
  * well.
  */
--- a/src/hint_msg.h
+++ b/src/hint_msg.h
@@ -31,13 +31,13 @@
 };
 
 /*
- * A rate limit that a worker announced.  It is encoded in eight bytes, with
+ * A rate limit that a worker advertised.  It is encoded in eight bytes, with
  * limit and age rounded to the units in hint_msg.c.
  */
 struct hint_limit {
 	uint32_t worker; /* hash of its id */
 	float per_s;	 /* requests per second over all routers */
-	uint32_t age_ms; /* since the worker announced it */
+	uint32_t age_ms; /* since the worker advertised it */
 };
 
 /* A request that crashes workers. */
--- a/src/lay.c
+++ b/src/lay.c
@@ -63,7 +63,7 @@
 /* Finds the layer of a data centre that has memory for the fewest tokens. */
 void lay_find_bottleneck(const struct lay_model *model,
 			 const struct lay_card *cards, int count, int centre,
-			 struct lay_bottleneck *cover)
+			 struct lay_bottleneck *bottleneck)
 {
 	double tokens;
 	int holders;
@@ -71,11 +71,11 @@
 	int held;
 	int i;
 
-	memset(cover, 0, sizeof(*cover));
-	cover->tokens = -1;
+	memset(bottleneck, 0, sizeof(*bottleneck));
+	bottleneck->tokens = -1;
 	for (i = 0; i < count; i++)
-		cover->cards += cards[i].centre == centre &&
-				cards[i].from < cards[i].to;
+		bottleneck->cards += cards[i].centre == centre &&
+				     cards[i].from < cards[i].to;
 	for (layer = 0; layer < model->layers; layer++) {
 		tokens = 0;
 		holders = 0;
@@ -89,11 +89,11 @@
 				(cards[i].memory_mb - held * model->layer_mb) /
 				(held * model->token_mb);
 		}
-		if (cover->tokens >= 0 && tokens >= cover->tokens)
+		if (bottleneck->tokens >= 0 && tokens >= bottleneck->tokens)
 			continue;
-		cover->tokens = tokens;
-		cover->layer = layer;
-		cover->holders = holders;
+		bottleneck->tokens = tokens;
+		bottleneck->layer = layer;
+		bottleneck->holders = holders;
 	}
 }
 
--- a/src/lay.h
+++ b/src/lay.h
@@ -55,7 +55,7 @@
 
 void lay_find_bottleneck(const struct lay_model *model,
 			 const struct lay_card *cards, int count, int centre,
-			 struct lay_bottleneck *cover);
+			 struct lay_bottleneck *bottleneck);
 bool lay_is_empty(const struct lay_card *cards, int count);
 void lay_plan(const struct lay_model *model, struct lay_card *cards, int count,
 	      bool widen);
--- a/src/lay_balance.c
+++ b/src/lay_balance.c
@@ -21,7 +21,7 @@
 /*
  * Minimum gain of a move, as a fraction of the present capacity.  In an initial
  * plan no layers are loaded yet.  Later a move takes a holder away until its
- * requests have ended and the new layers are read, some seconds.
+ * requests have ended and the new layers are loaded, some seconds.
  */
 #define LAY_GAIN_INITIAL 0.02
 #define LAY_GAIN	 0.2
--- a/src/plr.c
+++ b/src/plr.c
@@ -67,7 +67,7 @@
 			  int64_t now);
 static void plr_send_order(struct edge *edge, struct wk *wk,
 			   const struct wire_range *range, int64_t now);
-static bool plr_on_headers(void *user, const struct hc_response *answer);
+static bool plr_on_headers(void *user, const struct hc_response *response);
 static void plr_on_body(void *user, const void *bytes, size_t len);
 static void plr_on_end(void *user, enum hc_result end);
 
@@ -196,7 +196,7 @@
 			  struct lay_card *cards, struct wk **workers,
 			  int64_t now)
 {
-	const struct rt_accelerator *kind;
+	const struct rt_accelerator *accelerator;
 	struct lay_card *card;
 	struct wk *wk;
 	int count = 0;
@@ -207,16 +207,17 @@
 		if (strcmp(wk->entry.service, service->name) != 0 ||
 		    !wk->listed || !wk_alive(wk, now))
 			continue;
-		kind = rt_find_accelerator(&service->engine, wk->entry.kind);
-		if (!kind)
+		accelerator =
+			rt_find_accelerator(&service->engine, wk->entry.kind);
+		if (!accelerator)
 			continue;
 		card = &cards[count];
 		workers[count++] = wk;
 		memset(card, 0, sizeof(*card));
 		card->centre =
 			edge_data_centre_index(edge, wk->entry.data_centre);
-		card->memory_mb = kind->memory_mb;
-		card->step_factor = kind->step_factor;
+		card->memory_mb = accelerator->memory_mb;
+		card->step_factor = accelerator->step_factor;
 		card->from = wk->ordered ? wk->order.from : wk->layers.from;
 		card->to = wk->ordered ? wk->order.to : wk->layers.to;
 		card->planned_from = card->from;
@@ -281,13 +282,13 @@
 	     range->to, (long long)wk->orders_taken);
 }
 
-static bool plr_on_headers(void *user, const struct hc_response *answer)
+static bool plr_on_headers(void *user, const struct hc_response *response)
 {
 	struct plr_call *call = user;
 
-	wkp_apply_limit(call->edge, call->wk, answer, WK_ANSWER_ORDER,
+	wkp_apply_limit(call->edge, call->wk, response, WK_ANSWER_ORDER,
 			call->wk->ordered_us);
-	call->status = answer->status;
+	call->status = response->status;
 	return true;
 }
 
--- a/src/quar.c
+++ b/src/quar.c
@@ -16,7 +16,8 @@
 	struct cds_list_head by_age; /* least recently changed first */
 	struct cds_list_head in_updates;
 	uint8_t fingerprint[MAG_DIGEST_BYTES];
-	uint32_t lost; /* endpoints, as far as this or another instance knows */
+	/* As far as this or another instance knows. */
+	uint32_t endpoints_lost;
 	int64_t until_us;
 	bool update_pending;
 };
@@ -105,8 +106,8 @@
 
 	if (!entry || now >= entry->until_us)
 		return QUAR_CLEAR;
-	return entry->lost >= QUAR_ENDPOINTS_MAX ? QUAR_QUARANTINED
-						 : QUAR_SUSPECT;
+	return entry->endpoints_lost >= QUAR_ENDPOINTS_MAX ? QUAR_QUARANTINED
+							   : QUAR_SUSPECT;
 }
 
 /*
@@ -120,7 +121,7 @@
 			int endpoint, bool was_alone, int64_t now)
 {
 	struct quar_entry *entry = quar_find(quar, fingerprint);
-	uint32_t before;
+	uint32_t lost_before;
 
 	(void)endpoint;
 	if (entry && now >= entry->until_us) {
@@ -131,15 +132,16 @@
 		entry = quar_add(quar, fingerprint);
 	if (!entry)
 		return;
-	before = entry->lost;
-	if (entry->lost == 0 || (was_alone && entry->lost < QUAR_ENDPOINTS_MAX))
-		entry->lost++;
+	lost_before = entry->endpoints_lost;
+	if (entry->endpoints_lost == 0 ||
+	    (was_alone && entry->endpoints_lost < QUAR_ENDPOINTS_MAX))
+		entry->endpoints_lost++;
 	entry->until_us = now + quar->hold_us;
 	quar_touch(quar, entry);
-	if (entry->lost == before)
+	if (entry->endpoints_lost == lost_before)
 		return;
-	quar_log(entry->lost >= QUAR_ENDPOINTS_MAX ? LOG_QUAR_HELD
-						   : LOG_QUAR_SUSPECT,
+	quar_log(entry->endpoints_lost >= QUAR_ENDPOINTS_MAX ? LOG_QUAR_HELD
+							     : LOG_QUAR_SUSPECT,
 		 entry);
 	if (!entry->update_pending)
 		cds_list_add_tail(&entry->in_updates, &quar->updates);
@@ -156,7 +158,7 @@
 	struct quar_entry *entry = quar_find(quar, fingerprint);
 
 	(void)now;
-	if (!entry || entry->lost >= QUAR_ENDPOINTS_MAX)
+	if (!entry || entry->endpoints_lost >= QUAR_ENDPOINTS_MAX)
 		return;
 	quar_log(LOG_QUAR_CLEARED, entry);
 	quar_remove(quar, entry);
@@ -177,10 +179,11 @@
 		entry = quar_add(quar, fingerprint);
 	if (!entry)
 		return;
-	if (entry->lost < endpoints_lost) {
-		entry->lost = endpoints_lost;
-		quar_log(entry->lost >= QUAR_ENDPOINTS_MAX ? LOG_QUAR_HELD
-							   : LOG_QUAR_SUSPECT,
+	if (entry->endpoints_lost < endpoints_lost) {
+		entry->endpoints_lost = endpoints_lost;
+		quar_log(entry->endpoints_lost >= QUAR_ENDPOINTS_MAX
+				 ? LOG_QUAR_HELD
+				 : LOG_QUAR_SUSPECT,
 			 entry);
 	}
 	if (entry->until_us < until_us)
@@ -204,7 +207,7 @@
 	cds_list_del(&entry->in_updates);
 	entry->update_pending = false;
 	memcpy(fingerprint, entry->fingerprint, MAG_DIGEST_BYTES);
-	*endpoints_lost = entry->lost;
+	*endpoints_lost = entry->endpoints_lost;
 	*until_us = entry->until_us;
 	return true;
 }
@@ -281,5 +284,6 @@
 
 	for (i = 0; i < QUAR_LOG_BYTES; i++)
 		snprintf(text + 2 * i, 3, "%02x", entry->fingerprint[i]);
-	log_event(id, "fingerprint=%s endpoints_lost=%u", text, entry->lost);
+	log_event(id, "fingerprint=%s endpoints_lost=%u", text,
+		  entry->endpoints_lost);
 }
--- a/src/sto.c
+++ b/src/sto.c
@@ -15,7 +15,7 @@
 /* Minimum interval between log lines about malformed eras. */
 #define STO_BAD_ERA_LOG_US MAG_US_PER_S
 
-static bool sto_on_headers(void *user, const struct hc_response *answer);
+static bool sto_on_headers(void *user, const struct hc_response *response);
 static void sto_on_body(void *user, const void *bytes, size_t len);
 static void sto_on_end(void *user, enum hc_result end);
 static enum sto_result sto_result_from_status(int status);
@@ -140,12 +140,12 @@
 	free(call);
 }
 
-static bool sto_on_headers(void *user, const struct hc_response *answer)
+static bool sto_on_headers(void *user, const struct hc_response *response)
 {
 	struct sto_call *call = user;
 
-	call->status = answer->status;
-	call->era = pl_store_era(answer->headers);
+	call->status = response->status;
+	call->era = pl_store_era(response->headers);
 	return true;
 }
 
--- a/src/thr.c
+++ b/src/thr.c
@@ -2,15 +2,15 @@
 
 #define THR_SLICE_US (250 * MAG_US_PER_MS)
 /*
- * Requests sent within this time before a limit was first stated count against
- * it: the worker is still busy with them.
+ * Requests sent within this time before a limit was first advertised count
+ * against it: the worker is still busy with them.
  */
 #define THR_LOOKBACK_US MAG_US_PER_S
 /* Longest additional wait because of these requests. */
 #define THR_LOOKBACK_WAIT_US (3 * MAG_US_PER_S)
 /*
  * After this time without room under the limit one request is sent anyway: its
- * answer tells whether the worker still states a limit.
+ * answer tells whether the worker still advertises a limit.
  */
 #define THR_TRIAL_US (4 * MAG_US_PER_S)
 /* A limit that no router has received from the worker for this long expires. */
@@ -34,8 +34,8 @@
 			  int index, uint32_t worker, int senders);
 
 /*
- * Applies a limit, in requests a second, that the worker stated at at_us.  A
- * report that is older than the known state changes nothing: peers pass on
+ * Applies a limit, in requests a second, that the worker advertised at at_us.
+ * A report that is older than the known state changes nothing: peers pass on
  * limits that have ended since.
  */
 enum thr_change thr_limit_advertised(struct thr *thr, double limit,
@@ -64,7 +64,7 @@
 
 /*
  * Handles an answer without a limit to a request that was sent at sent_us.  An
- * answer that was in transit when the limit was stated does not end it.
+ * answer that was in transit when the limit was advertised does not end it.
  */
 enum thr_change thr_limit_absent(struct thr *thr, int64_t sent_us)
 {
@@ -76,7 +76,7 @@
 	return THR_ENDED;
 }
 
-/* Ends a limit that has not been stated again. */
+/* Ends a limit that has not been advertised again. */
 enum thr_change thr_expire(struct thr *thr, int64_t now)
 {
 	if (!thr->limited || now - thr->advertised_us <= THR_EXPIRY_US)
--- a/src/thr.h
+++ b/src/thr.h
@@ -2,15 +2,15 @@
 #define THR_H
 
 /*
- * Rate limit that a worker states for all routers together, and this router's
- * fraction of it.  Pure.
+ * Rate limit that a worker advertises for all routers together, and this
+ * router's fraction of it.  Pure.
  *
- * Load pattern: an overloaded worker states a limit far below the rate at which
- * the routers of its data centre send to it.  The routers learn of the limit at
- * different moments and of each other's requests a fraction of a second late,
- * and cannot consult each other before each request.  Each router therefore
- * uses its own fraction of the limit, in proportion to the load of its callers;
- * all compute the fractions from the same reports.
+ * Load pattern: an overloaded worker advertises a limit far below the rate at
+ * which the routers of its data centre send to it.  The routers learn of the
+ * limit at different moments and of each other's requests a fraction of a
+ * second late, and cannot consult each other before each request.  Each router
+ * therefore uses its own fraction of the limit, in proportion to the load of
+ * its callers; all compute the fractions from the same reports.
  */
 
 #include <stdbool.h>
@@ -20,7 +20,7 @@
 
 #define THR_SLICES 8
 
-/* Effect of a worker's statement about its limit. */
+/* Effect of an answer or a peer's report on a worker's limit. */
 enum thr_change {
 	THR_UNCHANGED,
 	THR_BEGAN,
@@ -37,7 +37,7 @@
 struct thr {
 	bool limited;
 	double limit;	       /* requests a second of all routers together */
-	int64_t advertised_us; /* when the worker last stated it; 0: never */
+	int64_t advertised_us; /* when last advertised; 0: never */
 	int64_t absent_us;     /* last send answered without one; 0: never */
 	double fraction; /* of the limit for this router; below 0: unset */
 	double level; /* of the leaky bucket: requests sent ahead of the rate */
--- a/src/wire.h
+++ b/src/wire.h
@@ -37,7 +37,7 @@
 	struct wire_range layers;
 };
 
-/* Whether a response states the rate limit of its worker. */
+/* Whether a response contains the rate limit of its worker. */
 enum wire_limit_status {
 	WIRE_LIMIT_NONE,
 	WIRE_LIMIT_VALID,
--- a/src/wk.h
+++ b/src/wk.h
@@ -78,8 +78,8 @@
 	double recent_held;
 	double peer_held; /* memory of other instances' requests */
 	/*
-	 * When it will have read the prompts of the chains that were assigned
-	 * to it.
+	 * When it will have finished the prefill of the chains that were
+	 * assigned to it.
 	 */
 	int64_t prefill_until_us;
 	int64_t last_event_us;	/* when an event of ours last came through it */
@@ -88,7 +88,7 @@
 	int probes_since_event; /* probes since last_event_us */
 	int64_t probed_us;	/* when it was last probed */
 
-	struct thr thr; /* the rate limit that it names */
+	struct thr thr; /* the rate limit that it advertises */
 	/* Changed and unreadable limits are not logged before then. */
 	int64_t next_limit_log_us;
 
@@ -173,7 +173,7 @@
 enum thr_change wk_apply_limit(struct wk *wk, const struct wire_limit *limit,
 			       enum wk_answer answer, int64_t sent_us,
 			       int64_t now);
-void wk_apply_peer_limit(struct wk *wk, double limit, int64_t named_us,
+void wk_apply_peer_limit(struct wk *wk, double limit, int64_t advertised_us,
 			 int64_t now);
 void wk_expire_limit(struct wk *wk, int64_t now);
 struct wk *wk_ref(struct wk *wk);
--- a/src/wk_limit.c
+++ b/src/wk_limit.c
@@ -40,18 +40,19 @@
 	return change;
 }
 
-/* Applies a limit that the worker named to another router at named_us. */
-void wk_apply_peer_limit(struct wk *wk, double limit, int64_t named_us,
+/* Applies a limit that the worker advertised to another router at
+ * advertised_us. */
+void wk_apply_peer_limit(struct wk *wk, double limit, int64_t advertised_us,
 			 int64_t now)
 {
 	enum thr_change change =
-		thr_limit_advertised(&wk->thr, limit, named_us, now);
+		thr_limit_advertised(&wk->thr, limit, advertised_us, now);
 
 	if (change != THR_UNCHANGED)
 		wk_log_limit(wk, change, "peer", now);
 }
 
-/* Ends a limit that the worker has not named again for too long. */
+/* Ends a limit that the worker has not advertised again for too long. */
 void wk_expire_limit(struct wk *wk, int64_t now)
 {
 	if (thr_expire(&wk->thr, now) == THR_ENDED)
--- a/src/wkp.c
+++ b/src/wkp.c
@@ -45,15 +45,15 @@
 	struct wk *wk;
 	int status;
 	bool engine;
-	bool fresh; /* on a new connection */
+	bool new_connection;
 	struct evbuffer *body;
 };
 
-static bool wkp_on_headers(void *user, const struct hc_response *answer);
+static bool wkp_on_headers(void *user, const struct hc_response *response);
 static void wkp_on_body(void *user, const void *bytes, size_t len);
 static void wkp_on_end(void *user, enum hc_result end);
-static void wkp_send_probe(struct edge *edge, struct wk *wk, bool fresh,
-			   int64_t now);
+static void wkp_send_probe(struct edge *edge, struct wk *wk,
+			   bool new_connection, int64_t now);
 static void wkp_mark_unresponsive(struct wk *wk, int64_t now);
 static void wkp_on_probe_failure(struct edge *edge, struct wk *wk,
 				 enum hc_result end, int64_t now);
@@ -67,12 +67,12 @@
 	.ended = wkp_on_end,
 };
 
-/* Applies the rate limit that an answer of a worker names, or omits. */
+/* Applies the rate limit in an answer of a worker, or the absence of one. */
 void wkp_apply_limit(struct edge *edge, struct wk *wk,
-		     const struct hc_response *answer, enum wk_answer kind,
+		     const struct hc_response *response, enum wk_answer kind,
 		     int64_t sent_us)
 {
-	struct wire_limit limit = pl_limit_decode(answer->headers);
+	struct wire_limit limit = pl_limit_decode(response->headers);
 	int64_t now = clk_boot_us();
 
 	if (wk_apply_limit(wk, &limit, kind, sent_us, now) != THR_UNCHANGED)
@@ -92,9 +92,9 @@
 		wkp_send_probe(edge, wk, false, now);
 }
 
-/* Sends a probe, on a new connection if fresh is set. */
-static void wkp_send_probe(struct edge *edge, struct wk *wk, bool fresh,
-			   int64_t now)
+/* Sends a probe, on a new connection if new_connection is set. */
+static void wkp_send_probe(struct edge *edge, struct wk *wk,
+			   bool new_connection, int64_t now)
 {
 	int service =
 		edge->rt ? rt_find_service(edge->rt, wk->entry.service) : -1;
@@ -114,7 +114,7 @@
 	}
 	call->edge = edge;
 	call->engine = edge->rt->services[service].has_engine;
-	call->fresh = fresh;
+	call->new_connection = new_connection;
 	send.request = pl_call_encode(
 		"GET",
 		call->engine ? PL_REPORT_PATH
@@ -122,7 +122,7 @@
 		wk->entry.address, NULL);
 	send.ops = &wkp_ops;
 	send.user = call;
-	send.new_connection = fresh;
+	send.new_connection = new_connection;
 	send.connect_by_us = now + WKP_PROBE_TIMEOUT_US;
 	send.deadline_us = now + WKP_PROBE_TIMEOUT_US;
 	met_increment(&edge->met, MET_PROBES);
@@ -170,13 +170,13 @@
 	     wk->entry.id, (int)((now - wk->probed_us) / MAG_US_PER_MS));
 }
 
-static bool wkp_on_headers(void *user, const struct hc_response *answer)
+static bool wkp_on_headers(void *user, const struct hc_response *response)
 {
 	struct wkp_call *call = user;
 
-	wkp_apply_limit(call->edge, call->wk, answer, WK_ANSWER_PROBE,
+	wkp_apply_limit(call->edge, call->wk, response, WK_ANSWER_PROBE,
 			call->wk->probed_us);
-	call->status = answer->status;
+	call->status = response->status;
 	return true;
 }
 
@@ -203,7 +203,7 @@
 	} else if (end == HC_COMPLETE) {
 		if (call->status == 200)
 			wk_clear_suspicion(wk);
-	} else if (end == HC_CONN_LOST && !call->fresh) {
+	} else if (end == HC_CONN_LOST && !call->new_connection) {
 		/*
 		 * Workers close idle connections without notice, and links
 		 * reset them; that says nothing about the worker.
@@ -235,11 +235,12 @@
 static int wkp_count_recent_deaths(const struct edge *edge, int64_t now)
 {
 	struct wk *wk;
-	int lost = 0;
+	int deaths = 0;
 
 	cds_list_for_each_entry (wk, &edge->workers.workers, node)
-		lost += wk->died_us && now - wk->died_us < WKP_COMMON_CAUSE_US;
-	return lost;
+		deaths +=
+			wk->died_us && now - wk->died_us < WKP_COMMON_CAUSE_US;
+	return deaths;
 }
 
 /*
