--- a/regress/check_ask.c
+++ b/regress/check_ask.c
@@ -58,7 +58,7 @@
 		if (first_ms > 0 && now_ms >= due) {
 			stream->last_ms = now_ms;
 			stream->began = true;
-			worker.passed_us = now;
+			worker.last_event_us = now;
 			worker.probes = 0;
 		}
 	}
--- a/src/ask.c
+++ b/src/ask.c
@@ -30,7 +30,7 @@
 			  const struct ask_worker *worker, int64_t now)
 {
 	return now - stream->last_progress_us >= stream->silence_limit_us &&
-	       now - worker->passed_us >= stream->silence_limit_us &&
+	       now - worker->last_event_us >= stream->silence_limit_us &&
 	       now - worker->probed_us >= mag_backoff(ASK_INTERVAL_US,
 						      worker->probes,
 						      ASK_DOUBLINGS_MAX);
--- a/src/ask.h
+++ b/src/ask.h
@@ -29,7 +29,7 @@
 };
 
 struct ask_worker {
-	int64_t passed_us; /* last event of any stream through it */
+	int64_t last_event_us; /* last event of any stream through it */
 	int64_t probed_us;
 	int64_t slowdown_us; /* when its slowdown was last learned */
 	int probes;	     /* since an event last passed through it */
