--- a/src/eq.h
+++ b/src/eq.h
@@ -54,7 +54,7 @@
 	int64_t progress_us; /* of this attempt: when sent, or its last event */
 	int64_t probed_us;   /* when its workers were last probed */
 	int64_t repaired_us; /* last repair of its chain; 0: never */
-	int64_t max_gap_us;  /* longest pause between events so far */
+	int64_t max_gap_us;  /* longest gap between events so far */
 	int64_t event_interval_us; /* smoothed; 0: unknown */
 	int64_t first_event_us;	   /* first event forwarded; 0: none */
 
--- a/src/eq_chain.c
+++ b/src/eq_chain.c
@@ -157,7 +157,10 @@
 	return dst;
 }
 
-/* Reserves a place at a worker and, if it runs layers, memory there. */
+/*
+ * Adds a hop to the request's chain: reserves a slot at the worker if it is the
+ * first one and, if it runs layers, memory there.
+ */
 void eq_reserve_hop(struct eq *eq, struct wk *wk, int from, int to)
 {
 	struct room_request request = eq_room_request(eq);
--- a/src/eq_send.c
+++ b/src/eq_send.c
@@ -52,7 +52,7 @@
 	eq_send(eq, now);
 }
 
-/* Releases places and memory of the last attempt and abandons its repair. */
+/* Releases slots and memory of the last attempt and abandons its repair. */
 void eq_release(struct eq *eq)
 {
 	int i;
@@ -119,7 +119,7 @@
 		max_wait_us = EQ_LATE_WAIT_US;
 	if (eq->state == EQ_STREAMING) {
 		/*
-		 * A stream that has begun may resume until the pause is too
+		 * A stream that has begun may resume until the gap is too
 		 * long.
 		 */
 		if (now - eq->progress_us > 1500 * MAG_US_PER_MS)
--- a/src/eq_stall.c
+++ b/src/eq_stall.c
@@ -8,14 +8,14 @@
 
 /*
  * Load pattern: a worker in the middle of a chain dies or falls silent, and the
- * healthy first worker waits for it for seconds.  A pause longer than the route
+ * healthy first worker waits for it for seconds.  A gap longer than the route
  * allows makes a stream late, and callers leave after two seconds of silence.
  * The silence itself is therefore the sign: after this fraction of the allowed
- * pause the workers of the stream are probed (ask.c), which leaves time to
+ * gap the workers of the stream are probed (ask.c), which leaves time to
  * restart the stream.
  */
 #define EQ_SILENCE_FRACTION 0.4
-/* The same limit for a route that does not specify the allowed pause. */
+/* The same limit for a route that does not specify the allowed gap. */
 #define EQ_SILENCE_DEFAULT_US (100 * MAG_US_PER_MS)
 /*
  * A worker that does not answer probes, or that a peer found dead, counts as
--- a/src/met.h
+++ b/src/met.h
@@ -40,7 +40,7 @@
 enum met_histogram {
 	MET_FIRST_EVENT, /* from arrival to the first event of a stream */
 	MET_ANSWER,	 /* from arrival to the response of a plain service */
-	MET_GAP,	 /* longest interval between two events of a stream */
+	MET_GAP,	 /* longest gap between two events of a stream */
 	MET_WAIT,	 /* from arrival to the first send */
 	MET_RECOVERY,	 /* from the store's return until all is read again */
 	MET_HISTOGRAM_COUNT
--- a/src/rt.h
+++ b/src/rt.h
@@ -50,7 +50,7 @@
 	bool generates;	  /* carries a prompt for a model */
 	int64_t timeout_us;
 	int64_t target_us;  /* an answer within this is worth the most */
-	int64_t max_gap_us; /* longest pause between events that is on time */
+	int64_t max_gap_us; /* longest gap between events that is on time */
 	int priority;	    /* 0 is the most urgent */
 	int max_attempts;
 	struct rt_split splits[RT_SPLIT_MAX];
--- a/src/thr.c
+++ b/src/thr.c
@@ -143,13 +143,13 @@
 bool thr_may_probe(const struct thr *thr, int64_t probed_us, int64_t now)
 {
 	double rate = thr_rate(thr);
-	int64_t pause_us = THR_TRIAL_US;
+	int64_t interval_us = THR_TRIAL_US;
 
 	if (!thr->limited)
 		return true;
 	if (rate * THR_TRIAL_US > MAG_US_PER_S)
-		pause_us = (int64_t)(MAG_US_PER_S / rate);
-	return now - probed_us >= pause_us;
+		interval_us = (int64_t)(MAG_US_PER_S / rate);
+	return now - probed_us >= interval_us;
 }
 
 /*
