--- a/src/pres.c
+++ b/src/pres.c
@@ -341,7 +341,7 @@
 	(void)len;
 }
 
-/* Starts a full list of the keys. */
+/* Starts a complete list of the keys. */
 void pres_list_begin(struct pres *pres)
 {
 	memset(pres->seen, 0, PRES_PEERS_MAX * sizeof(*pres->seen));
--- a/src/sto.h
+++ b/src/sto.h
@@ -36,12 +36,14 @@
 
 /* Callbacks of a follower.  All except confirmed are called in store order. */
 struct sto_follow_ops {
-	void (*list_begin)(void *user); /* a full list starts */
+	void (*list_begin)(void *user); /* a complete list starts */
 	void (*item)(void *user, const struct wire_item *item);
 	void (*list_end)(void *user); /* the list is complete */
 	/* Everything reported so far was current at sent_us. */
 	void (*confirmed)(void *user, int64_t sent_us);
-	/* The store was restored from an older backup; a full list follows. */
+	/*
+	 * The store was restored from an older backup; a complete list follows.
+	 */
 	void (*restored)(void *user);
 	/* reachable is true when a call succeeds after several have failed. */
 	void (*reachable)(void *user, bool reachable);
--- a/src/wk.c
+++ b/src/wk.c
@@ -76,7 +76,7 @@
 	table->max_connections = 64;
 }
 
-/* Begins a whole listing; wk_list_end removes the workers that it lacks. */
+/* Begins a complete listing; wk_list_end removes the workers that it lacks. */
 void wk_list_begin(struct wk_table *table)
 {
 	struct wk *wk;
--- a/src/wk.h
+++ b/src/wk.h
@@ -104,7 +104,7 @@
 	struct wire_range order;
 };
 
-/* A worker whose entry was removed, or was missing from a whole listing. */
+/* A worker whose entry was removed, or was missing from a complete listing. */
 struct wk_gone {
 	char id[WIRE_ID_MAX];
 	int64_t born_ms;
@@ -115,7 +115,7 @@
 	struct cds_list_head workers;
 	struct wk_gone gone[WK_GONE_MAX]; /* a ring: the oldest is replaced */
 	int gone_next;
-	bool listing; /* a whole list is being read, not single changes */
+	bool listing; /* a complete listing is being read, not single changes */
 	/*
 	 * The store was restored from an older backup, and the workers have not
 	 * all written their entries again.
