--- a/src/chn.c
+++ b/src/chn.c
@@ -46,9 +46,9 @@
  * begins after the first hop, whose worker must not be in the list.
  *
  * Load pattern: a worker dies, and all streams of a data centre lose the same
- * layers at once.  Every worker repeats the prefill of a restarted stream, only
- * the new worker that of a repaired one.  The prefill queued at a worker is
- * therefore part of its price.
+ * layers at once.  After a restart every worker of the chain does the prefill
+ * of the stream, after a repair only the new worker does.  The prefill queued
+ * at a worker is therefore part of its price.
  */
 int chn_repair(const struct chn_request *request,
 	       const struct chn_first_hop *first,
--- a/src/chn_walk.c
+++ b/src/chn_walk.c
@@ -165,8 +165,8 @@
 }
 
 /*
- * Returns the prefill time of the stream so far through layers that a worker
- * does not run yet.
+ * Returns the time until a worker has finished the prefill of the stream so far
+ * through layers that it does not run yet.
  */
 static double chn_prefill_cost(const struct chn_worker *worker, int from,
 			       int to)
--- a/src/quar.c
+++ b/src/quar.c
@@ -16,7 +16,7 @@
 	struct cds_list_head by_age; /* least recently changed first */
 	struct cds_list_head in_updates;
 	uint8_t fingerprint[MAG_DIGEST_BYTES];
-	/* As far as this or another instance knows. */
+	/* The count that this or another instance knows of. */
 	uint32_t endpoints_lost;
 	int64_t until_us;
 	bool update_pending;
--- a/src/wk.h
+++ b/src/wk.h
@@ -78,8 +78,8 @@
 	double recent_held;
 	double peer_held; /* memory of other instances' requests */
 	/*
-	 * When it will have finished the prefill of the chains that were
-	 * assigned to it.
+	 * When it will have finished the prefill of the prompts of the chains
+	 * that were assigned to it.
 	 */
 	int64_t prefill_until_us;
 	int64_t last_event_us;	/* when an event of ours last came through it */
--- a/src/wk_limit.c
+++ b/src/wk_limit.c
@@ -40,8 +40,10 @@
 	return change;
 }
 
-/* Applies a limit that the worker advertised to another router at
- * advertised_us. */
+/*
+ * Applies a limit that the worker advertised to another router at
+ * advertised_us.
+ */
 void wk_apply_peer_limit(struct wk *wk, double limit, int64_t advertised_us,
 			 int64_t now)
 {
